--- a/Makefile
+++ b/Makefile
@@ -5,7 +5,7 @@
 TOOLBIN := $(CURDIR)/bin/tools
 PKGS    := ./cmd/... ./pkg/... ./platform/... ./standins/... ./examples/... ./test/...
 
-.PHONY: help build tools fmt lint try serve check test soak fuzz model bench lab docs docs-check generate
+.PHONY: help build tools rename fmt lint try serve check test soak fuzz model bench lab docs docs-check generate
 
 help: ## list the targets
 	@grep -hE '^[a-z]+:.*## ' $(MAKEFILE_LIST) | sed -E 's/:.*## /\t/' | expand -t 12
@@ -19,6 +19,9 @@
 	@mkdir -p $(TOOLBIN)
 	cd tools && $(GO) build -o $(TOOLBIN)/ tool
 
+rename: tools ## build the pinned language server, whose "gopls rename" renames in all packages
+	GOBIN=$(TOOLBIN) $(GO) install golang.org/x/tools/gopls@v0.23.0
+
 fmt: tools ## format the code
 	$(TOOLBIN)/gofumpt -w cmd pkg platform standins test examples tools
 
