--- a/pkg/process/blame/accuse.go
+++ b/pkg/process/blame/accuse.go
@@ -2,52 +2,52 @@
 
 import "time"
 
-// Life is a worker's life that ended by itself, as it was seen.
+// Life is a worker incarnation that ended without a stop or a leave, as its leader saw it.
 type Life struct {
 	Worker, Host string
 	Born         int64
-	// Silent says that the worker only fell silent so far.
+	// Silent says that the worker is not known to have crashed: it may be cut off.
 	Silent bool
-	// Dark says that only a time-out showed its end: a process that crashes breaks its connections, a
-	// loss of power or a cut does not.
+	// Dark says that only a timeout showed the end. A process that crashes breaks its connections; a loss of
+	// power or a network cut does not.
 	Dark bool
-	// Lives is how many workers fell silent in that moment, this one included, of how many. Tried is how many of
-	// the others had a trial on.
+	// Lives is how many workers went silent at the same time, this one included, Workers how many there are, and
+	// Tried how many of the other silent ones had an isolated run.
 	Lives, Workers, Tried int
-	// At is the time of day.
+	// At is the wall-clock time of the end.
 	At   time.Time
 	Runs []Seen
 }
 
-// Seen is a run that a life ended with.
+// Seen is a run that ended with its worker's incarnation.
 type Seen struct {
 	Run int64
-	// Began says that it is known to have begun, Age how long it had run, at least.
+	// Began says that the run is known to have begun. Age is the least time that it had lasted.
 	Began bool
 	Age   time.Duration
-	// HostFails says that the host crashed lately without the run's task, Elsewhere how many lives
-	// ended so at all hosts.
+	// HostFails says that the host crashed recently while the run's task was not there. Elsewhere is how many
+	// such crashes there were on all hosts.
 	HostFails bool
 	Elsewhere int
-	// Gang names the gang that the run is of, empty: of none. Its members are no company to each other: they start
-	// together, and one job is given up for any of them.
+	// Gang is the name of the run's gang, empty for none. Members of a gang are no company to each other: they
+	// start together, and the same job fails for any of them.
 	Gang string
-	// Trial says that the run was tried alone, in calm, at a host that was chosen for it: only many
-	// lives that end in that moment speak for another cause.
+	// Trial says that the run was isolated, in a quiet period, at a host chosen for it: only an outage of many
+	// workers, or an end that only a timeout showed, is a sign of another cause.
 	Trial bool
 }
 
 const (
-	// manyShare is the part of all workers that fall silent in one moment only for one cause
-	// from outside.
+	// manyShare divides the number of workers: as many go silent at the same time only for one external cause.
 	manyShare = 8
-	// manyLeast is the least number of them; manySmall is the same among few workers.
+	// manyLeast is the lower bound of that number; manySmall is the same for few workers.
 	manyLeast, manySmall = 3, 2
-	// fewWorkers is up to how many workers are few.
+	// fewWorkers is the largest number of workers that counts as few.
 	fewWorkers = 11
 )
 
-// Many is how many lives that end in one moment have one cause outside, of a number of workers.
+// Many returns how many of a number of workers have to go silent at the same time for one external cause to
+// be likely.
 func Many(workers int) int {
 	least := manyLeast
 	if workers <= fewWorkers {
@@ -56,25 +56,28 @@
 	return max(least, (workers+manyShare-1)/manyShare)
 }
 
-// Common is how many lives have to end, within the time that callers look back (15 s), for crashes
-// to be so common that one soon after a start says less: then an innocent run is struck in its
-// first second with a chance of two in a hundred or more.
+// Common returns how many crashes, within the time that callers look back (15 s), make crashes so common that one
+// soon after a start is weaker evidence: an innocent run is then hit in its first second with a chance
+// of two in a hundred or more.
 func Common(workers int) int { return max(commonLeast, workers*commonOf10/10) }
 
 const (
+	// commonLeast is the lower bound of Common, commonOf10 its value in tenths of the number of workers.
 	commonLeast = 2
 	commonOf10  = 4
 )
 
-// triedShare is the part of all workers where tasks may be tried at a time. Each of these takes nothing else,
-// and what waits for its trial has lost a worker or two already: so the rest keep most of the room.
+// triedShare divides the number of workers: as many may have isolated runs at a time. Such a worker accepts
+// nothing else, and a task that waits for an isolated run has lost a worker or two already, so the other tasks
+// keep most of the capacity.
 const triedShare = 3
 
-// Trials is how many tasks may be tried at a time. That their crashes fall into one moment says nothing of a
-// cause outside, so it does not bound them.
+// Trials returns how many isolated runs may be in progress at a time. Many does not bound them, as simultaneous
+// crashes of isolated runs are no sign of an external cause.
 func Trials(workers int) int { return max(Many(workers)-1, workers/triedShare) }
 
-// Accuse says what a life's end says of the task of each run that was there; nil: nothing.
+// Accuse returns the evidence that the end of the incarnation gives against the task of each run, in the order of
+// Runs; nil stands for none.
 func (l Life) Accuse() []*Crash {
 	list, accused := make([]*Crash, len(l.Runs)), 0
 	for i, r := range l.Runs {
@@ -103,8 +106,8 @@
 	return list
 }
 
-// fell is how many workers fell silent in that moment, as far as that speaks for one cause outside: of a trial,
-// without the others where one was on. These may all be guilty.
+// fell returns how many workers went silent at the same time, as far as that is a sign of one external cause. For
+// an isolated run, other workers with isolated runs do not count: their tasks may all be poisonous.
 func (l Life) fell(r Seen) int {
 	if r.Trial {
 		return l.Lives - l.Tried
@@ -112,6 +115,6 @@
 	return l.Lives
 }
 
-// farOlder says whether a run had been there for so much longer than another that it is not to
-// blame for what came soon after the other's start.
+// farOlder reports whether a run of one age had lasted so much longer than another that it is not the cause of a
+// crash soon after the other's start.
 func farOlder(age, other time.Duration) bool { return age >= farLonger+2*other }
--- a/pkg/process/blame/blame_test.go
+++ b/pkg/process/blame/blame_test.go
@@ -9,7 +9,7 @@
 	"github.com/wrenferry/wrenferry/pkg/process/blame"
 )
 
-// soon is a crash 10 ms after the start of a run that was alone, at a host of its own.
+// soon is a crash 10 ms after the start of a run without company, at a new host.
 func soon(run int64) blame.Crash {
 	return blame.Crash{Run: run, Began: true, Age: 10 * time.Millisecond, Lives: 1}
 }
@@ -35,35 +35,35 @@
 		crashes []blame.Crash
 		want    blame.Level
 	}{
-		{"nothing", nil, blame.Trusted},
-		{"one crash among neighbours", []blame.Crash{beside(1)}, blame.Suspect},
-		{"one that came late", []blame.Crash{late(1)}, blame.Trusted},
-		{"one among many workers", []blame.Crash{outside(1)}, blame.Trusted},
-		{"two soon after the start", []blame.Crash{beside(1), beside(2)}, blame.OnTrial},
-		{"two among many workers", []blame.Crash{outside(1), outside(2)}, blame.OnTrial},
-		{"two silent workers accuse, and don't try", []blame.Crash{silent(1), silent(2)}, blame.Suspect},
-		{"a third, alone", []blame.Crash{beside(1), beside(2), soon(3)}, blame.Guilty},
-		{"a third, with company", []blame.Crash{beside(1), beside(2), beside(3)}, blame.OnTrial},
-		{"a third, alone, and only silent", []blame.Crash{beside(1), beside(2), silent(3)}, blame.OnTrial},
-		{"a third, alone, as many workers fall silent", []blame.Crash{beside(1), beside(2), outside(3)}, blame.OnTrial},
-		{"a fourth, whatever else may have done it", []blame.Crash{outside(1), outside(2), outside(3), outside(4)}, blame.Guilty},
-		{"three at one host", []blame.Crash{soon(1), again(2), again(3)}, blame.OnTrial},
-		{"ages that differ name nobody", []blame.Crash{late(1), late(2), late(3), soon(4)}, blame.OnTrial},
-		{"four late ones, the last alone", []blame.Crash{late(1), late(2), late(3), late(4)}, blame.Guilty},
-		{"five, of which one run is known to have begun", []blame.Crash{beside(1), unseen, unseen, unseen, unseen}, blame.OnTrial},
-		{"five, with those that nobody saw", []blame.Crash{beside(1), unseen, beside(2), unseen, beside(3)}, blame.Guilty},
-		{"many lives that ended unseen", []blame.Crash{nowhere, nowhere, nowhere}, blame.Trusted},
-		{"two of them and one that was seen", []blame.Crash{nowhere, nowhere, beside(1)}, blame.OnTrial},
-		{"three of them and two that were seen, the last alone", []blame.Crash{nowhere, nowhere, nowhere, beside(1), soon(2)}, blame.Guilty},
-		{"two of them and two that were seen, the last alone", []blame.Crash{nowhere, nowhere, beside(1), soon(2)}, blame.Guilty},
-		{"the same with one that came late", []blame.Crash{nowhere, nowhere, late(1), soon(2)}, blame.OnTrial},
-		{"one of them and two that were seen, the last alone", []blame.Crash{nowhere, beside(1), soon(2)}, blame.OnTrial},
-		{"two of them and three that were seen, the last alone, as many workers fall silent", []blame.Crash{nowhere, nowhere, beside(1), outside(2), outside(3)}, blame.Guilty},
-		{"the same, the last with company", []blame.Crash{nowhere, nowhere, nowhere, beside(1), beside(2)}, blame.OnTrial},
-		{"the same, the last as many workers fall silent", []blame.Crash{nowhere, nowhere, nowhere, beside(1), outside(2)}, blame.OnTrial},
-		{"one of them, two isolated runs found nowhere, and two that were seen, the last alone, as many workers fall silent", []blame.Crash{nowhere, beside(1), unseen, unseen, outside(2)}, blame.Guilty},
-		{"two of them, one isolated run found nowhere, one that was seen, and one as many workers fall silent, with company", []blame.Crash{nowhere, nowhere, unseen, beside(1), with(outside(2), func(c *blame.Crash) { c.Company = 3 })}, blame.OnTrial},
-		{"orders that may never have come", []blame.Crash{with(soon(1), func(c *blame.Crash) { c.Began = false }), with(soon(2), func(c *blame.Crash) { c.Began = false }), soon(3)}, blame.OnTrial},
+		{"no crashes", nil, blame.Trusted},
+		{"one with company", []blame.Crash{beside(1)}, blame.Suspect},
+		{"one late", []blame.Crash{late(1)}, blame.Trusted},
+		{"one external", []blame.Crash{outside(1)}, blame.Trusted},
+		{"two prompt ones with company", []blame.Crash{beside(1), beside(2)}, blame.OnTrial},
+		{"two external", []blame.Crash{outside(1), outside(2)}, blame.OnTrial},
+		{"two silent workers are no reason for isolated runs", []blame.Crash{silent(1), silent(2)}, blame.Suspect},
+		{"two with company, the third without", []blame.Crash{beside(1), beside(2), soon(3)}, blame.Guilty},
+		{"three with company", []blame.Crash{beside(1), beside(2), beside(3)}, blame.OnTrial},
+		{"two with company, the third without and only silent", []blame.Crash{beside(1), beside(2), silent(3)}, blame.OnTrial},
+		{"two with company, the third without and external", []blame.Crash{beside(1), beside(2), outside(3)}, blame.OnTrial},
+		{"four external at different hosts", []blame.Crash{outside(1), outside(2), outside(3), outside(4)}, blame.Guilty},
+		{"three without company at one host", []blame.Crash{soon(1), again(2), again(3)}, blame.OnTrial},
+		{"three late, one prompt: different run ages", []blame.Crash{late(1), late(2), late(3), soon(4)}, blame.OnTrial},
+		{"four late without company", []blame.Crash{late(1), late(2), late(3), late(4)}, blame.Guilty},
+		{"five, one of them known to have begun", []blame.Crash{beside(1), unseen, unseen, unseen, unseen}, blame.OnTrial},
+		{"five, two of them isolated runs found nowhere", []blame.Crash{beside(1), unseen, beside(2), unseen, beside(3)}, blame.Guilty},
+		{"three unseen", []blame.Crash{nowhere, nowhere, nowhere}, blame.Trusted},
+		{"two unseen, one with company", []blame.Crash{nowhere, nowhere, beside(1)}, blame.OnTrial},
+		{"three unseen, one with company, the last without", []blame.Crash{nowhere, nowhere, nowhere, beside(1), soon(2)}, blame.Guilty},
+		{"two unseen, one with company, the last without", []blame.Crash{nowhere, nowhere, beside(1), soon(2)}, blame.Guilty},
+		{"two unseen, one late, the last prompt without company", []blame.Crash{nowhere, nowhere, late(1), soon(2)}, blame.OnTrial},
+		{"one unseen, one with company, the last without", []blame.Crash{nowhere, beside(1), soon(2)}, blame.OnTrial},
+		{"two unseen, one with company, two external", []blame.Crash{nowhere, nowhere, beside(1), outside(2), outside(3)}, blame.Guilty},
+		{"three unseen, two with company", []blame.Crash{nowhere, nowhere, nowhere, beside(1), beside(2)}, blame.OnTrial},
+		{"three unseen, one with company, the last external", []blame.Crash{nowhere, nowhere, nowhere, beside(1), outside(2)}, blame.OnTrial},
+		{"one unseen, one with company, two isolated runs found nowhere, the last external", []blame.Crash{nowhere, beside(1), unseen, unseen, outside(2)}, blame.Guilty},
+		{"two unseen, one isolated run found nowhere, one with company, the last external with company", []blame.Crash{nowhere, nowhere, unseen, beside(1), with(outside(2), func(c *blame.Crash) { c.Company = 3 })}, blame.OnTrial},
+		{"two runs not known to have begun", []blame.Crash{with(soon(1), func(c *blame.Crash) { c.Began = false }), with(soon(2), func(c *blame.Crash) { c.Began = false }), soon(3)}, blame.OnTrial},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -81,7 +81,7 @@
 	must.True(t, blame.EndedWell(crashes, 2500*time.Millisecond))
 }
 
-// Of what ran at a worker, that which had just begun is accused; not what had run for long.
+// A crash is evidence against the tasks whose runs had begun recently, not against one whose run had lasted long.
 func TestTheEndOfALifeAccusesWhatHadJustBegun(t *testing.T) {
 	t.Parallel()
 	life := blame.Life{Worker: "w", Lives: 1, Workers: 16, Runs: []blame.Seen{
@@ -101,8 +101,8 @@
 	}
 }
 
-// Many lives that end in one moment have a cause outside: only what had just begun is accused, and
-// for less; several tasks that crash their workers may be started together.
+// If many workers end at the same time, an external cause is likely. The ends are weak evidence, and only against
+// runs that had just begun: several poisonous tasks may have started together.
 func TestManyLivesThatEndInOneMomentAccuseLittle(t *testing.T) {
 	t.Parallel()
 	life := blame.Life{Worker: "w", Lives: blame.Many(16), Workers: 16, Runs: []blame.Seen{
@@ -115,9 +115,9 @@
 	must.Eq(t, blame.Trusted, blame.LevelOf([]blame.Crash{*crashes[0]}))
 }
 
-// As many trials as may be on at a time end in one moment, since each is of a task that crashes its worker: none
-// of them is excused by the others. One more worker that falls silent then, where none was on, speaks for
-// a cause outside as it did before.
+// The greatest allowed number of isolated runs crash their workers at the same time, as all their tasks are poisonous.
+// That is no sign of an external cause. Further workers without an isolated run that go silent at
+// that time are one, from the usual number on.
 func TestTrialsThatEndTogetherAreNotExcusedByEachOther(t *testing.T) {
 	t.Parallel()
 	for workers := 1; workers < 400; workers++ {
@@ -130,7 +130,7 @@
 	}
 }
 
-// Members of a gang end with one worker: neither is excused by the other, as a neighbour would be.
+// Two members of a gang end with one worker: neither counts as company of the other, while a run of another gang does.
 func TestMembersOfAGangAreNoCompany(t *testing.T) {
 	t.Parallel()
 	life := blame.Life{Worker: "w", Lives: 1, Workers: 16, Runs: []blame.Seen{
@@ -143,12 +143,12 @@
 	must.Eq(t, 1, life.Accuse()[0].Company)
 }
 
-// A run after whose crash a task is given up, whatever else may have caused it, is told from others before its start.
+// A run whose crash would make its task poisonous, whatever else may have caused the crash, is known before its start.
 func TestTheRunThatDecidesIsKnownBeforeItsStart(t *testing.T) {
 	t.Parallel()
 	outside := func(run int64) blame.Crash { return with(soon(run), func(c *blame.Crash) { c.Outside = true }) }
 	must.False(t, blame.NextDecides(nil))
 	must.False(t, blame.NextDecides([]blame.Crash{outside(1), outside(2)}))
 	must.True(t, blame.NextDecides([]blame.Crash{outside(1), outside(2), outside(3)}))
-	must.False(t, blame.NextDecides([]blame.Crash{soon(1), soon(2)}), must.Sprint("a third one alone decides, with a cause outside it does not"))
+	must.False(t, blame.NextDecides([]blame.Crash{soon(1), soon(2)}), must.Sprint("a third crash without company decides, but not with a likely external cause"))
 }
--- a/pkg/process/cell/beliefs.go
+++ b/pkg/process/cell/beliefs.go
@@ -8,10 +8,10 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// What leaders tell each other of images: a new leader, and one whose cell has met a
-// pair of images seldom, decide by what others have seen.
+// Interference estimates that leaders share. A new leader, or one whose cell has rarely run a pair of images
+// side by side, decides by the estimates of other leaders.
 
-// beliefsToTell encodes what this process has learned.
+// beliefsToTell encodes the estimates that this process has learned itself.
 func beliefsToTell(own interference.Beliefs) []*wire.ImageBelief {
 	list := make([]*wire.ImageBelief, 0, len(own))
 	for _, image := range slices.Sorted(maps.Keys(own)) {
@@ -26,7 +26,7 @@
 	return list
 }
 
-// beliefsOf decodes what another leader tells.
+// beliefsOf decodes the estimates in the load message of another leader.
 func beliefsOf(l *wire.CellLoad) interference.Beliefs {
 	heard := interference.Beliefs{}
 	for _, told := range l.GetBeliefs() {
--- a/pkg/process/cell/beliefs_test.go
+++ b/pkg/process/cell/beliefs_test.go
@@ -10,8 +10,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A process that comes to lead a cell decides by what its forerunner has told, and
-// tells only what it has learned itself.
+// A process that receives the interference estimates of a leader and takes over from it shares only estimates
+// that it has learned itself.
 func TestBeliefsAreToldHeardAndNotRepeated(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -12,62 +12,66 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Lives of workers that end by themselves, and what that says of the tasks that ran there. What it
-// says is decided in the package blame; trials.go keeps suspects where one more crash names them.
-// What is held against a task stands in the record of its job, so it outlasts this leader. A worker
-// that left, or had left the list, before it fell silent accuses nobody. One that falls
-// silent has crashed or is cut off: what that says is taken back if the same life answers again.
+// Crash evidence. When a worker incarnation ends without a stop or a leave, the tasks that ran there get
+// evidence against them. The package blame weighs it; suspects are then placed so that one more crash
+// identifies the task. The record of a task's job holds the evidence, so that it survives this leader.
+// A worker that was leaving, or whose row was gone, before it went silent gives no evidence. A silent
+// worker has crashed or is cut off: its evidence is withdrawn if the same incarnation answers again.
 
 const (
-	// oneMoment is how far apart lives may end that have one cause outside.
+	// oneMoment is the longest time between worker ends that count as simultaneous: these may have one
+	// external cause.
 	oneMoment = 300 * time.Millisecond
-	// fellKept bounds the memory of when workers fell silent.
+	// fellKept is how long the leader remembers that a worker went silent.
 	fellKept = 10 * time.Second
-	// crashRunsTold bounds the runs that a line of the log names.
+	// crashRunsTold bounds the runs listed in one log line.
 	crashRunsTold = 6
-	// failuresSilent is how many looks in a row have to fail for a worker to count as silent here:
-	// one may be a connection that broke, and costs a record each of the jobs that run there.
+	// failuresSilent is how many polls of a worker have to fail in a row before its silence becomes
+	// evidence: a single failure may be a broken connection, and evidence costs one record of each job
+	// that runs there.
 	failuresSilent = 2
-	// darkSlack is more than a broken connection takes to be noticed, and less than lookSlack.
+	// darkSlack is longer than it takes to notice a broken connection, and shorter than lookSlack.
 	darkSlack = 60 * time.Millisecond
-	// hostKept is how long a crash of a host speaks for a fault of its own, should it crash again.
+	// hostKept is how long a crash of a host remains a sign of a fault of the host itself, should it
+	// crash again.
 	hostKept = 15 * time.Second
-	// silentKept is how long a worker that fell silent may still turn out to have crashed: workers
-	// are back after some seconds.
+	// silentKept is how long the leader tracks a run on a silent worker to learn whether the worker
+	// crashed: crashed workers are back after some seconds.
 	silentKept = 30 * time.Second
-	// silentHolds is how long a task that would be tried next waits to learn whether the worker
-	// that fell silent under it has crashed.
+	// silentHolds is how long a task that would start in an isolated run waits to learn whether its
+	// silent worker crashed.
 	silentHolds = 10 * time.Second
-	// silentHoldsLasting is the same for a lasting task, which is late soon, unless it would be given up.
+	// silentHoldsLasting is the same for a lasting task, which is soon late. It does not apply if the
+	// job would fail should the worker have crashed.
 	silentHoldsLasting = 3 * time.Second
 )
 
-// silentRun is a run whose worker fell silent: whether it crashed is not known yet.
+// silentRun is a run on a worker that went silent and is not known to have crashed.
 type silentRun struct {
 	task         *jobs.Task
 	run          int64
 	worker, host string
 	born         int64
-	// at is when that came to be known here, since from when on its task waits for word of it.
+	// at is when this leader learned of the silence, since when the task began to wait for its outcome.
 	at, since time.Time
 }
 
-// fall is when a worker fell silent, or was found to have begun anew: after its last answer, and
-// before that showed; and whether a trial was on there.
+// fall is the interval in which a worker went silent or began a new incarnation: after its last answer
+// and before the leader noticed. tried says that an isolated run was there.
 type fall struct {
 	worker        string
 	after, before time.Time
 	tried         bool
 }
 
-// fell remembers that a worker fell silent.
+// fell records that a worker went silent, noticed at a given time.
 func (s *State) fell(now time.Time, w *workers.Worker, at time.Time) {
 	s.falls = slices.DeleteFunc(s.falls, func(f fall) bool { return now.Sub(f.before) >= fellKept })
 	s.falls = append(s.falls, fall{w.ID, w.AnsweredAt, at, slices.ContainsFunc(w.Runs, func(r *jobs.Run) bool { return r.OnTrial })})
 }
 
-// fellWith is how many workers may have fallen silent in the same moment as one, it included, and at how many of
-// the others a trial was on.
+// fellWith returns how many workers, w included, may have gone silent at the same time as w, and on how
+// many of the others an isolated run was in progress.
 func (s *State) fellWith(w *workers.Worker, at time.Time) (all, tried int) {
 	for _, f := range s.falls {
 		if !f.after.Before(at.Add(oneMoment)) || !f.before.After(w.AnsweredAt.Add(-oneMoment)) {
@@ -81,7 +85,7 @@
 	return max(1, all), min(tried, max(0, all-1))
 }
 
-// crashed takes in that a life is over that did not end by a stop or a leave.
+// crashed handles the end of a worker incarnation that was not caused by a stop or a leave.
 func (s *State) crashed(now time.Time, w *workers.Worker) {
 	s.resolveSilent(now, true, func(r silentRun) bool { return r.worker == w.ID && r.born == w.Born })
 	at := w.EndedAt(now)
@@ -92,13 +96,13 @@
 	s.keepLife(w, w.Born)
 }
 
-// hostCrash is a crash of a host, with the tasks that ran there.
+// hostCrash is a crash of a host and the tasks that ran there.
 type hostCrash struct {
 	at    time.Time
 	tasks []*jobs.Task
 }
 
-// hostCrashed remembers what ran at a host that crashed.
+// hostCrashed records a crash of a worker's host with the tasks that ran at the worker.
 func (s *State) hostCrashed(now time.Time, w *workers.Worker) {
 	for host, list := range s.hostCrashes {
 		list = slices.DeleteFunc(list, func(c hostCrash) bool { return now.Sub(c.at) >= hostKept })
@@ -113,14 +117,14 @@
 	s.hostCrashes[w.Host] = append(s.hostCrashes[w.Host], c)
 }
 
-// hostFails says whether a worker's host has crashed lately without a task.
+// hostFails reports whether a worker's host crashed recently while a given task did not run there.
 func (s *State) hostFails(now time.Time, w *workers.Worker, t *jobs.Task) bool {
 	return w.Host != "" && slices.ContainsFunc(s.hostCrashes[w.Host], func(c hostCrash) bool {
 		return now.Sub(c.at) < hostKept && !slices.Contains(c.tasks, t)
 	})
 }
 
-// crashesWithout is how many lives have ended lately without a task.
+// crashesWithout returns how many recent crashes, on all hosts, happened without a given task.
 func (s *State) crashesWithout(now time.Time, t *jobs.Task) int {
 	n := 0
 	for _, list := range s.hostCrashes {
@@ -133,12 +137,15 @@
 	return n
 }
 
-// fellSilent takes in that a worker does not answer. That is recorded at once, as far as it may be
-// held against tasks: a leader that dies before it learns more leaves that to its successor.
+// fellSilent handles a worker that failed failuresSilent polls in a row. Evidence that follows from it is
+// recorded at once: if this leader dies before it learns whether the worker crashed, a successor goes on
+// from the record.
 func (s *State) fellSilent(now time.Time, w *workers.Worker) {
 	s.accuse(now, w, w.SilentSince, true)
 }
 
+// accuse adds evidence against the tasks that ran at a worker that crashed, or only went silent, at a given
+// time. A worker that left gives none.
 func (s *State) accuse(now time.Time, w *workers.Worker, at time.Time, silent bool) {
 	if s.phase == following || len(w.Runs) == 0 || w.Left() {
 		return
@@ -162,7 +169,7 @@
 	}
 }
 
-// gangOf names the gang that a run is of.
+// gangOf returns the name of the gang that a run belongs to, or "" for none.
 func gangOf(r *jobs.Run) string {
 	if !r.Task.Unit.Spec.GetGang() {
 		return ""
@@ -170,13 +177,13 @@
 	return r.Task.Unit.Name()
 }
 
-// fellDark says whether no broken connection showed that a worker's life had ended, as it does at once
-// while a look waits, but a time-out, or the next life's answer.
+// fellDark reports whether the end of a worker's incarnation showed only by a timeout, or by the answer
+// of the next incarnation. A broken connection would have shown it at once while a poll waits.
 func fellDark(w *workers.Worker) bool {
 	return w.SilentSince.IsZero() || w.SilentSince.Sub(w.AnsweredAt) > idleWait+darkSlack
 }
 
-// hold holds a crash against a task.
+// hold adds a crash to the evidence against a task and acts on it.
 func (s *State) hold(now time.Time, t *jobs.Task, c blame.Crash) {
 	if t.Done || t.Unit.Job.Ended() || !t.Accuse(c) {
 		return
@@ -186,8 +193,8 @@
 	s.suspected(now, t, c)
 }
 
-// trialNowhere holds against a task that a forerunner may have tried it and no worker lists a run. It says
-// whether that is so.
+// trialNowhere adds evidence against a task of which a predecessor recorded an isolated run that no worker
+// lists: the run may have crashed its worker. It reports whether it added any.
 func (s *State) trialNowhere(now time.Time, t *jobs.Task) bool {
 	if t.LentTo != "" || !t.TrialNowhere(s.wall) {
 		return false
@@ -197,25 +204,26 @@
 	return true
 }
 
-// remember keeps a task among those against which anything is held.
+// remember adds a task to those with evidence against them.
 func (s *State) remember(t *jobs.Task) {
 	if !slices.Contains(s.accused, t) {
 		s.accused = append(s.accused, t)
 	}
 }
 
-// suspected acts on what is held against a task since a moment ago.
+// suspected acts on new evidence against a task: it has the evidence recorded, logs the suspicion, and fails
+// the job of a poisonous task.
 func (s *State) suspected(now time.Time, t *jobs.Task, c blame.Crash) {
 	j := t.Unit.Job
 	level := t.Level()
 	if level == blame.Suspect {
-		t.Trial = jobs.TrialWanted // it is started again soon, and not held back for the record
+		t.Trial = jobs.TrialWanted // recorded along with the evidence, so that the next start waits for no record of its own
 	}
 	s.markDirty(j, true)
 	if level >= blame.Suspect {
 		s.note(Note{
 			What: NoteSuspected, Job: j.Spec.GetId(), Task: t.Name(), Run: c.Run, Worker: c.Worker, AgeMs: -1,
-			Detail: fmt.Sprintf("%s after %d crashes; this run for %s, beside %d that had not been there for far longer, silent %v, outside %v", level, len(t.Crashes), c.Age.Round(time.Millisecond), c.Company, c.Silent, c.Outside),
+			Detail: fmt.Sprintf("%s after %d crashes; last run age %s, company of %d runs, worker only silent: %v, external cause likely: %v", level, len(t.Crashes), c.Age.Round(time.Millisecond), c.Company, c.Silent, c.Outside),
 		})
 	}
 	if level == blame.Guilty {
@@ -223,7 +231,7 @@
 	}
 }
 
-// guiltyReason is why a job is given up whose task crashes workers.
+// guiltyReason returns the failure reason of a job with a poisonous task.
 func guiltyReason(t *jobs.Task) string {
 	var where []string
 	for _, c := range t.Crashes {
@@ -232,7 +240,8 @@
 	return fmt.Sprintf("%s crashed %d workers that ran it: %s", t.Name(), len(where), strings.Join(where, ", "))
 }
 
-// resolveSilent takes in whether workers that had fallen silent under runs have crashed.
+// resolveSilent updates the evidence for selected silent runs, as it is now known whether their workers
+// crashed: it is confirmed if they did, and withdrawn if they did not.
 func (s *State) resolveSilent(now time.Time, crashed bool, which func(silentRun) bool) {
 	var resolved []silentRun
 	s.silent = slices.DeleteFunc(s.silent, func(r silentRun) bool {
@@ -256,14 +265,15 @@
 	}
 }
 
-// passOn has the cell that a task is delegated to learn what is held against it by now.
+// passOn sends the present evidence against a delegated task to the cell that runs it.
 func (s *State) passOn(t *jobs.Task) {
 	if j := t.Unit.Job; t.LentTo != "" && !j.Guest() {
 		s.lent[j] = append(s.lent[j], j.Lend(t.LentTo))
 	}
 }
 
-// learnOfCrashes takes in what the home of a delegated job has learned of silent workers.
+// learnOfCrashes takes over, from a later specification of a delegated job, which silent workers are known to
+// its home cell to have crashed.
 func (s *State) learnOfCrashes(now time.Time, j *jobs.Job, spec *wire.JobSpec) {
 	if j.Ended() {
 		return
@@ -274,8 +284,7 @@
 	}
 }
 
-// recall takes over from the record what is held against a job's tasks, and which workers had fallen
-// silent under their runs.
+// recall restores from a job's record the evidence against its tasks, and the silent runs in it.
 func (s *State) recall(now time.Time, j *jobs.Job) {
 	for _, u := range j.Units {
 		for _, t := range u.Tasks {
@@ -287,15 +296,15 @@
 	}
 }
 
-// watchSilent keeps a run whose worker fell silent until it is known whether that has crashed.
+// watchSilent tracks a run on a silent worker until it is known whether the worker crashed.
 func (s *State) watchSilent(now, since time.Time, t *jobs.Task, c blame.Crash) {
 	if c.Silent {
 		s.silent = append(s.silent, silentRun{task: t, run: c.Run, worker: c.Worker, host: c.Host, born: c.Born, at: now, since: since})
 	}
 }
 
-// recalledSince is from when on a task waits for word of silent workers that another leader recorded: from the end of
-// its last run, where the wait came with the task.
+// recalledSince returns since when a task waits for the outcome of silent workers that another leader recorded:
+// since the end of its last run if that time is known, else since now.
 func recalledSince(now time.Time, t *jobs.Task) time.Time {
 	if t.WaitsSince.IsZero() {
 		return now
@@ -303,12 +312,12 @@
 	return t.WaitsSince
 }
 
-// forgetSilent drops runs of silent workers that nothing more is to be learned of.
+// forgetSilent drops the silent runs that were tracked for silentKept.
 func (s *State) forgetSilent(now time.Time) {
 	s.silent = slices.DeleteFunc(s.silent, func(r silentRun) bool { return now.Sub(r.at) >= silentKept })
 }
 
-// awaitsWord says whether it is about to be known if a worker that fell silent under a task crashed.
+// awaitsWord reports whether a task still waits to learn if a silent worker that ran it crashed.
 func (s *State) awaitsWord(now time.Time, t *jobs.Task) bool {
 	holds := silentHolds
 	if t.Unit.Lasting() && !t.GuiltyIfSilentCrashed() {
@@ -317,7 +326,8 @@
 	return slices.ContainsFunc(s.silent, func(r silentRun) bool { return r.task == t && now.Sub(r.since) < holds })
 }
 
-// clearSuspects clears tasks whose runs have run for far longer than any that ended with its worker.
+// clearSuspects exonerates each task with a run that has lasted far longer than any of its runs that
+// ended with a worker.
 func (s *State) clearSuspects() {
 	s.accused = slices.DeleteFunc(s.accused, func(t *jobs.Task) bool { return len(t.Crashes) == 0 || t.Done || t.Unit.Job.Ended() })
 	for _, t := range s.accused {
@@ -333,19 +343,20 @@
 	}
 }
 
-// endedWithoutCrash takes in that a run ended and its worker lives on.
+// endedWithoutCrash handles a run that ended while its worker lives on. It exonerates the task if the run
+// had lasted for long enough.
 func (s *State) endedWithoutCrash(w *workers.Worker, t *jobs.Task, r *jobs.Run) {
-	t.Trial = jobs.NoTrial // if it was tried, that is over
+	t.Trial = jobs.NoTrial // an isolated run has ended as well
 	if r != nil && !r.BeganAt.IsZero() && len(t.Crashes) > 0 && blame.EndedWell(t.Crashes, ranFor(w, r)) {
 		s.clearSuspect(w, r)
 	}
 }
 
-// clearSuspect takes all suspicion off a run's task.
+// clearSuspect drops all evidence against a run's task.
 func (s *State) clearSuspect(w *workers.Worker, r *jobs.Run) {
 	t := r.Task
 	if t.Suspected() {
-		s.note(Note{What: NoteCleared, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: w.ID, AgeMs: -1, Detail: fmt.Sprintf("ran for %s; %d crashes were held against it", ranFor(w, r).Round(time.Millisecond), len(t.Crashes))})
+		s.note(Note{What: NoteCleared, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: w.ID, AgeMs: -1, Detail: fmt.Sprintf("exonerated: ran for %s after %d crashes", ranFor(w, r).Round(time.Millisecond), len(t.Crashes))})
 	}
 	t.Clear()
 	r.OnTrial = false
@@ -353,8 +364,8 @@
 	s.placeNow = true
 }
 
-// noteCrash tells of a life that is over what ran there, for how long, and how many others
-// fell silent in that moment.
+// noteCrash logs the end or silence of an incarnation: its runs with their ages, and how many workers went
+// silent at the same time.
 func (s *State) noteCrash(now time.Time, w *workers.Worker, at time.Time, life blame.Life) {
 	var told []string
 	for _, r := range w.Runs {
@@ -366,12 +377,12 @@
 	}
 	s.note(Note{
 		What: NoteWorkerCrashed, Worker: w.ID, AgeMs: now.Sub(at).Milliseconds(),
-		Detail: fmt.Sprintf("silent %v; %d of %d workers fell silent in that moment; there ran %s", life.Silent, life.Lives, life.Workers, strings.Join(told, ", ")),
+		Detail: fmt.Sprintf("only silent: %v; %d of %d workers went silent at the same time; runs: %s", life.Silent, life.Lives, life.Workers, strings.Join(told, ", ")),
 	})
 }
 
-// ranFor is how long a run has run, at least: when its worker's life ended, that may have been
-// right after its last answer.
+// ranFor returns the least time that a run has lasted: until its worker's last answer, as the incarnation may
+// have ended right after that.
 func ranFor(w *workers.Worker, r *jobs.Run) time.Duration {
 	if r.BeganAt.IsZero() {
 		return 0
--- a/pkg/process/cell/crashes_test.go
+++ b/pkg/process/cell/crashes_test.go
@@ -11,14 +11,10 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A task crashed each worker that started it, 10 ms later. Nothing was remembered of a run that ended
-// with its worker, so it was started anew as soon as the next life answered, beside what had died with
-// it, on the same worker, each time; a count alone would have given up its neighbours, too. In a
-// leader's log, in one millisecond, and again every 3.2 to 3.6 s:
-//
-//	task-lost  ...0.1.0 run 1000927  "its host runs ..."
-//	task-start ...0.1.0 run 1001032  "after 20.822s, 400 millicores left"
-//	task-lost  ...0.0.1 run 1000780 (7.9 s old), and eight more
+// A task that crashes each worker 10 ms after its start was started again without end, every 3.2 to 3.6 s, since
+// a run that ended with its worker left no evidence. It started again on the same worker as soon as
+// the next incarnation answered, beside the tasks that it had crashed before (eight of them in one case, with runs up to 7.9 s
+// old). A count of crashes alone would have failed the jobs of these neighbours, too.
 func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
@@ -36,7 +32,7 @@
 	must.MapLen(t, 1, f.ended)
 }
 
-// Two of them are started together, on the same worker: both are given up, and nothing else is.
+// Two crashing tasks start together on the same worker: both jobs fail, and no other job does.
 func TestTwoThatAreStartedTogetherAreToldApartFromTheRest(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
@@ -57,8 +53,8 @@
 	must.MapLen(t, 2, f.ended)
 }
 
-// What is held against a task stands in the table: successors go on from there, though each leader
-// dies soon after a crash.
+// The table holds the evidence against a task: successors go on from it, though each leader dies soon
+// after a crash.
 func TestSuspicionOutlastsTakeovers(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
@@ -81,8 +77,8 @@
 	must.StrContains(t, f.ended[guilty], "workers that ran it")
 }
 
-// A leader that tries a task and dies before it learns what became of it: the record says that a run
-// may have been there, so it counts.
+// A leader orders an isolated run and dies before it learns of the crash. The record says that there may have been
+// a run, so the successor counts it as evidence.
 func TestATrialThatNobodySawCounts(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
@@ -102,8 +98,8 @@
 	must.StrContains(t, f.ended[guilty], "workers that ran it")
 }
 
-// Workers crash again and again under tasks that have nothing to do with it, all at once: nobody is
-// given up, and all ends well when it stops.
+// All workers crash at the same time, several times, without a fault of any task: no job fails, and all jobs
+// complete once the crashes stop.
 func TestCrashesOfManyWorkersAccuseNobody(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
@@ -124,13 +120,13 @@
 	must.Eq(t, len(others), f.done(others))
 }
 
-// A suspect that runs for long is cleared: workers that crash later say nothing of before.
+// A task whose run lasts long is exonerated: later crashes of its worker don't add to earlier evidence.
 func TestASuspectThatRunsWellIsCleared(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	lasting := f.accept(1, &wire.StepSpec{Count: 1, Millicores: 1000, Lasting: true, EstimateMs: 500})
 	task := lasting + ".0.0.0"
-	f.guilty[task] = time.Hour // it never ends
+	f.guilty[task] = time.Hour // crashes nothing within the test, and does not end by itself
 	for range 6 {
 		before := len(f.starts[task])
 		f.run(12 * time.Second)
@@ -145,7 +141,7 @@
 	must.MapEmpty(t, f.ended)
 }
 
-// An operator takes a suspicion back: the task starts like any other.
+// An operator drops the evidence against a task: it starts like any other.
 func TestAnOperatorTakesASuspicionBack(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
@@ -163,8 +159,9 @@
 	must.Eq(t, 1, f.done([]string{id}))
 }
 
-// In a cell of few workers all of them have crashed under the task by the time that it is tried, and one
-// crash was lost with its leader: one more, alone, at a host that runs well without it, still names it.
+// In a cell of few workers each has crashed under the task before its isolated run, and the evidence of one
+// crash was lost with its leader. One more crash of an isolated run, at a host that is healthy without the task, is
+// still enough to fail the job.
 func TestAFewWorkersAreEnoughToNameATask(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
@@ -178,14 +175,14 @@
 		f.guilty[id+".0.0.0"] = 20 * time.Millisecond
 	}
 	f.run(40 * time.Millisecond)
-	f.lead() // the first crash was not noticed yet
+	f.lead() // before the first crash is noticed
 	for range 400 {
 		f.run(10 * time.Millisecond)
 		if len(f.starts[ids[0]+".0.0.0"]) == 3 {
 			break
 		}
 	}
-	for _, w := range f.sorted() { // others crash in the same moment as under the third start
+	for _, w := range f.sorted() { // the other workers crash at the same time as the one with the third start
 		if _, runs := w.runs[ids[0]+".0.0.0"]; !runs && !w.gone {
 			f.end(w, time.Second)
 		}
@@ -197,8 +194,8 @@
 	}
 }
 
-// A job that did nothing wrong was given up after runs in which many other workers crashed, the last of them isolated: the
-// run that decides waits until workers don't crash any more.
+// An innocent job failed after several runs that ended while many other workers crashed, the last run being
+// isolated. The run that would make the task poisonous waits for a quiet period.
 func TestTheRunThatDecidesWaitsUntilWorkersDoNotCrash(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
--- a/pkg/process/cell/crashfleet_test.go
+++ b/pkg/process/cell/crashfleet_test.go
@@ -15,24 +15,24 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// crashFleet is a leader with six workers, some tasks that crash each worker that runs them, and a
-// table that answers at once.
+// crashFleet simulates a cell: a leader, six workers, tasks that crash each worker that runs them, and a table that
+// answers at once.
 type crashFleet struct {
 	state   *cell.State
 	now     time.Time
 	workers map[string]*crashWorker
-	// guilty are tasks by how long they need to crash their worker.
+	// guilty is, by task, the time from its start to the crash of its worker.
 	guilty map[string]time.Duration
-	starts map[string][]string // workers by task
-	crash  map[string]int      // crashes by worker
-	ended  map[string]string   // reasons of jobs that were given up
-	// rows are what the table holds of jobs.
+	starts map[string][]string // the worker of each start, by task
+	crash  map[string]int      // number of crashes, by worker
+	ended  map[string]string   // log text of the end of each failed job
+	// rows is the progress of each job that the table holds.
 	rows    map[string]*wire.JobProgress
 	specs   []*wire.JobSpec
 	version int64
 	epoch   int64
-	deaf    bool // the table does not answer
-	// lostPart is a part of the table whose transactions get no answer.
+	deaf    bool // the table answers with errors
+	// lostPart is the part of the table whose transactions are lost without an answer.
 	lostPart string
 }
 
@@ -44,7 +44,7 @@
 	ended  []workers.End
 	number int64
 	offset time.Duration
-	gone   bool // it is down
+	gone   bool // down after a crash, until upAt
 }
 
 type crashRun struct {
@@ -56,9 +56,9 @@
 
 const (
 	crashStep = 10 * time.Millisecond
-	// crashBack is how long a worker is down after a crash, as seen.
+	// crashBack is how long a worker is down after a crash.
 	crashBack = 3 * time.Second
-	// crashNeeds is what a task takes that ends well.
+	// crashNeeds is how long a run of a task takes that crashes nothing.
 	crashNeeds = 500 * time.Millisecond
 )
 
@@ -76,7 +76,7 @@
 	return f
 }
 
-// lead makes a new process lead, which knows only what the table holds.
+// lead makes a new process the leader, which knows only what the table holds.
 func (f *crashFleet) lead() {
 	f.epoch++
 	f.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
@@ -117,7 +117,7 @@
 	f.state.Take(f.now, cell.WorkersListed{Records: records})
 }
 
-// accept hands in a job of one step.
+// accept submits a job of one step and returns its ID.
 func (f *crashFleet) accept(i int, step *wire.StepSpec) string {
 	spec := &wire.JobSpec{Id: fmt.Sprintf("%016x", i), Queue: "offers", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{step}}
 	f.specs = append(f.specs, spec)
@@ -127,7 +127,7 @@
 
 func oneTask() *wire.StepSpec { return &wire.StepSpec{Count: 1, Millicores: 1000, EstimateMs: 500} }
 
-// run lets time pass, with what workers and the table answer.
+// run advances time in steps of crashStep: workers work, the leader decides, and its calls are answered.
 func (f *crashFleet) run(span time.Duration) {
 	for until := f.now.Add(span); f.now.Before(until); {
 		f.now = f.now.Add(crashStep)
@@ -144,7 +144,7 @@
 	}
 }
 
-// work ends runs that are done, and the life of a worker under a task that crashes it.
+// work completes a worker's runs, crashes the worker when a run is due to, and restarts it after its time down.
 func (f *crashFleet) work(w *crashWorker) {
 	if w.gone {
 		if !f.now.Before(w.upAt) {
@@ -166,7 +166,7 @@
 	}
 }
 
-// end ends a worker's life.
+// end crashes a worker, which is down for a given time.
 func (f *crashFleet) end(w *crashWorker, span time.Duration) {
 	f.crash[w.id]++
 	w.gone, w.upAt, w.runs = true, f.now.Add(span), map[string]crashRun{}
@@ -240,7 +240,7 @@
 	f.state.Take(f.now, answered)
 }
 
-// done is how many jobs of the given ones are recorded as completed.
+// done returns how many of the given jobs the table holds as completed.
 func (f *crashFleet) done(ids []string) int {
 	n := 0
 	for _, id := range ids {
--- a/pkg/process/cell/delegatedcrash_test.go
+++ b/pkg/process/cell/delegatedcrash_test.go
@@ -13,13 +13,13 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// crashNote is a crash at a worker, or that it fell silent.
+// crashNote is recorded evidence that a worker crashed, or only went silent, under run 1.
 func crashNote(worker string, silent bool) *wire.CrashNote {
 	return &wire.CrashNote{Worker: worker, Run: 1, Host: worker, Began: true, Lives: 1, Silent: silent}
 }
 
-// Word that a silent worker has crashed came to the cell that keeps the job, after the task was delegated: the cell that
-// has it gave it up one crash too late.
+// The home cell of a job learns after the delegation of a task that a silent worker had crashed. Unless the cell that
+// runs the task is told, the job fails one crash too late.
 func TestTheCellOfADelegatedTaskLearnsThatASilentWorkerHasCrashed(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -34,7 +34,7 @@
 	must.Eq(t, "on trial", b.state.Suspects()[0].Level)
 	b.state.Take(b.now, cell.Accepted{Spec: spec(false)})
 	b.step(100 * time.Millisecond)
-	must.SliceEmpty(t, b.state.Suspects(), must.Sprint("it is given up"))
+	must.SliceEmpty(t, b.state.Suspects(), must.Sprint("the job has failed"))
 	failed := false
 	for _, n := range b.notes {
 		failed = failed || (n.What == cell.NoteJobEnded && n.Job == lentJob)
@@ -42,7 +42,7 @@
 	must.True(t, failed)
 }
 
-// The other side: the home passes it on, in the row of the delegated task.
+// The home cell passes the crash of a silent worker on, in the row of the delegated task.
 func TestTheHomeOfADelegatedTaskPassesOnThatASilentWorkerHasCrashed(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -76,7 +76,8 @@
 	must.Eq(t, 1, told().GetGuest()[0].GetLending())
 }
 
-// A lasting task that would be given up if the silent worker has crashed was started once more after three seconds.
+// A lasting task that is poisonous if its silent worker has crashed was started once more after three seconds, before that
+// was known.
 func TestALastingTaskThatMayBeGivenUpWaitsForWordOfASilentWorker(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
--- a/pkg/process/cell/mechanisms.go
+++ b/pkg/process/cell/mechanisms.go
@@ -1,10 +1,10 @@
 package cell
 
-// Mechanism is one of the ways in which a cell decides that can be left out by itself,
-// so that what it is worth can be measured: in the lab, and by operators who doubt it.
+// Mechanism is a part of a cell's decisions that can be disabled separately, to find out its effect: in the lab,
+// and by operators who doubt it.
 type Mechanism uint32
 
-// The mechanisms. Several are named by their sum.
+// The mechanisms. Each is one bit: the sum of several stands for all of them.
 const (
 	LendLasting Mechanism = 1 << iota
 	LendFillers
@@ -21,11 +21,11 @@
 	OrderWindow
 )
 
-// MechanismHelp is one row of the table of mechanisms.
+// MechanismHelp describes one mechanism in the table of mechanisms.
 type MechanismHelp struct {
 	Mechanism Mechanism
 	Name      string
-	// Says is what the mechanism does; without it that is not done.
+	// Says is what the cell does unless the mechanism is disabled.
 	Says string
 }
 
@@ -46,8 +46,8 @@
 	{OrderWindow, "order-window", "orders are held back while those that are on their way wait for the link"},
 }
 
-// Without leaves mechanisms out.
+// Without disables mechanisms.
 func Without(m Mechanism) Option { return func(s *State) { s.without = m } }
 
-// has says whether a mechanism is in use.
+// has reports whether a mechanism is enabled.
 func (s *State) has(m Mechanism) bool { return s.without&m == 0 }
--- a/pkg/process/cell/suspects.go
+++ b/pkg/process/cell/suspects.go
@@ -9,21 +9,21 @@
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
 )
 
-// What operators see of suspicions, and how they take one back.
+// How operators list the tasks with evidence against them, and drop that evidence.
 
-// Suspect is a task under which workers crashed, with what is held against it.
+// Suspect is a task with evidence that it crashes workers, as operators see it. Its level may still be trusted.
 type Suspect struct {
 	Task    string
 	Level   string
 	Crashes []blame.Crash
 }
 
-// ClearSuspicion takes back what is held against a task, by an operator's word.
+// ClearSuspicion is an operator's request to drop all evidence against a task.
 type ClearSuspicion struct{ Task string }
 
 func (ClearSuspicion) event() {}
 
-// Suspects lists the tasks against which anything is held, by name.
+// Suspects lists the tasks with evidence against them, sorted by name.
 func (s *State) Suspects() []Suspect {
 	list := []Suspect{}
 	s.eachAccused(func(t *jobs.Task) {
@@ -33,6 +33,7 @@
 	return list
 }
 
+// eachAccused calls do for each task with evidence against it whose job has not ended.
 func (s *State) eachAccused(do func(*jobs.Task)) {
 	for _, t := range s.accused {
 		if len(t.Crashes) > 0 && !t.Unit.Job.Ended() {
@@ -46,7 +47,7 @@
 	if t == nil || len(t.Crashes) == 0 {
 		return
 	}
-	s.note(Note{What: NoteCleared, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), AgeMs: -1, Detail: "an operator takes the suspicion back"})
+	s.note(Note{What: NoteCleared, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), AgeMs: -1, Detail: "an operator dropped the evidence"})
 	t.Clear()
 	s.markDirty(t.Unit.Job, false)
 	s.touch(now, t.Unit.Job)
--- a/pkg/process/cell/trials.go
+++ b/pkg/process/cell/trials.go
@@ -9,27 +9,29 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// Where suspects run. One that is merely suspected is kept apart from other suspects, and where
-// little would be lost, as far as that can be had without a wait. One that is on trial runs only at a
-// worker where all that is there has been there for a while, and nothing joins it until it has
-// outlived its crashes: so one more crash names it, and costs little else. That it may be tried is
-// recorded first, and few are tried at a time.
+// Placement of suspects. A task of level suspect starts apart from other suspects and where a crash would
+// cost little, as far as that needs no wait. A task that needs isolation starts only in an isolated run: all
+// other runs at its worker are old, and no other task joins until the run has outlived the earlier ones.
+// One more crash then identifies the task, and costs little else. An isolated run is recorded before
+// it is ordered, and few are in progress at a time.
 
 const (
-	// apartPenalty is for each other suspect at a worker, against room: more than any room makes up for.
+	// apartPenalty lowers a worker's score for each other suspect there. No amount of free capacity
+	// makes up for it.
 	apartPenalty = 5.0
-	// keptFor is how long a worker may be kept from others for a trial before another one is
-	// considered. The runs there have to settle, which takes 1.3 s.
+	// keptFor is how long a worker may stay reserved for an isolated run before another worker is
+	// considered. Each run at the worker has to be 1.3 s old first (see blame.Settled).
 	keptFor = 4 * time.Second
 )
 
-// keptWorker is a worker that is kept from others until a task is tried there.
+// keptWorker is a worker that is reserved for the isolated run of a task.
 type keptWorker struct {
 	worker *workers.Worker
 	since  time.Time
 }
 
-// closeForTrials finds the workers that nothing else may join: a trial is on there, or about to be.
+// closeForTrials finds the workers that accept no other tasks: an isolated run is in progress there, or the
+// worker is reserved for one. Reservations that are obsolete or older than keptFor end.
 func (s *State) closeForTrials(now time.Time) {
 	s.openIsolated(now)
 	clear(s.closed)
@@ -51,12 +53,13 @@
 	}
 }
 
-// joinsAfter is how long an isolated run has to run for a lasting task to join it: most tasks that crash their
-// workers do so within a fraction of that, and capacity is to be used within three seconds.
+// joinsAfter is the age of an isolated run from which a lasting task may join its worker: most tasks that crash
+// their workers do so within a fraction of that, and lasting tasks are to use free capacity within three seconds.
 const joinsAfter = 2 * time.Second
 
-// mayJoinIsolated says whether a lasting task that has waited for long may join a worker that is kept for an
-// isolated run, or one that has gone on for a while: it takes longer to exonerate its own task.
+// mayJoinIsolated reports whether a unit of lasting tasks may start at a worker that is closed for an isolated
+// run. The unit must have waited for holdAfter, or for isolatedWaitMost if it has a suspect, and any isolated run
+// there must be older than joinsAfter. It would take longer until that run exonerates its own task.
 func (s *State) mayJoinIsolated(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
 	after := holdAfter
 	if slices.ContainsFunc(u.Tasks, (*jobs.Task).Suspected) {
@@ -65,7 +68,8 @@
 	return u.Lasting() && waitOf(now, u) >= after && mayShareIsolated(w)
 }
 
-// waitOf is the longest that a task of a unit has waited for a start, in any cell, as far as that is known.
+// waitOf returns the longest time that a task of a unit has waited for a start, in all cells, as far as that
+// is known.
 func waitOf(now time.Time, u *jobs.Unit) time.Duration {
 	longest := now.Sub(u.ReadyAt)
 	for _, t := range u.Waiting(now) {
@@ -76,39 +80,39 @@
 	return longest
 }
 
-// mayShareIsolated says whether each isolated run at a worker has gone on for long enough for others to join.
+// mayShareIsolated reports whether every isolated run at a worker is old enough for other tasks to join.
 func mayShareIsolated(w *workers.Worker) bool {
 	return !slices.ContainsFunc(w.Runs, func(r *jobs.Run) bool {
 		return r.OnTrial && ranFor(w, r) < joinsAfter
 	})
 }
 
-// calmFor is how long no worker may have fallen silent for a trial to say something, calmWithin how
-// long a trial waits for that.
+// calmFor is how long no worker may have gone silent before an isolated run starts: a crash among others would
+// be weak evidence. calmWithin is how long the run waits for such a quiet period.
 const (
 	calmFor    = time.Second
 	calmWithin = 6 * time.Second
-	// decisiveCalmFor and decisiveCalmWithin are the same for a run after whose crash the task is given up, whatever
-	// else may have caused it.
+	// decisiveCalmFor and decisiveCalmWithin are the same for a run after whose crash the job fails, whatever else may
+	// have caused the crash.
 	decisiveCalmFor    = 4 * time.Second
 	decisiveCalmWithin = 12 * time.Second
 )
 
-// otherHostFor is how long a trial waits for a host that has not crashed under the task, and
-// suspectHostFor how long one that is merely suspected does: most of these are innocent.
+// otherHostFor is how long a task that needs isolation waits for a host that has not crashed under it, and
+// suspectHostFor how long another suspect does: most of these are innocent.
 const (
 	otherHostFor   = 10 * time.Second
 	suspectHostFor = 5 * time.Second
-	// trustedHostFor is the same for one that is not suspected: a host that has just crashed is empty,
-	// and so is mostly the one that would be taken.
+	// trustedHostFor is the same for a trusted task: a host that has just crashed is empty, and would
+	// often be chosen for that reason.
 	trustedHostFor = 2 * time.Second
 )
 
-// recordHolds is how long a suspect waits for a table that is away: outages take longer, and most
-// suspects are innocent.
+// recordHolds is how long a suspect waits for its record while the table does not answer: outages of the table
+// last longer, and most suspects are innocent.
 const recordHolds = 3 * time.Second
 
-// mayTry says whether a task that is on trial may be tried now, if a worker can be had.
+// mayTry reports whether an isolated run of a task may start now, provided that a worker is found.
 func (s *State) mayTry(now time.Time, t *jobs.Task) bool {
 	out := s.trialsOut + len(s.kept)
 	if _, kept := s.kept[t]; kept {
@@ -117,8 +121,9 @@
 	return out < blame.Trials(len(s.workers)) && !s.awaitsWord(now, t) && s.isCalm(now, t)
 }
 
-// isCalm says whether a crash of an isolated run would say something of its task, or the task has waited for that for
-// long enough. An innocent job that is given up is worse for its caller than one that ends later.
+// isCalm reports whether a crash of an isolated run would be evidence against its task because no other workers
+// crash, or the task has waited for that for long enough. An innocent job that fails is worse for its caller than
+// one that ends later.
 func (s *State) isCalm(now time.Time, t *jobs.Task) bool {
 	quietFor, within := calmFor, calmWithin
 	decides := blame.NextDecides(t.Crashes)
@@ -132,16 +137,16 @@
 	return quiet || waitedFor(now, t) >= within
 }
 
-// triedAlone says whether a task is started only where one more crash would name it.
+// triedAlone reports whether a task may start only in an isolated run, where one more crash would identify it.
 func (s *State) triedAlone(t *jobs.Task) bool {
 	return t.Level() == blame.OnTrial && !s.tooWideToTry(t.Unit) && !t.IsolationWaived
 }
 
-// isolatedWaitMost is how long a lasting task waits for a worker to run isolated: one that is at fault is
-// told apart without that, too, and most are not.
+// isolatedWaitMost is how long a lasting task waits for an isolated run: a poisonous task is identified without one,
+// too, and most suspects are innocent.
 const isolatedWaitMost = 3 * time.Second
 
-// openIsolated lets lasting tasks that have waited for long for an isolated run start as suspects do.
+// openIsolated lets lasting tasks that have waited isolatedWaitMost for an isolated run start without isolation.
 func (s *State) openIsolated(now time.Time) {
 	for _, t := range s.accused {
 		switch {
@@ -155,14 +160,15 @@
 	}
 }
 
-// tooWideToTry says whether a unit is a gang of more members than may be tried at a time. They start together or
-// not at all, so waiting for their trials would have no end: they run as suspects do.
+// tooWideToTry reports whether a unit is a gang with more members than there may be isolated runs at a time. The
+// members start together or not at all, so they would wait for isolated runs without end: they start as
+// suspects do.
 func (s *State) tooWideToTry(u *jobs.Unit) bool {
 	return u.Spec.GetGang() && len(u.Tasks) > blame.Trials(len(s.workers))
 }
 
-// mayTryGang says whether all members of a gang that have to be tried alone may be tried at a time. A gang that
-// kept workers for some of them only would hold up another that does the same, and neither would start.
+// mayTryGang reports whether all members of a gang that need isolated runs can have them at the same time. Two
+// gangs that each reserve workers for only some of their members would block each other, and neither would start.
 func (s *State) mayTryGang(u *jobs.Unit) bool {
 	wanted, others := 0, s.trialsOut
 	for t := range s.kept {
@@ -178,8 +184,8 @@
 	return wanted == 0 || wanted+others <= blame.Trials(len(s.workers))
 }
 
-// chooseForTrial picks the worker where a task is tried: the one with the least to lose. It is kept
-// for the task until all that runs there has settled and the trial is recorded.
+// chooseForTrial returns the worker for an isolated run of a task, or nil if none can start yet. It reserves the
+// worker where least would be lost until all runs there are old enough and the isolated run is recorded.
 func (s *State) chooseForTrial(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
 	if !s.mayTry(now, t) {
 		return nil
@@ -192,7 +198,7 @@
 		s.kept[t] = keptWorker{best, now}
 	}
 	w := s.kept[t].worker
-	delete(s.closed, w) // to others, not to this task
+	delete(s.closed, w) // the reservation excludes other tasks only
 	fit := s.usable(now, w) && settledAt(w) && suspectsAt(w) == 0 && s.fits(now, t.Unit, service, w)
 	if fit && s.trialRecorded(t) {
 		delete(s.kept, t)
@@ -202,7 +208,8 @@
 	return nil
 }
 
-// trialRecorded says whether it is recorded that a task may be tried, and sees to that.
+// trialRecorded reports whether the table holds the record of an isolated run of a task. If the record was not
+// requested yet, trialRecorded requests it.
 func (s *State) trialRecorded(t *jobs.Task) bool {
 	if t.Trial == jobs.NoTrial {
 		t.Trial = jobs.TrialWanted
@@ -211,6 +218,7 @@
 	return t.Trial == jobs.TrialRecorded || s.unsafe.NoTrialRecord
 }
 
+// bestForTrial returns the usable worker with the highest score for an isolated run of a task, or nil if none fits.
 func (s *State) bestForTrial(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
 	var best *workers.Worker
 	for _, w := range usable {
@@ -224,8 +232,8 @@
 	return best
 }
 
-// lastingTakes says whether a lasting task that has waited for long, and need not run isolated, could start at a worker:
-// that is not closed to it for the isolated run of another.
+// lastingTakes reports whether a lasting task that has waited for holdAfter and needs no isolation could start
+// at a worker. Such a worker is not reserved for the isolated run of another task.
 func (s *State) lastingTakes(now time.Time, isolated *jobs.Task, w *workers.Worker) bool {
 	for u := range s.waiting {
 		if !u.Lasting() || waitOf(now, u) < holdAfter || !s.fits(now, u, s.service(u.Job), w) {
@@ -238,7 +246,8 @@
 	return false
 }
 
-// waitedFor is how long a task has waited for a start, as far as this leader knows.
+// waitedFor returns how long a task has waited for a start, as far as this leader knows: since its unit was
+// ready or since the task lost its last run, whichever came later.
 func waitedFor(now time.Time, t *jobs.Task) time.Duration {
 	since := t.Unit.ReadyAt
 	if t.WaitsSince.After(since) {
@@ -247,7 +256,7 @@
 	return now.Sub(since)
 }
 
-// hostFor is how long a task waits for another host.
+// hostFor returns how long a task waits for a host that has not crashed under it.
 func hostFor(t *jobs.Task) time.Duration {
 	switch t.Level() {
 	case blame.OnTrial:
@@ -259,21 +268,22 @@
 	}
 }
 
-// awaitsHost says whether a task waits for a host that has not crashed under it: one more crash at
-// the same one would say little, and may be the host's own.
+// awaitsHost reports whether a task should wait for a host that has not crashed under it, and not start at a given
+// worker: one more crash of the same host would be weak evidence, as the host itself may be at fault.
 func awaitsHost(now time.Time, t *jobs.Task, w *workers.Worker, usable []*workers.Worker) bool {
 	return t.CrashedAt(w.Host) && waitedFor(now, t) < hostFor(t) &&
 		slices.ContainsFunc(usable, func(other *workers.Worker) bool { return !t.CrashedAt(other.Host) })
 }
 
-// awaitsRecord says whether a suspect waits until what is held against it is recorded: a successor
-// has to know. That was asked for when its worker fell silent; a table that is away holds it up only so long.
+// awaitsRecord reports whether a suspect waits until the evidence against it is recorded, so that a successor
+// knows of it. The record was requested when the evidence was added. If the table does not answer, the suspect
+// waits for recordHolds at most.
 func (s *State) awaitsRecord(now time.Time, t *jobs.Task) bool {
 	return t.Level() == blame.Suspect && t.Trial == jobs.TrialWanted && waitedFor(now, t) < recordHolds
 }
 
-// trialScore ranks workers for a trial: hosts where no crash is held against the task, and that did not
-// crash lately, say more; where less runs, less is lost.
+// trialScore ranks workers for an isolated run of a task. A crash of a host that has not crashed under the task
+// and not recently without it is stronger evidence; with fewer runs at the worker, less is lost.
 func (s *State) trialScore(now time.Time, t *jobs.Task, w *workers.Worker) float64 {
 	score := -float64(len(w.Runs))
 	if t.CrashedAt(w.Host) || s.hostFails(now, w, t) {
@@ -282,7 +292,7 @@
 	return score
 }
 
-// settledAt says whether all that runs at a worker has been there for a while.
+// settledAt reports whether every run at a worker is too old to count as company of a run that starts now.
 func settledAt(w *workers.Worker) bool {
 	for _, r := range w.Runs {
 		if !blame.Settled(ranFor(w, r)) {
@@ -292,7 +302,7 @@
 	return true
 }
 
-// suspectsAt is how many suspects run at a worker.
+// suspectsAt returns how many runs of suspects a worker has.
 func suspectsAt(w *workers.Worker) int {
 	n := 0
 	for _, r := range w.Runs {
@@ -303,7 +313,7 @@
 	return n
 }
 
-// suspectScore ranks workers for a suspect: where nobody else is suspected, and much is free.
+// suspectScore ranks workers for a suspect: the fewest other suspects first, then the most free capacity.
 func suspectScore(w *workers.Worker) float64 {
 	return float64(w.Free().Millicores)/float64(max(1, w.Capacity.Millicores)) - apartPenalty*float64(suspectsAt(w))
 }
--- a/pkg/process/cell/trials_test.go
+++ b/pkg/process/cell/trials_test.go
@@ -15,15 +15,15 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// startSuspects runs a cell of idle workers for a second, to which steps come whose tasks crashed two workers
-// each, as far as is known. It returns what was started, by worker.
+// startSuspects loads a job with the given steps into a cell of idle workers and runs the cell for a second. By the
+// record each task has crashed two workers. It returns the started runs by worker.
 func startSuspects(workersIdle int, steps ...*wire.StepSpec) map[string][]workers.Active {
 	return startSuspectsFor(time.Second, 0, workersIdle, steps...)
 }
 
-// startSuspectsFor is the same for a given time; if age is not zero, three runs ended with
-// their workers, one after that time.
-// Steps of 2000 millicores are not suspected, and of those of 2001 the first task alone.
+// startSuspectsFor is the same for a given time. If age is not zero, each task has crashed three workers, one of
+// them with a run of that age. Tasks of steps with 2000 millicores have crashed no worker; of steps
+// with 2001 millicores, only the first task has.
 func startSuspectsFor(span, age time.Duration, workersIdle int, steps ...*wire.StepSpec) map[string][]workers.Active {
 	now := time.Unix(1000, 0)
 	s := cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
@@ -82,23 +82,21 @@
 	return active
 }
 
-// Ten tasks wait for their trials in a cell of six idle workers. They were tried one at a time, so that their
-// crashes would not look like a cause outside, and each one's run was the next one's wait. A third of the
-// workers is for trials.
+// Ten tasks wait for isolated runs in a cell of six idle workers. When only one such run was allowed at a time, so that
+// simultaneous crashes would not look like an outage, each task waited for the runs of all before it.
+// A third of the workers may have isolated runs.
 func TestTasksAreTriedAtAThirdOfTheWorkers(t *testing.T) {
 	t.Parallel()
 	active := startSuspects(6, &wire.StepSpec{Count: 10, Millicores: 1000})
 	must.MapLen(t, 2, active)
 	for _, runs := range active {
-		must.Len(t, 1, runs) // each alone
+		must.Len(t, 1, runs) // isolated
 	}
 }
 
-// A gang of four in a cell of three workers: its members start together, or not at all, and each would have to be
-// tried alone. It waited from 20 s to the end of a day, with three workers idle:
-//
-//	19.283 task-suspected ...17.1.0.0 on trial after 3 crashes, and so were the other three
-//	74.999 ...17 is queued
+// A gang of four suspects in a cell of three workers: its members start together or not at all, and each would need
+// an isolated run. The gang waited without end (from 19.283 s to 74.999 s, after 3 crashes of each
+// member) while three workers were idle.
 func TestAGangThatIsTooWideForTrialsRuns(t *testing.T) {
 	t.Parallel()
 	n := 0
@@ -108,8 +106,8 @@
 	must.Eq(t, 4, n)
 }
 
-// Two gangs of two, where two tasks may be tried at a time: each kept a worker for one member, and neither
-// started, to the end of a day (SEED=763 of the days with such tasks).
+// Two gangs of two in a cell that allows two isolated runs at a time: each gang reserved a worker for one of its
+// members, and neither started (SEED=763 of CrashTasksPlan).
 func TestGangsDoNotHoldUpEachOthersTrials(t *testing.T) {
 	t.Parallel()
 	gang := &wire.StepSpec{Count: 2, Millicores: 1000, Gang: true}
@@ -120,8 +118,7 @@
 	must.Eq(t, 2, n)
 }
 
-// More lasting tasks have to run isolated than may do so at a time: the others start as suspected ones do once
-// they have waited for a while.
+// More lasting tasks need isolated runs than are allowed at a time: the others start without isolation after a wait.
 func TestLastingTasksDoNotQueueForIsolatedRuns(t *testing.T) {
 	t.Parallel()
 	n := 0
@@ -131,7 +128,7 @@
 	must.Eq(t, 6, n)
 }
 
-// A lasting task that has waited for long joins a worker whose isolated run has gone on for a while.
+// A lasting task that has waited for long starts at a worker whose isolated run is old enough.
 func TestALastingTaskJoinsAnIsolatedRunThatGoesOn(t *testing.T) {
 	t.Parallel()
 	suspect := &wire.StepSpec{Count: 1, Millicores: 1000, Lasting: true}
@@ -147,8 +144,8 @@
 	must.Eq(t, 2, started(4*time.Second))
 }
 
-// Lasting tasks of two jobs that run isolated, or wait to, kept a worker closed to others of these jobs for as long as
-// it took to exonerate them.
+// A worker with an isolated run stayed closed until its task was exonerated to a lasting task without evidence, if
+// another task of that one's step was a suspect.
 func TestALastingTaskJoinsAnIsolatedRunThoughOthersOfItsStepAreSuspected(t *testing.T) {
 	t.Parallel()
 	suspect := &wire.StepSpec{Count: 1, Millicores: 1000, Lasting: true}
@@ -167,7 +164,7 @@
 	must.True(t, started(4500*time.Millisecond))
 }
 
-// A lasting task is delegated to a cell whose only capacity is at workers that it may share with isolated runs.
+// A lasting task is delegated to a cell whose only free capacity is beside isolated runs that it may join.
 func TestALoadTellsTheCapacityBesideIsolatedRuns(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
