--- a/pkg/process/blame/accuse.go
+++ b/pkg/process/blame/accuse.go
@@ -38,50 +38,51 @@
 }
 
 const (
-	// manyShare divides the number of workers: as many go silent at the same time only for one external cause.
-	manyShare = 8
-	// manyLeast is the lower bound of that number; manySmall is the same for few workers.
-	manyLeast, manySmall = 3, 2
-	// fewWorkers is the largest number of workers that counts as few.
-	fewWorkers = 11
+	// outageDivisor divides the number of workers: as many go silent at the same time only for one external cause.
+	outageDivisor = 8
+	// outageMin is the lower bound of that number; outageMinFewWorkers is the same for few workers.
+	outageMin, outageMinFewWorkers = 3, 2
+	// maxFewWorkers is the largest number of workers that counts as few.
+	maxFewWorkers = 11
 )
 
 // Many returns how many of a number of workers have to go silent at the same time for one external cause to
 // be likely.
 func Many(workers int) int {
-	least := manyLeast
-	if workers <= fewWorkers {
-		least = manySmall
+	least := outageMin
+	if workers <= maxFewWorkers {
+		least = outageMinFewWorkers
 	}
-	return max(least, (workers+manyShare-1)/manyShare)
+	return max(least, (workers+outageDivisor-1)/outageDivisor)
 }
 
 // Common returns how many crashes, within the time that callers look back (15 s), make crashes so common that one
 // soon after a start is weaker evidence: an innocent run is then hit in its first second with a chance
 // of two in a hundred or more.
-func Common(workers int) int { return max(commonLeast, workers*commonOf10/10) }
+func Common(workers int) int { return max(minCommonCrashes, workers*commonCrashTenths/10) }
 
 const (
-	// commonLeast is the lower bound of Common, commonOf10 its value in tenths of the number of workers.
-	commonLeast = 2
-	commonOf10  = 4
+	// minCommonCrashes is the lower bound of Common, commonCrashTenths its value in tenths of the number of
+	// workers.
+	minCommonCrashes  = 2
+	commonCrashTenths = 4
 )
 
-// triedShare divides the number of workers: as many may have isolated runs at a time. Such a worker accepts
+// isolatedDivisor divides the number of workers: as many may have isolated runs at a time. Such a worker accepts
 // nothing else, and a task that waits for an isolated run has lost a worker or two already, so the other tasks
 // keep most of the capacity.
-const triedShare = 3
+const isolatedDivisor = 3
 
 // Trials returns how many isolated runs may be in progress at a time. Many does not bound them, as simultaneous
 // crashes of isolated runs are no sign of an external cause.
-func Trials(workers int) int { return max(Many(workers)-1, workers/triedShare) }
+func Trials(workers int) int { return max(Many(workers)-1, workers/isolatedDivisor) }
 
 // Accuse returns the evidence that the end of the incarnation gives against the task of each run, in the order of
 // Runs; nil stands for none.
 func (l Life) Accuse() []*Crash {
 	list, accused := make([]*Crash, len(l.Runs)), 0
 	for i, r := range l.Runs {
-		many := l.fell(r) >= Many(l.Workers)
+		many := l.simultaneous(r) >= Many(l.Workers)
 		c := &Crash{Worker: l.Worker, Host: l.Host, Born: l.Born, Run: r.Run, Began: r.Began, Trial: r.Trial, Age: r.Age, Lives: l.Lives, Outside: many || l.Dark || (!r.Trial && (r.HostFails || r.Elsewhere >= Common(l.Workers))), Silent: l.Silent, At: l.At}
 		for j, other := range l.Runs {
 			if j == i || (r.Gang != "" && other.Gang == r.Gang) {
@@ -92,8 +93,8 @@
 			}
 			c.Excused = c.Excused || farOlder(r.Age, other.Age)
 		}
-		unlikely := c.Outside && (r.Age >= promptly || c.Excused)
-		if r.Age < provenAfter && !unlikely {
+		unlikely := c.Outside && (r.Age >= promptAge || c.Excused)
+		if r.Age < maxEvidenceAge && !unlikely {
 			list[i] = c
 			accused++
 		}
@@ -106,9 +107,9 @@
 	return list
 }
 
-// fell returns how many workers went silent at the same time, as far as that is a sign of one external cause. For
-// an isolated run, other workers with isolated runs do not count: their tasks may all be poisonous.
-func (l Life) fell(r Seen) int {
+// simultaneous returns how many workers went silent at the same time, as far as that is a sign of one external
+// cause. For an isolated run, other workers with isolated runs do not count: their tasks may all be poisonous.
+func (l Life) simultaneous(r Seen) int {
 	if r.Trial {
 		return l.Lives - l.Tried
 	}
@@ -117,4 +118,4 @@
 
 // farOlder reports whether a run of one age had lasted so much longer than another that it is not the cause of a
 // crash soon after the other's start.
-func farOlder(age, other time.Duration) bool { return age >= farLonger+2*other }
+func farOlder(age, other time.Duration) bool { return age >= farOlderMargin+2*other }
--- a/pkg/process/blame/blame.go
+++ b/pkg/process/blame/blame.go
@@ -75,9 +75,9 @@
 
 // Weights of crashes, in quarters of the weight of a crash soon after a start.
 const (
-	// whole is for a crash soon after a start.
-	whole = 4
-	// weightLate is for a run that was at least as old as promptly.
+	// weightPrompt is for a crash soon after a start.
+	weightPrompt = 4
+	// weightLate is for a run that was at least as old as promptAge.
 	weightLate = 2
 	// weightOutside is for a crash with a likely external cause, such as one soon after a start while many
 	// workers went silent, or at a host that crashes by itself. Several poisonous tasks that start together
@@ -90,41 +90,41 @@
 )
 
 const (
-	// promptly is the age up to which a run counts as likely to have ended its worker. Poisonous tasks were
+	// promptAge is the age up to which a run counts as likely to have ended its worker. Poisonous tasks were
 	// seen to need 10 to 300 ms. Known ages may be too low by the half second between polls.
-	promptly = 300 * time.Millisecond
-	// provenAfter is the age from which a run gets no evidence against its task when its worker ends.
-	provenAfter = 10 * time.Second
-	// farLonger is by how much a run has to exceed twice the age of another not to count as its company.
-	farLonger = time.Second
-	// clearedAfter is by how much a run has to exceed twice the age of the oldest run that ended with its
+	promptAge = 300 * time.Millisecond
+	// maxEvidenceAge is the age from which a run gets no evidence against its task when its worker ends.
+	maxEvidenceAge = 10 * time.Second
+	// farOlderMargin is by how much a run has to exceed twice the age of another not to count as its company.
+	farOlderMargin = time.Second
+	// exonerateMargin is by how much a run has to exceed twice the age of the oldest run that ended with its
 	// worker to exonerate the task.
-	clearedAfter = 2 * time.Second
+	exonerateMargin = 2 * time.Second
 
-	// endedAfter is the same for a run that ended without a crash: it can't crash its worker any more.
-	endedAfter = 500 * time.Millisecond
+	// exonerateEndedMargin is the same for a run that ended without a crash: it can't crash its worker any more.
+	exonerateEndedMargin = 500 * time.Millisecond
 
-	// suspectWeight and trialWeight are the weights from which a task is a suspect and needs isolation: one crash
-	// hits about ten innocent neighbours, two in a row hit few of them twice.
-	suspectWeight = whole
-	trialWeight   = 2 * whole
-	// guiltyWeight is the weight of one prompt crash and two with a likely external cause.
-	guiltyWeight = whole + 2*weightOutside
-	// trialCrashes is the number of crashes of any weight after which a task needs isolation.
-	trialCrashes = 3
-	// trialSoon is the same for crashes soon after a start.
-	trialSoon = 2
-	// alikeCrashes is the number of crashes of different hosts at about the same run age, the last one of a run
+	// suspectWeight and isolationWeight are the weights from which a task is a suspect and needs isolation: one
+	// crash hits about ten innocent neighbours, two in a row hit few of them twice.
+	suspectWeight   = weightPrompt
+	isolationWeight = 2 * weightPrompt
+	// poisonousWeight is the weight of one prompt crash and two with a likely external cause.
+	poisonousWeight = weightPrompt + 2*weightOutside
+	// isolationCrashes is the number of crashes of any weight after which a task needs isolation.
+	isolationCrashes = 3
+	// isolationPromptCrashes is the same for crashes soon after a start.
+	isolationPromptCrashes = 2
+	// poisonousHosts is the number of crashes of different hosts at about the same run age, the last one of a run
 	// without company, after which a task is poisonous, whatever else may have caused them.
-	alikeCrashes = 4
-	// sameAge is how far such ages may differ: they are known to the half second between polls.
-	sameAge = time.Second
-	// leastBegan is how many of the crashed runs have to be known to have begun: users accept two worker
+	poisonousHosts = 4
+	// similarAgeMargin is how far such ages may differ: they are known to the half second between polls.
+	similarAgeMargin = time.Second
+	// minBegan is how many of the crashed runs have to be known to have begun: users accept two worker
 	// crashes under a task as reason enough to fail its job.
-	leastBegan = 2
-	// mostCrashes is the number of crashes after which a task is poisonous in any case. Users accept five starts
+	minBegan = 2
+	// maxCrashes is the number of crashes after which a task is poisonous in any case. Users accept five starts
 	// that end a worker, and no more.
-	mostCrashes = 5
+	maxCrashes = 5
 )
 
 // weight returns the weight of the crash as evidence.
@@ -134,27 +134,28 @@
 		return weightExcused
 	case c.Outside || c.Run == 0:
 		return weightOutside
-	case c.Age < promptly:
-		return whole
+	case c.Age < promptAge:
+		return weightPrompt
 	}
 	return weightLate
 }
 
-// alone reports whether the worker is known to have crashed and no other run that had just begun can be the
-// cause, nor a host that had crashed under the task before.
-func (c Crash) alone() bool { return c.Company == 0 && c.Began && !c.Again && !c.Silent }
+// onlyCandidate reports whether the worker is known to have crashed and no other run that had just begun can be
+// the cause, nor a host that had crashed under the task before.
+func (c Crash) onlyCandidate() bool { return c.Company == 0 && c.Began && !c.Again && !c.Silent }
 
 // tally sums up the crashes of one task.
 //
-// all is the number of crashes, weight the sum of their weights, soon the number of known runs below the age
-// promptly, neither excused nor at a host that had crashed under the task before. The others leave out workers
-// that are only silent: over is the number of ended incarnations, unseen those that ended without a leader that
-// knew what ran there, tried the recorded isolated runs that were found nowhere. Of known runs, sure is the sum
-// of weights, hosts the number at a new host, began the number that had surely begun, prompt those
-// of them at a new host and below the age promptly.
+// all is the number of crashes and weight the sum of their weights. promptAny is the number of known runs below
+// promptAge that are neither excused nor at a host that had crashed under the task before. The other fields leave
+// out workers that are only silent. ended is the number of ended incarnations, unseen the number of those that
+// ended without a leader that knew what ran there, and lostIsolated the number of recorded isolated runs that
+// were found nowhere. Of the known runs, knownWeight is the sum of weights, newHosts the number at a host that had
+// not crashed under the task before, began the number that had surely begun, and prompt the number that had
+// surely begun, below promptAge and at such a host.
 //
 // Crashes without a known run count for less: a leader that died may have been about to start one.
-type tally struct{ all, weight, over, soon, hosts, sure, began, prompt, unseen, tried int }
+type tally struct{ all, weight, ended, promptAny, newHosts, knownWeight, began, prompt, unseen, lostIsolated int }
 
 // tallyOf sums up the crashes of one task.
 func tallyOf(crashes []Crash) tally {
@@ -162,43 +163,43 @@
 	for _, c := range crashes {
 		t.all++
 		t.weight += c.weight()
-		if c.Age < promptly && c.Run != 0 && !c.Again && !c.Excused {
-			t.soon++
+		if c.Age < promptAge && c.Run != 0 && !c.Again && !c.Excused {
+			t.promptAny++
 		}
 		if c.Silent {
 			continue
 		}
-		t.over++
+		t.ended++
 		if c.Unseen {
 			t.unseen++
 		}
 		if c.Run == 0 {
 			if !c.Unseen {
-				t.tried++
+				t.lostIsolated++
 			}
 			continue
 		}
-		t.sure += c.weight()
+		t.knownWeight += c.weight()
 		if !c.Again {
-			t.hosts++
+			t.newHosts++
 		}
 		if c.Began {
 			t.began++
 		}
-		if c.Began && c.Age < promptly && !c.Again {
+		if c.Began && c.Age < promptAge && !c.Again {
 			t.prompt++
 		}
 	}
 	return t
 }
 
-// likeLast keeps the crashes at about the same run age as the last one, and those of unobserved ends: a
+// atLastAge keeps the crashes at about the same run age as the last one, and those of unobserved ends: a
 // task that ends its worker does so at the same point of its work.
-func likeLast(crashes []Crash) []Crash {
+func atLastAge(crashes []Crash) []Crash {
 	last := crashes[len(crashes)-1].Age
 	var list []Crash
 	for _, c := range crashes {
-		if c.Unseen || (c.Age-last).Abs() <= sameAge {
+		if c.Unseen || (c.Age-last).Abs() <= similarAgeMargin {
 			list = append(list, c)
 		}
 	}
@@ -210,11 +211,11 @@
 	if len(crashes) == 0 {
 		return Trusted
 	}
-	t, alike := tallyOf(crashes), tallyOf(likeLast(crashes))
+	t, alike := tallyOf(crashes), tallyOf(atLastAge(crashes))
 	switch {
-	case enough(alike, crashes[len(crashes)-1]), proven(alike, crashes[len(crashes)-1]):
+	case reachesLimit(alike, crashes[len(crashes)-1]), identifiesTask(alike, crashes[len(crashes)-1]):
 		return Guilty
-	case t.over > t.unseen && (t.weight >= trialWeight || t.all >= trialCrashes || alike.soon >= trialSoon):
+	case t.ended > t.unseen && (t.weight >= isolationWeight || t.all >= isolationCrashes || alike.promptAny >= isolationPromptCrashes):
 		return OnTrial
 	case t.weight >= suspectWeight:
 		return Suspect
@@ -222,25 +223,25 @@
 	return Trusted
 }
 
-// enough reports whether there are so many crashes that the task is poisonous in any case.
+// reachesLimit reports whether there are so many crashes that the task is poisonous in any case.
 //
 // Some runs have to be known to have begun, as a recorded isolated run may never have been ordered. With unobserved
 // ends among the crashes, the last crash has to be of a run without company, and more is asked of the others:
 // else a task that merely waited through many takeovers would be poisonous. If the last crash has a likely external
-// cause, more than leastBegan runs must have begun, or be recorded isolated runs that were found nowhere. If it has
+// cause, more than minBegan runs must have begun, or be recorded isolated runs that were found nowhere. If it has
 // none, one crash fewer is enough, as the record of some crash that a leader saw may have been lost, but
-// leastBegan runs must have ended promptly.
-func enough(t tally, last Crash) bool {
+// minBegan runs must have ended promptly.
+func reachesLimit(t tally, last Crash) bool {
 	if t.unseen == 0 {
-		return t.over >= mostCrashes && t.began >= leastBegan
+		return t.ended >= maxCrashes && t.began >= minBegan
 	}
-	if !last.alone() {
+	if !last.onlyCandidate() {
 		return false
 	}
 	if last.Outside {
-		return t.over >= mostCrashes && t.began >= leastBegan && t.began+t.tried > leastBegan
+		return t.ended >= maxCrashes && t.began >= minBegan && t.began+t.lostIsolated > minBegan
 	}
-	return t.over >= mostCrashes-1 && t.prompt >= leastBegan
+	return t.ended >= maxCrashes-1 && t.prompt >= minBegan
 }
 
 // NextDecides reports whether one more crash of an isolated run makes the task poisonous, even if an external cause
@@ -260,14 +261,14 @@
 	return Crash{Worker: worker, Born: born, Company: others, Accused: others + 1, Lives: lives, Unseen: true, At: at}
 }
 
-// proven reports whether crashes at about the same run age, the last of a run without company, identify the task:
+// identifiesTask reports whether crashes at about the same run age, the last of a run without company, identify the task:
 // either enough crashes soon after a start, few of them with a likely external cause, or more of any kind,
 // each at another host.
-func proven(t tally, last Crash) bool {
-	if !last.alone() || t.began < leastBegan {
+func identifiesTask(t tally, last Crash) bool {
+	if !last.onlyCandidate() || t.began < minBegan {
 		return false // the orders to start may never have reached the workers
 	}
-	return t.hosts >= alikeCrashes || (!last.Outside && t.prompt >= trialCrashes && t.sure >= guiltyWeight)
+	return t.newHosts >= poisonousHosts || (!last.Outside && t.prompt >= isolationCrashes && t.knownWeight >= poisonousWeight)
 }
 
 // Outlived reports whether a run of a given age exonerates its task: it has lasted far longer than any run that
@@ -277,15 +278,15 @@
 	for _, c := range crashes {
 		longest = max(longest, c.Age)
 	}
-	return age >= clearedAfter+2*longest
+	return age >= exonerateMargin+2*longest
 }
 
 // EndedWell reports whether a run of a given age that ended by itself, or was stopped, exonerates its task: it
 // had outlived the age at which other runs ended with their workers.
 func EndedWell(crashes []Crash, age time.Duration) bool {
-	return Outlived(crashes, age+clearedAfter-endedAfter)
+	return Outlived(crashes, age+exonerateMargin-exonerateEndedMargin)
 }
 
 // Settled reports whether a run of a given age may be at a worker when an isolated run starts there: it will
 // not count as company.
-func Settled(age time.Duration) bool { return age >= farLonger+promptly }
+func Settled(age time.Duration) bool { return age >= farOlderMargin+promptAge }
--- a/pkg/process/blame/blame_test.go
+++ b/pkg/process/blame/blame_test.go
@@ -9,8 +9,8 @@
 	"github.com/wrenferry/wrenferry/pkg/process/blame"
 )
 
-// soon is a crash 10 ms after the start of a run without company, at a new host.
-func soon(run int64) blame.Crash {
+// prompt is a crash 10 ms after the start of a run without company, at a new host.
+func prompt(run int64) blame.Crash {
 	return blame.Crash{Run: run, Began: true, Age: 10 * time.Millisecond, Lives: 1}
 }
 
@@ -19,51 +19,51 @@
 	return c
 }
 
-func TestHowMuchATaskIsSuspected(t *testing.T) {
+func TestLevelOf(t *testing.T) {
 	t.Parallel()
-	beside := func(run int64) blame.Crash { return with(soon(run), func(c *blame.Crash) { c.Company = 8 }) }
+	withCompany := func(run int64) blame.Crash { return with(prompt(run), func(c *blame.Crash) { c.Company = 8 }) }
 	late := func(run int64) blame.Crash {
-		return with(soon(run), func(c *blame.Crash) { c.Age = 3 * time.Second })
+		return with(prompt(run), func(c *blame.Crash) { c.Age = 3 * time.Second })
 	}
-	outside := func(run int64) blame.Crash { return with(soon(run), func(c *blame.Crash) { c.Outside = true }) }
-	silent := func(run int64) blame.Crash { return with(soon(run), func(c *blame.Crash) { c.Silent = true }) }
-	again := func(run int64) blame.Crash { return with(soon(run), func(c *blame.Crash) { c.Again = true }) }
-	unseen := blame.Crash{Company: 1}
-	nowhere := blame.Unseen("w", 1, 20, 1, time.Unix(1000, 0))
+	outside := func(run int64) blame.Crash { return with(prompt(run), func(c *blame.Crash) { c.Outside = true }) }
+	silent := func(run int64) blame.Crash { return with(prompt(run), func(c *blame.Crash) { c.Silent = true }) }
+	again := func(run int64) blame.Crash { return with(prompt(run), func(c *blame.Crash) { c.Again = true }) }
+	lostIsolated := blame.Crash{Company: 1}
+	unobserved := blame.Unseen("w", 1, 20, 1, time.Unix(1000, 0))
 	for _, c := range []struct {
 		name    string
 		crashes []blame.Crash
 		want    blame.Level
 	}{
 		{"no crashes", nil, blame.Trusted},
-		{"one with company", []blame.Crash{beside(1)}, blame.Suspect},
+		{"one with company", []blame.Crash{withCompany(1)}, blame.Suspect},
 		{"one late", []blame.Crash{late(1)}, blame.Trusted},
 		{"one external", []blame.Crash{outside(1)}, blame.Trusted},
-		{"two prompt ones with company", []blame.Crash{beside(1), beside(2)}, blame.OnTrial},
+		{"two prompt ones with company", []blame.Crash{withCompany(1), withCompany(2)}, blame.OnTrial},
 		{"two external", []blame.Crash{outside(1), outside(2)}, blame.OnTrial},
 		{"two silent workers are no reason for isolated runs", []blame.Crash{silent(1), silent(2)}, blame.Suspect},
-		{"two with company, the third without", []blame.Crash{beside(1), beside(2), soon(3)}, blame.Guilty},
-		{"three with company", []blame.Crash{beside(1), beside(2), beside(3)}, blame.OnTrial},
-		{"two with company, the third without and only silent", []blame.Crash{beside(1), beside(2), silent(3)}, blame.OnTrial},
-		{"two with company, the third without and external", []blame.Crash{beside(1), beside(2), outside(3)}, blame.OnTrial},
+		{"two with company, the third without", []blame.Crash{withCompany(1), withCompany(2), prompt(3)}, blame.Guilty},
+		{"three with company", []blame.Crash{withCompany(1), withCompany(2), withCompany(3)}, blame.OnTrial},
+		{"two with company, the third without and only silent", []blame.Crash{withCompany(1), withCompany(2), silent(3)}, blame.OnTrial},
+		{"two with company, the third without and external", []blame.Crash{withCompany(1), withCompany(2), outside(3)}, blame.OnTrial},
 		{"four external at different hosts", []blame.Crash{outside(1), outside(2), outside(3), outside(4)}, blame.Guilty},
-		{"three without company at one host", []blame.Crash{soon(1), again(2), again(3)}, blame.OnTrial},
-		{"three late, one prompt: different run ages", []blame.Crash{late(1), late(2), late(3), soon(4)}, blame.OnTrial},
+		{"three without company at one host", []blame.Crash{prompt(1), again(2), again(3)}, blame.OnTrial},
+		{"three late, one prompt: different run ages", []blame.Crash{late(1), late(2), late(3), prompt(4)}, blame.OnTrial},
 		{"four late without company", []blame.Crash{late(1), late(2), late(3), late(4)}, blame.Guilty},
-		{"five, one of them known to have begun", []blame.Crash{beside(1), unseen, unseen, unseen, unseen}, blame.OnTrial},
-		{"five, two of them isolated runs found nowhere", []blame.Crash{beside(1), unseen, beside(2), unseen, beside(3)}, blame.Guilty},
-		{"three unseen", []blame.Crash{nowhere, nowhere, nowhere}, blame.Trusted},
-		{"two unseen, one with company", []blame.Crash{nowhere, nowhere, beside(1)}, blame.OnTrial},
-		{"three unseen, one with company, the last without", []blame.Crash{nowhere, nowhere, nowhere, beside(1), soon(2)}, blame.Guilty},
-		{"two unseen, one with company, the last without", []blame.Crash{nowhere, nowhere, beside(1), soon(2)}, blame.Guilty},
-		{"two unseen, one late, the last prompt without company", []blame.Crash{nowhere, nowhere, late(1), soon(2)}, blame.OnTrial},
-		{"one unseen, one with company, the last without", []blame.Crash{nowhere, beside(1), soon(2)}, blame.OnTrial},
-		{"two unseen, one with company, two external", []blame.Crash{nowhere, nowhere, beside(1), outside(2), outside(3)}, blame.Guilty},
-		{"three unseen, two with company", []blame.Crash{nowhere, nowhere, nowhere, beside(1), beside(2)}, blame.OnTrial},
-		{"three unseen, one with company, the last external", []blame.Crash{nowhere, nowhere, nowhere, beside(1), outside(2)}, blame.OnTrial},
-		{"one unseen, one with company, two isolated runs found nowhere, the last external", []blame.Crash{nowhere, beside(1), unseen, unseen, outside(2)}, blame.Guilty},
-		{"two unseen, one isolated run found nowhere, one with company, the last external with company", []blame.Crash{nowhere, nowhere, unseen, beside(1), with(outside(2), func(c *blame.Crash) { c.Company = 3 })}, blame.OnTrial},
-		{"two runs not known to have begun", []blame.Crash{with(soon(1), func(c *blame.Crash) { c.Began = false }), with(soon(2), func(c *blame.Crash) { c.Began = false }), soon(3)}, blame.OnTrial},
+		{"five, one of them known to have begun", []blame.Crash{withCompany(1), lostIsolated, lostIsolated, lostIsolated, lostIsolated}, blame.OnTrial},
+		{"five, two of them isolated runs found nowhere", []blame.Crash{withCompany(1), lostIsolated, withCompany(2), lostIsolated, withCompany(3)}, blame.Guilty},
+		{"three unseen", []blame.Crash{unobserved, unobserved, unobserved}, blame.Trusted},
+		{"two unseen, one with company", []blame.Crash{unobserved, unobserved, withCompany(1)}, blame.OnTrial},
+		{"three unseen, one with company, the last without", []blame.Crash{unobserved, unobserved, unobserved, withCompany(1), prompt(2)}, blame.Guilty},
+		{"two unseen, one with company, the last without", []blame.Crash{unobserved, unobserved, withCompany(1), prompt(2)}, blame.Guilty},
+		{"two unseen, one late, the last prompt without company", []blame.Crash{unobserved, unobserved, late(1), prompt(2)}, blame.OnTrial},
+		{"one unseen, one with company, the last without", []blame.Crash{unobserved, withCompany(1), prompt(2)}, blame.OnTrial},
+		{"two unseen, one with company, two external", []blame.Crash{unobserved, unobserved, withCompany(1), outside(2), outside(3)}, blame.Guilty},
+		{"three unseen, two with company", []blame.Crash{unobserved, unobserved, unobserved, withCompany(1), withCompany(2)}, blame.OnTrial},
+		{"three unseen, one with company, the last external", []blame.Crash{unobserved, unobserved, unobserved, withCompany(1), outside(2)}, blame.OnTrial},
+		{"one unseen, one with company, two isolated runs found nowhere, the last external", []blame.Crash{unobserved, withCompany(1), lostIsolated, lostIsolated, outside(2)}, blame.Guilty},
+		{"two unseen, one isolated run found nowhere, one with company, the last external with company", []blame.Crash{unobserved, unobserved, lostIsolated, withCompany(1), with(outside(2), func(c *blame.Crash) { c.Company = 3 })}, blame.OnTrial},
+		{"two runs not known to have begun", []blame.Crash{with(prompt(1), func(c *blame.Crash) { c.Began = false }), with(prompt(2), func(c *blame.Crash) { c.Began = false }), prompt(3)}, blame.OnTrial},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestARunThatOutlivesItsCrashesClearsItsTask(t *testing.T) {
+func TestALongRunExoneratesItsTask(t *testing.T) {
 	t.Parallel()
 	crashes := []blame.Crash{{Age: 10 * time.Millisecond}, {Age: time.Second}}
 	must.False(t, blame.Outlived(crashes, 3500*time.Millisecond))
@@ -82,7 +82,7 @@
 }
 
 // A crash is evidence against the tasks whose runs had begun recently, not against one whose run had lasted long.
-func TestTheEndOfALifeAccusesWhatHadJustBegun(t *testing.T) {
+func TestACrashIsEvidenceAgainstRecentRuns(t *testing.T) {
 	t.Parallel()
 	life := blame.Life{Worker: "w", Lives: 1, Workers: 16, Runs: []blame.Seen{
 		{Run: 1, Began: true, Age: 10 * time.Millisecond},
@@ -103,7 +103,7 @@
 
 // If many workers end at the same time, an external cause is likely. The ends are weak evidence, and only against
 // runs that had just begun: several poisonous tasks may have started together.
-func TestManyLivesThatEndInOneMomentAccuseLittle(t *testing.T) {
+func TestSimultaneousEndsAreWeakEvidence(t *testing.T) {
 	t.Parallel()
 	life := blame.Life{Worker: "w", Lives: blame.Many(16), Workers: 16, Runs: []blame.Seen{
 		{Run: 1, Began: true, Age: 10 * time.Millisecond},
@@ -118,7 +118,7 @@
 // The greatest allowed number of isolated runs crash their workers at the same time, as all their tasks are poisonous.
 // That is no sign of an external cause. Further workers without an isolated run that go silent at
 // that time are one, from the usual number on.
-func TestTrialsThatEndTogetherAreNotExcusedByEachOther(t *testing.T) {
+func TestSimultaneousCrashesOfIsolatedRunsAreNoOutage(t *testing.T) {
 	t.Parallel()
 	for workers := 1; workers < 400; workers++ {
 		trials := blame.Trials(workers)
@@ -131,7 +131,7 @@
 }
 
 // Two members of a gang end with one worker: neither counts as company of the other, while a run of another gang does.
-func TestMembersOfAGangAreNoCompany(t *testing.T) {
+func TestMembersOfAGangAreNoCompanyOfEachOther(t *testing.T) {
 	t.Parallel()
 	life := blame.Life{Worker: "w", Lives: 1, Workers: 16, Runs: []blame.Seen{
 		{Run: 1, Began: true, Gang: "g"}, {Run: 1, Began: true, Gang: "g"}, {Run: 2, Began: true, Age: 10 * time.Second},
@@ -144,11 +144,11 @@
 }
 
 // A run whose crash would make its task poisonous, whatever else may have caused the crash, is known before its start.
-func TestTheRunThatDecidesIsKnownBeforeItsStart(t *testing.T) {
+func TestADecisiveRunIsKnownBeforeItsStart(t *testing.T) {
 	t.Parallel()
-	outside := func(run int64) blame.Crash { return with(soon(run), func(c *blame.Crash) { c.Outside = true }) }
+	outside := func(run int64) blame.Crash { return with(prompt(run), func(c *blame.Crash) { c.Outside = true }) }
 	must.False(t, blame.NextDecides(nil))
 	must.False(t, blame.NextDecides([]blame.Crash{outside(1), outside(2)}))
 	must.True(t, blame.NextDecides([]blame.Crash{outside(1), outside(2), outside(3)}))
-	must.False(t, blame.NextDecides([]blame.Crash{soon(1), soon(2)}), must.Sprint("a third crash without company decides, but not with a likely external cause"))
+	must.False(t, blame.NextDecides([]blame.Crash{prompt(1), prompt(2)}), must.Sprint("a third crash without company decides, but not with a likely external cause"))
 }
--- a/pkg/process/cell/beliefs.go
+++ b/pkg/process/cell/beliefs.go
@@ -16,28 +16,28 @@
 	list := make([]*wire.ImageBelief, 0, len(own))
 	for _, image := range slices.Sorted(maps.Keys(own)) {
 		b := own[image]
-		told := &wire.ImageBelief{Image: image, Alone: float32(b.Alone.Mean), AloneVariance: float32(b.Alone.Variance)}
+		encoded := &wire.ImageBelief{Image: image, Alone: float32(b.Alone.Mean), AloneVariance: float32(b.Alone.Variance)}
 		for _, filler := range slices.Sorted(maps.Keys(b.Fillers)) {
 			e := b.Fillers[filler]
-			told.Fillers = append(told.Fillers, &wire.PressBelief{Filler: filler, Coefficient: float32(e.Mean), Variance: float32(e.Variance)})
+			encoded.Fillers = append(encoded.Fillers, &wire.PressBelief{Filler: filler, Coefficient: float32(e.Mean), Variance: float32(e.Variance)})
 		}
-		list = append(list, told)
+		list = append(list, encoded)
 	}
 	return list
 }
 
 // beliefsOf decodes the estimates in the load message of another leader.
 func beliefsOf(l *wire.CellLoad) interference.Beliefs {
-	heard := interference.Beliefs{}
-	for _, told := range l.GetBeliefs() {
+	decoded := interference.Beliefs{}
+	for _, encoded := range l.GetBeliefs() {
 		b := interference.ImageBelief{
-			Alone:   interference.Estimate{Mean: float64(told.GetAlone()), Variance: float64(told.GetAloneVariance())},
+			Alone:   interference.Estimate{Mean: float64(encoded.GetAlone()), Variance: float64(encoded.GetAloneVariance())},
 			Fillers: map[string]interference.Estimate{},
 		}
-		for _, f := range told.GetFillers() {
+		for _, f := range encoded.GetFillers() {
 			b.Fillers[f.GetFiller()] = interference.Estimate{Mean: float64(f.GetCoefficient()), Variance: float64(f.GetVariance())}
 		}
-		heard[told.GetImage()] = b
+		decoded[encoded.GetImage()] = b
 	}
-	return heard
+	return decoded
 }
--- a/pkg/process/cell/beliefs_test.go
+++ b/pkg/process/cell/beliefs_test.go
@@ -12,7 +12,7 @@
 
 // A process that receives the interference estimates of a leader and takes over from it shares only estimates
 // that it has learned itself.
-func TestBeliefsAreToldHeardAndNotRepeated(t *testing.T) {
+func TestReceivedBeliefsAreNotSharedAgain(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
 	for range 30 {
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -19,31 +19,31 @@
 // worker has crashed or is cut off: its evidence is withdrawn if the same incarnation answers again.
 
 const (
-	// oneMoment is the longest time between worker ends that count as simultaneous: these may have one
+	// simultaneousWindow is the longest time between worker ends that count as simultaneous: these may have one
 	// external cause.
-	oneMoment = 300 * time.Millisecond
-	// fellKept is how long the leader remembers that a worker went silent.
-	fellKept = 10 * time.Second
-	// crashRunsTold bounds the runs listed in one log line.
-	crashRunsTold = 6
+	simultaneousWindow = 300 * time.Millisecond
+	// silenceMemory is how long the leader remembers that a worker went silent.
+	silenceMemory = 10 * time.Second
+	// maxLoggedRuns bounds the runs listed in one log line.
+	maxLoggedRuns = 6
 	// failuresSilent is how many polls of a worker have to fail in a row before its silence becomes
 	// evidence: a single failure may be a broken connection, and evidence costs one record of each job
 	// that runs there.
 	failuresSilent = 2
-	// darkSlack is longer than it takes to notice a broken connection, and shorter than lookSlack.
-	darkSlack = 60 * time.Millisecond
-	// hostKept is how long a crash of a host remains a sign of a fault of the host itself, should it
+	// brokenConnectionSlack is longer than it takes to notice a broken connection, and shorter than lookSlack.
+	brokenConnectionSlack = 60 * time.Millisecond
+	// hostCrashMemory is how long a crash of a host remains a sign of a fault of the host itself, should it
 	// crash again.
-	hostKept = 15 * time.Second
-	// silentKept is how long the leader tracks a run on a silent worker to learn whether the worker
+	hostCrashMemory = 15 * time.Second
+	// silentRunMemory is how long the leader tracks a run on a silent worker to learn whether the worker
 	// crashed: crashed workers are back after some seconds.
-	silentKept = 30 * time.Second
-	// silentHolds is how long a task that would start in an isolated run waits to learn whether its
+	silentRunMemory = 30 * time.Second
+	// maxSilentWait is how long a task that would start in an isolated run waits to learn whether its
 	// silent worker crashed.
-	silentHolds = 10 * time.Second
-	// silentHoldsLasting is the same for a lasting task, which is soon late. It does not apply if the
+	maxSilentWait = 10 * time.Second
+	// maxSilentWaitLasting is the same for a lasting task, which is soon late. It does not apply if the
 	// job would fail should the worker have crashed.
-	silentHoldsLasting = 3 * time.Second
+	maxSilentWaitLasting = 3 * time.Second
 )
 
 // silentRun is a run on a worker that went silent and is not known to have crashed.
@@ -57,32 +57,32 @@
 }
 
 // fall is the interval in which a worker went silent or began a new incarnation: after its last answer
-// and before the leader noticed. tried says that an isolated run was there.
+// and before the leader noticed. isolated says that an isolated run was there.
 type fall struct {
 	worker        string
 	after, before time.Time
-	tried         bool
+	isolated      bool
 }
 
 // fell records that a worker went silent, noticed at a given time.
 func (s *State) fell(now time.Time, w *workers.Worker, at time.Time) {
-	s.falls = slices.DeleteFunc(s.falls, func(f fall) bool { return now.Sub(f.before) >= fellKept })
+	s.falls = slices.DeleteFunc(s.falls, func(f fall) bool { return now.Sub(f.before) >= silenceMemory })
 	s.falls = append(s.falls, fall{w.ID, w.AnsweredAt, at, slices.ContainsFunc(w.Runs, func(r *jobs.Run) bool { return r.OnTrial })})
 }
 
-// fellWith returns how many workers, w included, may have gone silent at the same time as w, and on how
+// simultaneousSilences returns how many workers, w included, may have gone silent at the same time as w, and on how
 // many of the others an isolated run was in progress.
-func (s *State) fellWith(w *workers.Worker, at time.Time) (all, tried int) {
+func (s *State) simultaneousSilences(w *workers.Worker, at time.Time) (all, isolated int) {
 	for _, f := range s.falls {
-		if !f.after.Before(at.Add(oneMoment)) || !f.before.After(w.AnsweredAt.Add(-oneMoment)) {
+		if !f.after.Before(at.Add(simultaneousWindow)) || !f.before.After(w.AnsweredAt.Add(-simultaneousWindow)) {
 			continue
 		}
 		all++
-		if f.tried && f.worker != w.ID {
-			tried++
+		if f.isolated && f.worker != w.ID {
+			isolated++
 		}
 	}
-	return max(1, all), min(tried, max(0, all-1))
+	return max(1, all), min(isolated, max(0, all-1))
 }
 
 // crashed handles the end of a worker incarnation that was not caused by a stop or a leave.
@@ -92,7 +92,7 @@
 	if w.SilentSince.IsZero() {
 		s.fell(now, w, at)
 	}
-	s.accuse(now, w, at, false)
+	s.addCrashEvidence(now, w, at, false)
 	s.keepLife(w, w.Born)
 }
 
@@ -102,10 +102,10 @@
 	tasks []*jobs.Task
 }
 
-// hostCrashed records a crash of a worker's host with the tasks that ran at the worker.
-func (s *State) hostCrashed(now time.Time, w *workers.Worker) {
+// addHostCrash records a crash of a worker's host with the tasks that ran at the worker.
+func (s *State) addHostCrash(now time.Time, w *workers.Worker) {
 	for host, list := range s.hostCrashes {
-		list = slices.DeleteFunc(list, func(c hostCrash) bool { return now.Sub(c.at) >= hostKept })
+		list = slices.DeleteFunc(list, func(c hostCrash) bool { return now.Sub(c.at) >= hostCrashMemory })
 		if s.hostCrashes[host] = list; len(list) == 0 {
 			delete(s.hostCrashes, host)
 		}
@@ -117,10 +117,10 @@
 	s.hostCrashes[w.Host] = append(s.hostCrashes[w.Host], c)
 }
 
-// hostFails reports whether a worker's host crashed recently while a given task did not run there.
-func (s *State) hostFails(now time.Time, w *workers.Worker, t *jobs.Task) bool {
+// hostCrashedWithout reports whether a worker's host crashed recently while a given task did not run there.
+func (s *State) hostCrashedWithout(now time.Time, w *workers.Worker, t *jobs.Task) bool {
 	return w.Host != "" && slices.ContainsFunc(s.hostCrashes[w.Host], func(c hostCrash) bool {
-		return now.Sub(c.at) < hostKept && !slices.Contains(c.tasks, t)
+		return now.Sub(c.at) < hostCrashMemory && !slices.Contains(c.tasks, t)
 	})
 }
 
@@ -129,7 +129,7 @@
 	n := 0
 	for _, list := range s.hostCrashes {
 		for _, c := range list {
-			if now.Sub(c.at) < hostKept && !slices.Contains(c.tasks, t) {
+			if now.Sub(c.at) < hostCrashMemory && !slices.Contains(c.tasks, t) {
 				n++
 			}
 		}
@@ -141,22 +141,22 @@
 // recorded at once: if this leader dies before it learns whether the worker crashed, a successor goes on
 // from the record.
 func (s *State) fellSilent(now time.Time, w *workers.Worker) {
-	s.accuse(now, w, w.SilentSince, true)
+	s.addCrashEvidence(now, w, w.SilentSince, true)
 }
 
-// accuse adds evidence against the tasks that ran at a worker that crashed, or only went silent, at a given
+// addCrashEvidence adds evidence against the tasks that ran at a worker that crashed, or only went silent, at a given
 // time. A worker that left gives none.
-func (s *State) accuse(now time.Time, w *workers.Worker, at time.Time, silent bool) {
+func (s *State) addCrashEvidence(now time.Time, w *workers.Worker, at time.Time, silent bool) {
 	if s.phase == following || len(w.Runs) == 0 || w.Left() {
 		return
 	}
-	lives, tried := s.fellWith(w, at)
-	life := blame.Life{Worker: w.ID, Host: w.Host, Born: w.Born, Silent: silent, Dark: fellDark(w), Lives: lives, Tried: tried, Workers: len(s.workers), At: s.wall.Add(-now.Sub(at))}
+	lives, isolated := s.simultaneousSilences(w, at)
+	life := blame.Life{Worker: w.ID, Host: w.Host, Born: w.Born, Silent: silent, Dark: foundByTimeout(w), Lives: lives, Tried: isolated, Workers: len(s.workers), At: s.wall.Add(-now.Sub(at))}
 	for _, r := range w.Runs {
-		life.Runs = append(life.Runs, blame.Seen{Run: r.Number, Began: !r.BeganAt.IsZero(), Age: ranFor(w, r), HostFails: s.hostFails(now, w, r.Task), Elsewhere: s.crashesWithout(now, r.Task), Gang: gangOf(r), Trial: r.OnTrial})
+		life.Runs = append(life.Runs, blame.Seen{Run: r.Number, Began: !r.BeganAt.IsZero(), Age: minRunAge(w, r), HostFails: s.hostCrashedWithout(now, w, r.Task), Elsewhere: s.crashesWithout(now, r.Task), Gang: gangOf(r), Trial: r.OnTrial})
 	}
 	if !silent {
-		s.hostCrashed(now, w)
+		s.addHostCrash(now, w)
 	}
 	s.noteCrash(now, w, at, life)
 	if s.unsafe.NoBlame {
@@ -177,10 +177,10 @@
 	return r.Task.Unit.Name()
 }
 
-// fellDark reports whether the end of a worker's incarnation showed only by a timeout, or by the answer
+// foundByTimeout reports whether the end of a worker's incarnation showed only by a timeout, or by the answer
 // of the next incarnation. A broken connection would have shown it at once while a poll waits.
-func fellDark(w *workers.Worker) bool {
-	return w.SilentSince.IsZero() || w.SilentSince.Sub(w.AnsweredAt) > idleWait+darkSlack
+func foundByTimeout(w *workers.Worker) bool {
+	return w.SilentSince.IsZero() || w.SilentSince.Sub(w.AnsweredAt) > idleWait+brokenConnectionSlack
 }
 
 // hold adds a crash to the evidence against a task and acts on it.
@@ -189,7 +189,7 @@
 		return
 	}
 	s.remember(t)
-	s.watchSilent(now, now, t, c)
+	s.trackSilentRun(now, now, t, c)
 	s.suspected(now, t, c)
 }
 
@@ -227,12 +227,12 @@
 		})
 	}
 	if level == blame.Guilty {
-		s.endJob(now, j, wire.JobPhase_JOB_PHASE_FAILED, guiltyReason(t))
+		s.endJob(now, j, wire.JobPhase_JOB_PHASE_FAILED, poisonousReason(t))
 	}
 }
 
-// guiltyReason returns the failure reason of a job with a poisonous task.
-func guiltyReason(t *jobs.Task) string {
+// poisonousReason returns the failure reason of a job with a poisonous task.
+func poisonousReason(t *jobs.Task) string {
 	var where []string
 	for _, c := range t.Crashes {
 		where = append(where, c.Worker)
@@ -256,7 +256,7 @@
 		if t.Done || t.Unit.Job.Ended() || !t.Resolve(r.worker, r.run, crashed) {
 			continue
 		}
-		s.passOn(t)
+		s.forwardEvidence(t)
 		if crashed {
 			s.suspected(now, t, t.Crashes[len(t.Crashes)-1])
 		} else {
@@ -265,8 +265,8 @@
 	}
 }
 
-// passOn sends the present evidence against a delegated task to the cell that runs it.
-func (s *State) passOn(t *jobs.Task) {
+// forwardEvidence sends the present evidence against a delegated task to the cell that runs it.
+func (s *State) forwardEvidence(t *jobs.Task) {
 	if j := t.Unit.Job; t.LentTo != "" && !j.Guest() {
 		s.lent[j] = append(s.lent[j], j.Lend(t.LentTo))
 	}
@@ -290,38 +290,38 @@
 		for _, t := range u.Tasks {
 			for _, c := range t.Crashes {
 				s.remember(t)
-				s.watchSilent(now, recalledSince(now, t), t, c)
+				s.trackSilentRun(now, awaitsOutcomeSince(now, t), t, c)
 			}
 		}
 	}
 }
 
-// watchSilent tracks a run on a silent worker until it is known whether the worker crashed.
-func (s *State) watchSilent(now, since time.Time, t *jobs.Task, c blame.Crash) {
+// trackSilentRun tracks a run on a silent worker until it is known whether the worker crashed.
+func (s *State) trackSilentRun(now, since time.Time, t *jobs.Task, c blame.Crash) {
 	if c.Silent {
 		s.silent = append(s.silent, silentRun{task: t, run: c.Run, worker: c.Worker, host: c.Host, born: c.Born, at: now, since: since})
 	}
 }
 
-// recalledSince returns since when a task waits for the outcome of silent workers that another leader recorded:
+// awaitsOutcomeSince returns since when a task waits for the outcome of silent workers that another leader recorded:
 // since the end of its last run if that time is known, else since now.
-func recalledSince(now time.Time, t *jobs.Task) time.Time {
+func awaitsOutcomeSince(now time.Time, t *jobs.Task) time.Time {
 	if t.WaitsSince.IsZero() {
 		return now
 	}
 	return t.WaitsSince
 }
 
-// forgetSilent drops the silent runs that were tracked for silentKept.
+// forgetSilent drops the silent runs that were tracked for silentRunMemory.
 func (s *State) forgetSilent(now time.Time) {
-	s.silent = slices.DeleteFunc(s.silent, func(r silentRun) bool { return now.Sub(r.at) >= silentKept })
+	s.silent = slices.DeleteFunc(s.silent, func(r silentRun) bool { return now.Sub(r.at) >= silentRunMemory })
 }
 
 // awaitsWord reports whether a task still waits to learn if a silent worker that ran it crashed.
 func (s *State) awaitsWord(now time.Time, t *jobs.Task) bool {
-	holds := silentHolds
+	holds := maxSilentWait
 	if t.Unit.Lasting() && !t.GuiltyIfSilentCrashed() {
-		holds = silentHoldsLasting
+		holds = maxSilentWaitLasting
 	}
 	return slices.ContainsFunc(s.silent, func(r silentRun) bool { return r.task == t && now.Sub(r.since) < holds })
 }
@@ -336,8 +336,8 @@
 			if w == nil || w.Gone || !w.SilentSince.IsZero() || r.State != jobs.Running {
 				continue
 			}
-			if blame.Outlived(t.Crashes, ranFor(w, r)) {
-				s.clearSuspect(w, r)
+			if blame.Outlived(t.Crashes, minRunAge(w, r)) {
+				s.exonerate(w, r)
 			}
 		}
 	}
@@ -347,16 +347,16 @@
 // had lasted for long enough.
 func (s *State) endedWithoutCrash(w *workers.Worker, t *jobs.Task, r *jobs.Run) {
 	t.Trial = jobs.NoTrial // an isolated run has ended as well
-	if r != nil && !r.BeganAt.IsZero() && len(t.Crashes) > 0 && blame.EndedWell(t.Crashes, ranFor(w, r)) {
-		s.clearSuspect(w, r)
+	if r != nil && !r.BeganAt.IsZero() && len(t.Crashes) > 0 && blame.EndedWell(t.Crashes, minRunAge(w, r)) {
+		s.exonerate(w, r)
 	}
 }
 
-// clearSuspect drops all evidence against a run's task.
-func (s *State) clearSuspect(w *workers.Worker, r *jobs.Run) {
+// exonerate drops all evidence against a run's task.
+func (s *State) exonerate(w *workers.Worker, r *jobs.Run) {
 	t := r.Task
 	if t.Suspected() {
-		s.note(Note{What: NoteCleared, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: w.ID, AgeMs: -1, Detail: fmt.Sprintf("exonerated: ran for %s after %d crashes", ranFor(w, r).Round(time.Millisecond), len(t.Crashes))})
+		s.note(Note{What: NoteCleared, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: w.ID, AgeMs: -1, Detail: fmt.Sprintf("exonerated: ran for %s after %d crashes", minRunAge(w, r).Round(time.Millisecond), len(t.Crashes))})
 	}
 	t.Clear()
 	r.OnTrial = false
@@ -367,23 +367,23 @@
 // noteCrash logs the end or silence of an incarnation: its runs with their ages, and how many workers went
 // silent at the same time.
 func (s *State) noteCrash(now time.Time, w *workers.Worker, at time.Time, life blame.Life) {
-	var told []string
+	var runs []string
 	for _, r := range w.Runs {
-		if len(told) == crashRunsTold {
-			told = append(told, fmt.Sprintf("and %d more", len(w.Runs)-crashRunsTold))
+		if len(runs) == maxLoggedRuns {
+			runs = append(runs, fmt.Sprintf("and %d more", len(w.Runs)-maxLoggedRuns))
 			break
 		}
-		told = append(told, fmt.Sprintf("%s run %d for %s", r.Task.Name(), r.Number, ranFor(w, r).Round(time.Millisecond)))
+		runs = append(runs, fmt.Sprintf("%s run %d for %s", r.Task.Name(), r.Number, minRunAge(w, r).Round(time.Millisecond)))
 	}
 	s.note(Note{
 		What: NoteWorkerCrashed, Worker: w.ID, AgeMs: now.Sub(at).Milliseconds(),
-		Detail: fmt.Sprintf("only silent: %v; %d of %d workers went silent at the same time; runs: %s", life.Silent, life.Lives, life.Workers, strings.Join(told, ", ")),
+		Detail: fmt.Sprintf("only silent: %v; %d of %d workers went silent at the same time; runs: %s", life.Silent, life.Lives, life.Workers, strings.Join(runs, ", ")),
 	})
 }
 
-// ranFor returns the least time that a run has lasted: until its worker's last answer, as the incarnation may
+// minRunAge returns the least time that a run has lasted: until its worker's last answer, as the incarnation may
 // have ended right after that.
-func ranFor(w *workers.Worker, r *jobs.Run) time.Duration {
+func minRunAge(w *workers.Worker, r *jobs.Run) time.Duration {
 	if r.BeganAt.IsZero() {
 		return 0
 	}
--- a/pkg/process/cell/crashes_test.go
+++ b/pkg/process/cell/crashes_test.go
@@ -27,13 +27,13 @@
 	}
 	f.run(30 * time.Second)
 	must.Eq(t, 3, len(f.starts[guilty+".0.0.0"]))
-	must.StrContains(t, f.ended[guilty], "crashed 3 workers that ran it")
-	must.Eq(t, len(others), f.done(others))
-	must.MapLen(t, 1, f.ended)
+	must.StrContains(t, f.failedJobs[guilty], "crashed 3 workers that ran it")
+	must.Eq(t, len(others), f.countCompleted(others))
+	must.MapLen(t, 1, f.failedJobs)
 }
 
 // Two crashing tasks start together on the same worker: both jobs fail, and no other job does.
-func TestTwoThatAreStartedTogetherAreToldApartFromTheRest(t *testing.T) {
+func TestTwoCrashingTasksOnOneWorkerBothFail(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	var others []string
@@ -46,16 +46,16 @@
 	}
 	f.run(60 * time.Second)
 	for _, id := range guilty {
-		must.StrContains(t, f.ended[id], "workers that ran it")
+		must.StrContains(t, f.failedJobs[id], "workers that ran it")
 		must.LessEq(t, 5, len(f.starts[id+".0.0.0"]))
 	}
-	must.Eq(t, len(others), f.done(others))
-	must.MapLen(t, 2, f.ended)
+	must.Eq(t, len(others), f.countCompleted(others))
+	must.MapLen(t, 2, f.failedJobs)
 }
 
 // The table holds the evidence against a task: successors go on from it, though each leader dies soon
 // after a crash.
-func TestSuspicionOutlastsTakeovers(t *testing.T) {
+func TestCrashEvidenceSurvivesTakeovers(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	guilty := f.accept(1, oneTask())
@@ -74,12 +74,12 @@
 	}
 	f.run(20 * time.Second)
 	must.LessEq(t, 5, len(f.starts[task]))
-	must.StrContains(t, f.ended[guilty], "workers that ran it")
+	must.StrContains(t, f.failedJobs[guilty], "workers that ran it")
 }
 
 // A leader orders an isolated run and dies before it learns of the crash. The record says that there may have been
 // a run, so the successor counts it as evidence.
-func TestATrialThatNobodySawCounts(t *testing.T) {
+func TestARecordedIsolatedRunCountsAfterATakeover(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	guilty := f.accept(1, oneTask())
@@ -95,12 +95,12 @@
 	f.lead()
 	f.run(20 * time.Second)
 	must.LessEq(t, 4, len(f.starts[task]))
-	must.StrContains(t, f.ended[guilty], "workers that ran it")
+	must.StrContains(t, f.failedJobs[guilty], "workers that ran it")
 }
 
 // All workers crash at the same time, several times, without a fault of any task: no job fails, and all jobs
 // complete once the crashes stop.
-func TestCrashesOfManyWorkersAccuseNobody(t *testing.T) {
+func TestSimultaneousCrashesFailNoJob(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	var others []string
@@ -116,12 +116,12 @@
 		}
 	}
 	f.run(20 * time.Second)
-	must.MapEmpty(t, f.ended)
-	must.Eq(t, len(others), f.done(others))
+	must.MapEmpty(t, f.failedJobs)
+	must.Eq(t, len(others), f.countCompleted(others))
 }
 
 // A task whose run lasts long is exonerated: later crashes of its worker don't add to earlier evidence.
-func TestASuspectThatRunsWellIsCleared(t *testing.T) {
+func TestALongRunExoneratesASuspect(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	lasting := f.accept(1, &wire.StepSpec{Count: 1, Millicores: 1000, Lasting: true, EstimateMs: 500})
@@ -138,11 +138,11 @@
 		}
 	}
 	f.run(10 * time.Second)
-	must.MapEmpty(t, f.ended)
+	must.MapEmpty(t, f.failedJobs)
 }
 
 // An operator drops the evidence against a task: it starts like any other.
-func TestAnOperatorTakesASuspicionBack(t *testing.T) {
+func TestAnOperatorClearsASuspect(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	id := f.accept(1, oneTask())
@@ -156,13 +156,13 @@
 	must.SliceEmpty(t, f.state.Suspects())
 	delete(f.guilty, id+".0.0.0")
 	f.run(6 * time.Second)
-	must.Eq(t, 1, f.done([]string{id}))
+	must.Eq(t, 1, f.countCompleted([]string{id}))
 }
 
 // In a cell of few workers each has crashed under the task before its isolated run, and the evidence of one
 // crash was lost with its leader. One more crash of an isolated run, at a host that is healthy without the task, is
 // still enough to fail the job.
-func TestAFewWorkersAreEnoughToNameATask(t *testing.T) {
+func TestACrashingTaskFailsInACellOfFewWorkers(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	for _, id := range []string{"w3", "w4", "w5"} {
@@ -189,14 +189,14 @@
 	}
 	f.run(80 * time.Second)
 	for _, id := range ids {
-		must.StrContains(t, f.ended[id], "workers that ran it")
+		must.StrContains(t, f.failedJobs[id], "workers that ran it")
 		must.LessEq(t, 5, len(f.starts[id+".0.0.0"]))
 	}
 }
 
 // An innocent job failed after several runs that ended while many other workers crashed, the last run being
 // isolated. The run that would make the task poisonous waits for a quiet period.
-func TestTheRunThatDecidesWaitsUntilWorkersDoNotCrash(t *testing.T) {
+func TestADecisiveRunWaitsForAQuietPeriod(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	id := f.accept(1, oneTask())
@@ -206,12 +206,12 @@
 	f.rows[id] = &wire.JobProgress{Id: id, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{Crashes: []*wire.CrashNote{outside("a"), outside("b"), outside("c")}}}}}}
 	f.lead()
 	for i := range 4 {
-		f.end(f.workers["w"+strconv.Itoa(i)], crashBack)
-		f.end(f.workers["w"+strconv.Itoa((i+1)%4)], crashBack)
+		f.end(f.workers["w"+strconv.Itoa(i)], restartDelay)
+		f.end(f.workers["w"+strconv.Itoa((i+1)%4)], restartDelay)
 		f.run(2 * time.Second)
 	}
 	must.MapEmpty(t, f.starts)
 	f.run(8 * time.Second)
-	must.MapEmpty(t, f.ended)
-	must.Eq(t, 1, f.done([]string{id}))
+	must.MapEmpty(t, f.failedJobs)
+	must.Eq(t, 1, f.countCompleted([]string{id}))
 }
--- a/pkg/process/cell/crashfleet_test.go
+++ b/pkg/process/cell/crashfleet_test.go
@@ -22,54 +22,54 @@
 	now     time.Time
 	workers map[string]*crashWorker
 	// guilty is, by task, the time from its start to the crash of its worker.
-	guilty map[string]time.Duration
-	starts map[string][]string // the worker of each start, by task
-	crash  map[string]int      // number of crashes, by worker
-	ended  map[string]string   // log text of the end of each failed job
+	guilty     map[string]time.Duration
+	starts     map[string][]string // the worker of each start, by task
+	crash      map[string]int      // number of crashes, by worker
+	failedJobs map[string]string   // log text of the end of each failed job
 	// rows is the progress of each job that the table holds.
-	rows    map[string]*wire.JobProgress
-	specs   []*wire.JobSpec
-	version int64
-	epoch   int64
-	deaf    bool // the table answers with errors
+	rows      map[string]*wire.JobProgress
+	specs     []*wire.JobSpec
+	version   int64
+	epoch     int64
+	tableDown bool // the table answers with errors
 	// lostPart is the part of the table whose transactions are lost without an answer.
 	lostPart string
 }
 
 type crashWorker struct {
-	id     string
-	born   int64
-	upAt   time.Time
-	runs   map[string]crashRun
-	ended  []workers.End
-	number int64
-	offset time.Duration
-	gone   bool // down after a crash, until upAt
+	id          string
+	born        int64
+	upAt        time.Time
+	runs        map[string]crashRun
+	unreadEnds  []workers.End
+	number      int64
+	clockOffset time.Duration
+	gone        bool // down after a crash, until upAt
 }
 
 type crashRun struct {
 	number    int64
 	beganAt   time.Time
-	needs     time.Duration
+	duration  time.Duration
 	crashesAt time.Time
 }
 
 const (
 	crashStep = 10 * time.Millisecond
-	// crashBack is how long a worker is down after a crash.
-	crashBack = 3 * time.Second
-	// crashNeeds is how long a run of a task takes that crashes nothing.
-	crashNeeds = 500 * time.Millisecond
+	// restartDelay is how long a worker is down after a crash.
+	restartDelay = 3 * time.Second
+	// taskDuration is how long a run of a task takes that crashes nothing.
+	taskDuration = 500 * time.Millisecond
 )
 
 func newCrashFleet() *crashFleet {
 	f := &crashFleet{
 		now: time.Unix(1000, 0), workers: map[string]*crashWorker{}, guilty: map[string]time.Duration{}, starts: map[string][]string{},
-		crash: map[string]int{}, ended: map[string]string{}, rows: map[string]*wire.JobProgress{},
+		crash: map[string]int{}, failedJobs: map[string]string{}, rows: map[string]*wire.JobProgress{},
 	}
 	for i := range 6 {
 		id := fmt.Sprintf("w%d", i)
-		f.workers[id] = &crashWorker{id: id, born: 1, runs: map[string]crashRun{}, offset: time.Hour}
+		f.workers[id] = &crashWorker{id: id, born: 1, runs: map[string]crashRun{}, clockOffset: time.Hour}
 	}
 	f.lead()
 	f.run(time.Second)
@@ -81,7 +81,7 @@
 	f.epoch++
 	f.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
 	f.state.Take(f.now, cell.ManifestChanged{Manifest: theManifest})
-	f.list()
+	f.listWorkers()
 	var roster []*wire.RosterEntry
 	var ids []string
 	for _, w := range f.sorted() {
@@ -106,7 +106,7 @@
 	return list
 }
 
-func (f *crashFleet) list() {
+func (f *crashFleet) listWorkers() {
 	var records []workers.Record
 	for _, w := range f.sorted() {
 		records = append(records, workers.Record{
@@ -132,10 +132,10 @@
 	for until := f.now.Add(span); f.now.Before(until); {
 		f.now = f.now.Add(crashStep)
 		for _, w := range f.sorted() {
-			f.work(w)
+			f.stepWorker(w)
 		}
 		f.state.Take(f.now, cell.Tick{})
-		if !f.deaf {
+		if !f.tableDown {
 			f.state.Take(f.now, cell.Confirmed{At: f.now})
 		}
 		for _, e := range f.state.Decide(f.now, f.now) {
@@ -144,24 +144,24 @@
 	}
 }
 
-// work completes a worker's runs, crashes the worker when a run is due to, and restarts it after its time down.
-func (f *crashFleet) work(w *crashWorker) {
+// stepWorker completes a worker's runs, crashes the worker when a run is due to, and restarts it after its time down.
+func (f *crashFleet) stepWorker(w *crashWorker) {
 	if w.gone {
 		if !f.now.Before(w.upAt) {
-			w.gone, w.born, w.number, w.offset, w.ended = false, w.born+1, 0, 0, nil
-			f.list()
+			w.gone, w.born, w.number, w.clockOffset, w.unreadEnds = false, w.born+1, 0, 0, nil
+			f.listWorkers()
 		}
 		return
 	}
 	for task, r := range w.runs {
 		if !r.crashesAt.IsZero() && !f.now.Before(r.crashesAt) {
-			f.end(w, crashBack)
+			f.end(w, restartDelay)
 			return
 		}
-		if r.crashesAt.IsZero() && f.now.Sub(r.beganAt) >= r.needs {
+		if r.crashesAt.IsZero() && f.now.Sub(r.beganAt) >= r.duration {
 			delete(w.runs, task)
 			w.number++
-			w.ended = append(w.ended, workers.End{Number: w.number, Task: task, Run: r.number, How: workers.EndedDone})
+			w.unreadEnds = append(w.unreadEnds, workers.End{Number: w.number, Task: task, Run: r.number, How: workers.EndedDone})
 		}
 	}
 }
@@ -182,7 +182,7 @@
 		f.answerRecord(e)
 	case cell.Note:
 		if e.What == cell.NoteJobEnded && strings.Contains(e.Detail, "FAILED") {
-			f.ended[e.Job] = e.Detail
+			f.failedJobs[e.Job] = e.Detail
 		}
 	default:
 	}
@@ -196,8 +196,8 @@
 		f.state.Take(f.now, looked)
 		return
 	}
-	w.ended = slices.DeleteFunc(w.ended, func(end workers.End) bool { return e.To.Born == w.born && end.Number <= e.Look.Recorded })
-	looked.Report = workers.Report{Born: w.born, Clock: w.offset + f.now.Sub(time.Unix(1000, 0)), Ended: slices.Clone(w.ended)}
+	w.unreadEnds = slices.DeleteFunc(w.unreadEnds, func(end workers.End) bool { return e.To.Born == w.born && end.Number <= e.Look.Recorded })
+	looked.Report = workers.Report{Born: w.born, Clock: w.clockOffset + f.now.Sub(time.Unix(1000, 0)), Ended: slices.Clone(w.unreadEnds)}
 	for task, r := range w.runs {
 		looked.Report.Active = append(looked.Report.Active, workers.Active{Task: task, Run: r.number, Percent: int(f.now.Sub(r.beganAt) / crashStep)})
 	}
@@ -206,12 +206,12 @@
 
 func (f *crashFleet) answerStart(e cell.SendStart) {
 	w := f.workers[e.To.ID]
-	started := cell.Started{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: w.offset + f.now.Sub(time.Unix(1000, 0))}}
+	started := cell.Started{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: w.clockOffset + f.now.Sub(time.Unix(1000, 0))}}
 	if w.gone || (e.To.Born != 0 && e.To.Born != w.born) {
 		started.Reply, started.Err = workers.Reply{}, fault.New(fault.Unknown, w.id, "EOF", "")
 	} else {
-		r := crashRun{number: e.Start.Run, beganAt: f.now, needs: crashNeeds}
-		if after, guilty := f.guilty[e.Start.Task]; guilty {
+		r := crashRun{number: e.Start.Run, beganAt: f.now, duration: taskDuration}
+		if after, poisonous := f.guilty[e.Start.Task]; poisonous {
 			r.crashesAt = f.now.Add(after)
 		}
 		w.runs[e.Start.Task] = r
@@ -225,7 +225,7 @@
 		return
 	}
 	answered := cell.RecordAnswered{Part: e.Part, Serial: e.Serial}
-	if f.deaf {
+	if f.tableDown {
 		answered.Err = fault.New(fault.Unknown, "table", "no answer", "")
 	} else {
 		f.version++
@@ -240,8 +240,8 @@
 	f.state.Take(f.now, answered)
 }
 
-// done returns how many of the given jobs the table holds as completed.
-func (f *crashFleet) done(ids []string) int {
+// countCompleted returns how many of the given jobs the table holds as completed.
+func (f *crashFleet) countCompleted(ids []string) int {
 	n := 0
 	for _, id := range ids {
 		if f.rows[id].GetPhase() == wire.JobPhase_JOB_PHASE_COMPLETED {
--- a/pkg/process/cell/delegatedcrash_test.go
+++ b/pkg/process/cell/delegatedcrash_test.go
@@ -20,7 +20,7 @@
 
 // The home cell of a job learns after the delegation of a task that a silent worker had crashed. Unless the cell that
 // runs the task is told, the job fails one crash too late.
-func TestTheCellOfADelegatedTaskLearnsThatASilentWorkerHasCrashed(t *testing.T) {
+func TestADelegatedTaskFailsWhenTheHomeCellReportsACrash(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	spec := func(silent bool) *wire.JobSpec {
@@ -43,7 +43,7 @@
 }
 
 // The home cell passes the crash of a silent worker on, in the row of the delegated task.
-func TestTheHomeOfADelegatedTaskPassesOnThatASilentWorkerHasCrashed(t *testing.T) {
+func TestTheHomeCellReportsTheCrashOfASilentWorker(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	for _, r := range b.reports {
@@ -59,26 +59,26 @@
 		b.state.Take(b.now, roomAt("other"))
 		b.step(100 * time.Millisecond)
 	}
-	told := func() (last *wire.JobSpec) {
+	sentSpec := func() (last *wire.JobSpec) {
 		b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) {
 			last = &wire.JobSpec{}
 			must.NoError(t, rows.Read(r, last))
 		})
 		return last
 	}
-	must.True(t, told().GetGuest()[0].GetCrashes()[0].GetSilent())
+	must.True(t, sentSpec().GetGuest()[0].GetCrashes()[0].GetSilent())
 	b.silent[at] = false
 	b.reports[at] = &workers.Report{Born: 2}
 	for range 5 {
 		b.step(100 * time.Millisecond)
 	}
-	must.False(t, told().GetGuest()[0].GetCrashes()[0].GetSilent())
-	must.Eq(t, 1, told().GetGuest()[0].GetLending())
+	must.False(t, sentSpec().GetGuest()[0].GetCrashes()[0].GetSilent())
+	must.Eq(t, 1, sentSpec().GetGuest()[0].GetLending())
 }
 
 // A lasting task that is poisonous if its silent worker has crashed was started once more after three seconds, before that
 // was known.
-func TestALastingTaskThatMayBeGivenUpWaitsForWordOfASilentWorker(t *testing.T) {
+func TestALastingTaskWaitsForASilentWorkerWhoseCrashWouldFailIt(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.state.Take(b.now, cell.Accepted{Spec: &wire.JobSpec{
--- a/pkg/process/cell/trials.go
+++ b/pkg/process/cell/trials.go
@@ -16,12 +16,12 @@
 // it is ordered, and few are in progress at a time.
 
 const (
-	// apartPenalty lowers a worker's score for each other suspect there. No amount of free capacity
+	// otherSuspectPenalty lowers a worker's score for each other suspect there. No amount of free capacity
 	// makes up for it.
-	apartPenalty = 5.0
-	// keptFor is how long a worker may stay reserved for an isolated run before another worker is
+	otherSuspectPenalty = 5.0
+	// maxReservation is how long a worker may stay reserved for an isolated run before another worker is
 	// considered. Each run at the worker has to be 1.3 s old first (see blame.Settled).
-	keptFor = 4 * time.Second
+	maxReservation = 4 * time.Second
 )
 
 // keptWorker is a worker that is reserved for the isolated run of a task.
@@ -31,9 +31,9 @@
 }
 
 // closeForTrials finds the workers that accept no other tasks: an isolated run is in progress there, or the
-// worker is reserved for one. Reservations that are obsolete or older than keptFor end.
+// worker is reserved for one. Reservations that are obsolete or older than maxReservation end.
 func (s *State) closeForTrials(now time.Time) {
-	s.openIsolated(now)
+	s.waiveIsolation(now)
 	clear(s.closed)
 	s.trialsOut = 0
 	for _, t := range s.accused {
@@ -45,7 +45,7 @@
 		}
 	}
 	for t, kept := range s.kept {
-		if !s.triedAlone(t) || !t.Waiting(now) || t.Unit.Job.Ended() || s.workers[kept.worker.ID] != kept.worker || now.Sub(kept.since) > keptFor {
+		if !s.triedAlone(t) || !t.Waiting(now) || t.Unit.Job.Ended() || s.workers[kept.worker.ID] != kept.worker || now.Sub(kept.since) > maxReservation {
 			delete(s.kept, t)
 			continue
 		}
@@ -53,24 +53,24 @@
 	}
 }
 
-// joinsAfter is the age of an isolated run from which a lasting task may join its worker: most tasks that crash
+// shareIsolatedAfter is the age of an isolated run from which a lasting task may join its worker: most tasks that crash
 // their workers do so within a fraction of that, and lasting tasks are to use free capacity within three seconds.
-const joinsAfter = 2 * time.Second
+const shareIsolatedAfter = 2 * time.Second
 
 // mayJoinIsolated reports whether a unit of lasting tasks may start at a worker that is closed for an isolated
-// run. The unit must have waited for holdAfter, or for isolatedWaitMost if it has a suspect, and any isolated run
-// there must be older than joinsAfter. It would take longer until that run exonerates its own task.
+// run. The unit must have waited for holdAfter, or for maxIsolatedWait if it has a suspect, and any isolated run there
+// must be older than shareIsolatedAfter. It would take longer until that run exonerates its own task.
 func (s *State) mayJoinIsolated(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
 	after := holdAfter
 	if slices.ContainsFunc(u.Tasks, (*jobs.Task).Suspected) {
-		after = isolatedWaitMost
+		after = maxIsolatedWait
 	}
-	return u.Lasting() && waitOf(now, u) >= after && mayShareIsolated(w)
+	return u.Lasting() && longestWait(now, u) >= after && mayShareIsolated(w)
 }
 
-// waitOf returns the longest time that a task of a unit has waited for a start, in all cells, as far as that
+// longestWait returns the longest time that a task of a unit has waited for a start, in all cells, as far as that
 // is known.
-func waitOf(now time.Time, u *jobs.Unit) time.Duration {
+func longestWait(now time.Time, u *jobs.Unit) time.Duration {
 	longest := now.Sub(u.ReadyAt)
 	for _, t := range u.Waiting(now) {
 		if !t.WaitsSince.IsZero() {
@@ -83,19 +83,19 @@
 // mayShareIsolated reports whether every isolated run at a worker is old enough for other tasks to join.
 func mayShareIsolated(w *workers.Worker) bool {
 	return !slices.ContainsFunc(w.Runs, func(r *jobs.Run) bool {
-		return r.OnTrial && ranFor(w, r) < joinsAfter
+		return r.OnTrial && minRunAge(w, r) < shareIsolatedAfter
 	})
 }
 
-// calmFor is how long no worker may have gone silent before an isolated run starts: a crash among others would
-// be weak evidence. calmWithin is how long the run waits for such a quiet period.
+// quietBeforeIsolated is how long no worker may have gone silent before an isolated run starts: a crash among
+// others would be weak evidence. maxQuietWait is how long the run waits for such a quiet period.
 const (
-	calmFor    = time.Second
-	calmWithin = 6 * time.Second
-	// decisiveCalmFor and decisiveCalmWithin are the same for a run after whose crash the job fails, whatever else may
-	// have caused the crash.
-	decisiveCalmFor    = 4 * time.Second
-	decisiveCalmWithin = 12 * time.Second
+	quietBeforeIsolated = time.Second
+	maxQuietWait        = 6 * time.Second
+	// quietBeforeDecisive and maxQuietWaitDecisive are the same for a run after whose crash the job fails, whatever
+	// else may have caused the crash.
+	quietBeforeDecisive  = 4 * time.Second
+	maxQuietWaitDecisive = 12 * time.Second
 )
 
 // otherHostFor is how long a task that needs isolation waits for a host that has not crashed under it, and
@@ -108,33 +108,33 @@
 	trustedHostFor = 2 * time.Second
 )
 
-// recordHolds is how long a suspect waits for its record while the table does not answer: outages of the table
+// maxRecordWait is how long a suspect waits for its record while the table does not answer: outages of the table
 // last longer, and most suspects are innocent.
-const recordHolds = 3 * time.Second
+const maxRecordWait = 3 * time.Second
 
-// mayTry reports whether an isolated run of a task may start now, provided that a worker is found.
-func (s *State) mayTry(now time.Time, t *jobs.Task) bool {
-	out := s.trialsOut + len(s.kept)
+// mayRunIsolated reports whether an isolated run of a task may start now, provided that a worker is found.
+func (s *State) mayRunIsolated(now time.Time, t *jobs.Task) bool {
+	inUse := s.trialsOut + len(s.kept)
 	if _, kept := s.kept[t]; kept {
-		out--
+		inUse--
 	}
-	return out < blame.Trials(len(s.workers)) && !s.awaitsWord(now, t) && s.isCalm(now, t)
+	return inUse < blame.Trials(len(s.workers)) && !s.awaitsWord(now, t) && s.isQuiet(now, t)
 }
 
-// isCalm reports whether a crash of an isolated run would be evidence against its task because no other workers
+// isQuiet reports whether a crash of an isolated run would be evidence against its task because no other workers
 // crash, or the task has waited for that for long enough. An innocent job that fails is worse for its caller than
 // one that ends later.
-func (s *State) isCalm(now time.Time, t *jobs.Task) bool {
-	quietFor, within := calmFor, calmWithin
+func (s *State) isQuiet(now time.Time, t *jobs.Task) bool {
+	quietFor, maxWait := quietBeforeIsolated, maxQuietWait
 	decides := blame.NextDecides(t.Crashes)
 	if decides {
-		quietFor, within = decisiveCalmFor, decisiveCalmWithin
+		quietFor, maxWait = quietBeforeDecisive, maxQuietWaitDecisive
 	}
 	quiet := len(s.falls) == 0 || now.Sub(s.falls[len(s.falls)-1].before) >= quietFor
 	if decides {
 		quiet = quiet && s.crashesWithout(now, t) < blame.Common(len(s.workers))
 	}
-	return quiet || waitedFor(now, t) >= within
+	return quiet || currentWait(now, t) >= maxWait
 }
 
 // triedAlone reports whether a task may start only in an isolated run, where one more crash would identify it.
@@ -142,19 +142,19 @@
 	return t.Level() == blame.OnTrial && !s.tooWideToTry(t.Unit) && !t.IsolationWaived
 }
 
-// isolatedWaitMost is how long a lasting task waits for an isolated run: a poisonous task is identified without one,
+// maxIsolatedWait is how long a lasting task waits for an isolated run: a poisonous task is identified without one,
 // too, and most suspects are innocent.
-const isolatedWaitMost = 3 * time.Second
+const maxIsolatedWait = 3 * time.Second
 
-// openIsolated lets lasting tasks that have waited isolatedWaitMost for an isolated run start without isolation.
-func (s *State) openIsolated(now time.Time) {
+// waiveIsolation lets lasting tasks that have waited maxIsolatedWait for an isolated run start without isolation.
+func (s *State) waiveIsolation(now time.Time) {
 	for _, t := range s.accused {
 		switch {
 		case !t.Unit.Lasting() || t.Level() != blame.OnTrial || !t.Waiting(now) || s.awaitsWord(now, t):
 			t.IsolationWaived, t.IsolatedSince = false, time.Time{}
 		case t.IsolatedSince.IsZero():
 			t.IsolatedSince = now
-		case now.Sub(t.IsolatedSince) >= isolatedWaitMost:
+		case now.Sub(t.IsolatedSince) >= maxIsolatedWait:
 			t.IsolationWaived = true
 		}
 	}
@@ -187,11 +187,11 @@
 // chooseForTrial returns the worker for an isolated run of a task, or nil if none can start yet. It reserves the
 // worker where least would be lost until all runs there are old enough and the isolated run is recorded.
 func (s *State) chooseForTrial(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
-	if !s.mayTry(now, t) {
+	if !s.mayRunIsolated(now, t) {
 		return nil
 	}
 	if _, is := s.kept[t]; !is {
-		best := s.bestForTrial(now, t, service, usable)
+		best := s.bestForIsolated(now, t, service, usable)
 		if best == nil {
 			return nil
 		}
@@ -199,8 +199,8 @@
 	}
 	w := s.kept[t].worker
 	delete(s.closed, w) // the reservation excludes other tasks only
-	fit := s.usable(now, w) && settledAt(w) && suspectsAt(w) == 0 && s.fits(now, t.Unit, service, w)
-	if fit && s.trialRecorded(t) {
+	fit := s.usable(now, w) && allLongRunning(w) && suspectRuns(w) == 0 && s.fits(now, t.Unit, service, w)
+	if fit && s.isolatedRunRecorded(t) {
 		delete(s.kept, t)
 		return w
 	}
@@ -208,9 +208,9 @@
 	return nil
 }
 
-// trialRecorded reports whether the table holds the record of an isolated run of a task. If the record was not
-// requested yet, trialRecorded requests it.
-func (s *State) trialRecorded(t *jobs.Task) bool {
+// isolatedRunRecorded reports whether the table holds the record of an isolated run of a task. If the record was
+// not requested yet, isolatedRunRecorded requests it.
+func (s *State) isolatedRunRecorded(t *jobs.Task) bool {
 	if t.Trial == jobs.NoTrial {
 		t.Trial = jobs.TrialWanted
 		s.markDirty(t.Unit.Job, true)
@@ -218,25 +218,25 @@
 	return t.Trial == jobs.TrialRecorded || s.unsafe.NoTrialRecord
 }
 
-// bestForTrial returns the usable worker with the highest score for an isolated run of a task, or nil if none fits.
-func (s *State) bestForTrial(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
+// bestForIsolated returns the usable worker with the highest score for an isolated run of a task, or nil if none fits.
+func (s *State) bestForIsolated(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
 	var best *workers.Worker
 	for _, w := range usable {
-		if awaitsHost(now, t, w, usable) || s.lastingTakes(now, t, w) {
+		if awaitsHost(now, t, w, usable) || s.neededByLasting(now, t, w) {
 			continue
 		}
-		if s.fits(now, t.Unit, service, w) && suspectsAt(w) == 0 && (best == nil || s.trialScore(now, t, w) > s.trialScore(now, t, best)) {
+		if s.fits(now, t.Unit, service, w) && suspectRuns(w) == 0 && (best == nil || s.isolatedScore(now, t, w) > s.isolatedScore(now, t, best)) {
 			best = w
 		}
 	}
 	return best
 }
 
-// lastingTakes reports whether a lasting task that has waited for holdAfter and needs no isolation could start
+// neededByLasting reports whether a lasting task that has waited for holdAfter and needs no isolation could start
 // at a worker. Such a worker is not reserved for the isolated run of another task.
-func (s *State) lastingTakes(now time.Time, isolated *jobs.Task, w *workers.Worker) bool {
+func (s *State) neededByLasting(now time.Time, isolated *jobs.Task, w *workers.Worker) bool {
 	for u := range s.waiting {
-		if !u.Lasting() || waitOf(now, u) < holdAfter || !s.fits(now, u, s.service(u.Job), w) {
+		if !u.Lasting() || longestWait(now, u) < holdAfter || !s.fits(now, u, s.service(u.Job), w) {
 			continue
 		}
 		if slices.ContainsFunc(u.Waiting(now), func(t *jobs.Task) bool { return t != isolated && !s.triedAlone(t) }) {
@@ -246,9 +246,9 @@
 	return false
 }
 
-// waitedFor returns how long a task has waited for a start, as far as this leader knows: since its unit was
+// currentWait returns how long a task has waited for a start, as far as this leader knows: since its unit was
 // ready or since the task lost its last run, whichever came later.
-func waitedFor(now time.Time, t *jobs.Task) time.Duration {
+func currentWait(now time.Time, t *jobs.Task) time.Duration {
 	since := t.Unit.ReadyAt
 	if t.WaitsSince.After(since) {
 		since = t.WaitsSince
@@ -256,8 +256,8 @@
 	return now.Sub(since)
 }
 
-// hostFor returns how long a task waits for a host that has not crashed under it.
-func hostFor(t *jobs.Task) time.Duration {
+// otherHostWait returns how long a task waits for a host that has not crashed under it.
+func otherHostWait(t *jobs.Task) time.Duration {
 	switch t.Level() {
 	case blame.OnTrial:
 		return otherHostFor
@@ -271,39 +271,39 @@
 // awaitsHost reports whether a task should wait for a host that has not crashed under it, and not start at a given
 // worker: one more crash of the same host would be weak evidence, as the host itself may be at fault.
 func awaitsHost(now time.Time, t *jobs.Task, w *workers.Worker, usable []*workers.Worker) bool {
-	return t.CrashedAt(w.Host) && waitedFor(now, t) < hostFor(t) &&
+	return t.CrashedAt(w.Host) && currentWait(now, t) < otherHostWait(t) &&
 		slices.ContainsFunc(usable, func(other *workers.Worker) bool { return !t.CrashedAt(other.Host) })
 }
 
 // awaitsRecord reports whether a suspect waits until the evidence against it is recorded, so that a successor
 // knows of it. The record was requested when the evidence was added. If the table does not answer, the suspect
-// waits for recordHolds at most.
+// waits for maxRecordWait at most.
 func (s *State) awaitsRecord(now time.Time, t *jobs.Task) bool {
-	return t.Level() == blame.Suspect && t.Trial == jobs.TrialWanted && waitedFor(now, t) < recordHolds
+	return t.Level() == blame.Suspect && t.Trial == jobs.TrialWanted && currentWait(now, t) < maxRecordWait
 }
 
-// trialScore ranks workers for an isolated run of a task. A crash of a host that has not crashed under the task
+// isolatedScore ranks workers for an isolated run of a task. A crash of a host that has not crashed under the task
 // and not recently without it is stronger evidence; with fewer runs at the worker, less is lost.
-func (s *State) trialScore(now time.Time, t *jobs.Task, w *workers.Worker) float64 {
+func (s *State) isolatedScore(now time.Time, t *jobs.Task, w *workers.Worker) float64 {
 	score := -float64(len(w.Runs))
-	if t.CrashedAt(w.Host) || s.hostFails(now, w, t) {
-		score -= apartPenalty * float64(1+len(s.workers))
+	if t.CrashedAt(w.Host) || s.hostCrashedWithout(now, w, t) {
+		score -= otherSuspectPenalty * float64(1+len(s.workers))
 	}
 	return score
 }
 
-// settledAt reports whether every run at a worker is too old to count as company of a run that starts now.
-func settledAt(w *workers.Worker) bool {
+// allLongRunning reports whether every run at a worker is too old to count as company of a run that starts now.
+func allLongRunning(w *workers.Worker) bool {
 	for _, r := range w.Runs {
-		if !blame.Settled(ranFor(w, r)) {
+		if !blame.Settled(minRunAge(w, r)) {
 			return false
 		}
 	}
 	return true
 }
 
-// suspectsAt returns how many runs of suspects a worker has.
-func suspectsAt(w *workers.Worker) int {
+// suspectRuns returns how many runs of suspects a worker has.
+func suspectRuns(w *workers.Worker) int {
 	n := 0
 	for _, r := range w.Runs {
 		if r.Task.Suspected() {
@@ -315,5 +315,5 @@
 
 // suspectScore ranks workers for a suspect: the fewest other suspects first, then the most free capacity.
 func suspectScore(w *workers.Worker) float64 {
-	return float64(w.Free().Millicores)/float64(max(1, w.Capacity.Millicores)) - apartPenalty*float64(suspectsAt(w))
+	return float64(w.Free().Millicores)/float64(max(1, w.Capacity.Millicores)) - otherSuspectPenalty*float64(suspectRuns(w))
 }
--- a/pkg/process/cell/trials_test.go
+++ b/pkg/process/cell/trials_test.go
@@ -85,7 +85,7 @@
 // Ten tasks wait for isolated runs in a cell of six idle workers. When only one such run was allowed at a time, so that
 // simultaneous crashes would not look like an outage, each task waited for the runs of all before it.
 // A third of the workers may have isolated runs.
-func TestTasksAreTriedAtAThirdOfTheWorkers(t *testing.T) {
+func TestAThirdOfTheWorkersMayHaveIsolatedRuns(t *testing.T) {
 	t.Parallel()
 	active := startSuspects(6, &wire.StepSpec{Count: 10, Millicores: 1000})
 	must.MapLen(t, 2, active)
@@ -97,7 +97,7 @@
 // A gang of four suspects in a cell of three workers: its members start together or not at all, and each would need
 // an isolated run. The gang waited without end (from 19.283 s to 74.999 s, after 3 crashes of each
 // member) while three workers were idle.
-func TestAGangThatIsTooWideForTrialsRuns(t *testing.T) {
+func TestAGangTooWideToIsolateStarts(t *testing.T) {
 	t.Parallel()
 	n := 0
 	for _, runs := range startSuspects(3, &wire.StepSpec{Count: 4, Millicores: 1000, Gang: true}) {
@@ -108,7 +108,7 @@
 
 // Two gangs of two in a cell that allows two isolated runs at a time: each gang reserved a worker for one of its
 // members, and neither started (SEED=763 of CrashTasksPlan).
-func TestGangsDoNotHoldUpEachOthersTrials(t *testing.T) {
+func TestGangsDoNotBlockEachOthersIsolatedRuns(t *testing.T) {
 	t.Parallel()
 	gang := &wire.StepSpec{Count: 2, Millicores: 1000, Gang: true}
 	n := 0
@@ -119,7 +119,7 @@
 }
 
 // More lasting tasks need isolated runs than are allowed at a time: the others start without isolation after a wait.
-func TestLastingTasksDoNotQueueForIsolatedRuns(t *testing.T) {
+func TestLastingTasksStartWithoutIsolationAfterAWait(t *testing.T) {
 	t.Parallel()
 	n := 0
 	for _, runs := range startSuspectsFor(4*time.Second, 0, 6, &wire.StepSpec{Count: 6, Millicores: 1000, Lasting: true}) {
@@ -129,7 +129,7 @@
 }
 
 // A lasting task that has waited for long starts at a worker whose isolated run is old enough.
-func TestALastingTaskJoinsAnIsolatedRunThatGoesOn(t *testing.T) {
+func TestALastingTaskJoinsAnOldIsolatedRun(t *testing.T) {
 	t.Parallel()
 	suspect := &wire.StepSpec{Count: 1, Millicores: 1000, Lasting: true}
 	innocent := &wire.StepSpec{Count: 1, Millicores: 2000, Lasting: true}
@@ -146,7 +146,7 @@
 
 // A worker with an isolated run stayed closed until its task was exonerated to a lasting task without evidence, if
 // another task of that one's step was a suspect.
-func TestALastingTaskJoinsAnIsolatedRunThoughOthersOfItsStepAreSuspected(t *testing.T) {
+func TestALastingTaskJoinsAnIsolatedRunDespiteASuspectInItsStep(t *testing.T) {
 	t.Parallel()
 	suspect := &wire.StepSpec{Count: 1, Millicores: 1000, Lasting: true}
 	mixed := &wire.StepSpec{Count: 2, Millicores: 2001, Lasting: true}
@@ -165,14 +165,14 @@
 }
 
 // A lasting task is delegated to a cell whose only free capacity is beside isolated runs that it may join.
-func TestALoadTellsTheCapacityBesideIsolatedRuns(t *testing.T) {
+func TestALastingTaskIsDelegatedToCapacityBesideIsolatedRuns(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
 	b.accept(lentJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
-	shared := &wire.CellLoad{Leading: true, Cell: "other", LargestFreeMillicores: 32000, FreeMillicores: 64000, LastingFreeEach: []int64{32000, 32000}}
+	otherLoad := &wire.CellLoad{Leading: true, Cell: "other", LargestFreeMillicores: 32000, FreeMillicores: 64000, LastingFreeEach: []int64{32000, 32000}}
 	lent := false
 	for range 60 {
-		b.state.Take(b.now, cell.OtherLoad{Load: shared})
+		b.state.Take(b.now, cell.OtherLoad{Load: otherLoad})
 		b.step(50 * time.Millisecond)
 	}
 	b.putsOf(t, rows.SpecKey("other", lentJob), func(table.Row) { lent = true })
