--- a/pkg/process/blame/accuse.go
+++ b/pkg/process/blame/accuse.go
@@ -38,9 +38,11 @@
 }
 
 const (
-	// outageDivisor divides the number of workers: as many go silent at the same time only for one external cause.
+	// outageDivisor sets the share of all workers, 1/outageDivisor, that goes silent at the same time only for one
+	// external cause.
 	outageDivisor = 8
-	// outageMin is the lower bound of that number; outageMinFewWorkers is the same for few workers.
+	// outageMin is the least number of workers in such an outage; outageMinFewWorkers is the same if there are
+	// few workers.
 	outageMin, outageMinFewWorkers = 3, 2
 	// maxFewWorkers is the largest number of workers that counts as few.
 	maxFewWorkers = 11
@@ -68,9 +70,9 @@
 	commonCrashTenths = 4
 )
 
-// isolatedDivisor divides the number of workers: as many may have isolated runs at a time. Such a worker accepts
-// nothing else, and a task that waits for an isolated run has lost a worker or two already, so the other tasks
-// keep most of the capacity.
+// isolatedDivisor sets the share of all workers, 1/isolatedDivisor, that may have isolated runs at a time. Such a
+// worker accepts nothing else, and a task that waits for an isolated run has crashed a worker or two already, so
+// the other tasks keep most of the capacity.
 const isolatedDivisor = 3
 
 // Trials returns how many isolated runs may be in progress at a time. Many does not bound them, as simultaneous
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -12,9 +12,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Crash evidence. When a worker incarnation ends without a stop or a leave, the tasks that ran there get
-// evidence against them. The package blame weighs it; suspects are then placed so that one more crash
-// identifies the task. The record of a task's job holds the evidence, so that it survives this leader.
+// Crash evidence. When a worker incarnation ends without a stop or a leave, that is evidence against the tasks
+// that ran there. The package blame weighs it; suspects are then placed so that one more crash identifies
+// the task. The record of a task's job holds the evidence, so that it survives this leader.
 // A worker that was leaving, or whose row was gone, before it went silent gives no evidence. A silent
 // worker has crashed or is cut off: its evidence is withdrawn if the same incarnation answers again.
 
@@ -30,7 +30,8 @@
 	// evidence: a single failure may be a broken connection, and evidence costs one record of each job
 	// that runs there.
 	failuresSilent = 2
-	// brokenConnectionSlack is longer than it takes to notice a broken connection, and shorter than lookSlack.
+	// brokenConnectionSlack is how much longer than the wait of a poll it may take to notice a broken connection:
+	// a silence noticed later showed by a timeout. It is shorter than lookSlack.
 	brokenConnectionSlack = 60 * time.Millisecond
 	// hostCrashMemory is how long a crash of a host remains a sign of a fault of the host itself, should it
 	// crash again.
@@ -41,8 +42,8 @@
 	// maxSilentWait is how long a task that would start in an isolated run waits to learn whether its
 	// silent worker crashed.
 	maxSilentWait = 10 * time.Second
-	// maxSilentWaitLasting is the same for a lasting task, which is soon late. It does not apply if the
-	// job would fail should the worker have crashed.
+	// maxSilentWaitLasting is the same for a lasting task, which is soon late. A lasting task that
+	// would be poisonous if the worker crashed waits for maxSilentWait.
 	maxSilentWaitLasting = 3 * time.Second
 )
 
@@ -204,7 +205,7 @@
 	return true
 }
 
-// remember adds a task to those with evidence against them.
+// remember adds a task to the implicated tasks, those with evidence against them.
 func (s *State) remember(t *jobs.Task) {
 	if !slices.Contains(s.accused, t) {
 		s.accused = append(s.accused, t)
@@ -272,8 +273,8 @@
 	}
 }
 
-// learnOfCrashes takes over, from a later specification of a delegated job, which silent workers are known to
-// its home cell to have crashed.
+// learnOfCrashes confirms the evidence of silent workers that have crashed, as the home cell of a delegated job
+// reports in a later specification.
 func (s *State) learnOfCrashes(now time.Time, j *jobs.Job, spec *wire.JobSpec) {
 	if j.Ended() {
 		return
--- a/pkg/process/cell/suspects.go
+++ b/pkg/process/cell/suspects.go
@@ -9,9 +9,9 @@
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
 )
 
-// How operators list the tasks with evidence against them, and drop that evidence.
+// How operators list the implicated tasks, those with crash evidence against them, and drop that evidence.
 
-// Suspect is a task with evidence that it crashes workers, as operators see it. Its level may still be trusted.
+// Suspect is an implicated task as operators see it. Its level may still be trusted.
 type Suspect struct {
 	Task    string
 	Level   string
@@ -23,7 +23,7 @@
 
 func (ClearSuspicion) event() {}
 
-// Suspects lists the tasks with evidence against them, sorted by name.
+// Suspects lists the implicated tasks, sorted by name.
 func (s *State) Suspects() []Suspect {
 	list := []Suspect{}
 	s.eachAccused(func(t *jobs.Task) {
@@ -33,7 +33,7 @@
 	return list
 }
 
-// eachAccused calls do for each task with evidence against it whose job has not ended.
+// eachAccused calls do for each implicated task whose job has not ended.
 func (s *State) eachAccused(do func(*jobs.Task)) {
 	for _, t := range s.accused {
 		if len(t.Crashes) > 0 && !t.Unit.Job.Ended() {
--- a/pkg/process/cell/trials.go
+++ b/pkg/process/cell/trials.go
@@ -59,7 +59,7 @@
 
 // mayJoinIsolated reports whether a unit of lasting tasks may start at a worker that is closed for an isolated
 // run. The unit must have waited for holdAfter, or for maxIsolatedWait if it has a suspect, and any isolated run there
-// must be older than shareIsolatedAfter. It would take longer until that run exonerates its own task.
+// must be older than shareIsolatedAfter. To wait until that run exonerates its task would take longer.
 func (s *State) mayJoinIsolated(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
 	after := holdAfter
 	if slices.ContainsFunc(u.Tasks, (*jobs.Task).Suspected) {
@@ -282,8 +282,9 @@
 	return t.Level() == blame.Suspect && t.Trial == jobs.TrialWanted && currentWait(now, t) < maxRecordWait
 }
 
-// isolatedScore ranks workers for an isolated run of a task. A crash of a host that has not crashed under the task
-// and not recently without it is stronger evidence; with fewer runs at the worker, less is lost.
+// isolatedScore ranks workers for an isolated run of a task. It prefers hosts that have not crashed under the task,
+// nor recently without it, as a crash there is stronger evidence. Among these it prefers workers with fewer runs,
+// as less is lost.
 func (s *State) isolatedScore(now time.Time, t *jobs.Task, w *workers.Worker) float64 {
 	score := -float64(len(w.Runs))
 	if t.CrashedAt(w.Host) || s.hostCrashedWithout(now, w, t) {
