--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -152,18 +152,18 @@
 		return
 	}
 	lives, isolated := s.simultaneousSilences(w, at)
-	life := blame.Life{Worker: w.ID, Host: w.Host, Born: w.Born, Silent: silent, Dark: foundByTimeout(w), Lives: lives, Tried: isolated, Workers: len(s.workers), At: s.wall.Add(-now.Sub(at))}
+	ended := blame.Life{Worker: w.ID, Host: w.Host, Born: w.Born, Silent: silent, Dark: foundByTimeout(w), Lives: lives, Tried: isolated, Workers: len(s.workers), At: s.wall.Add(-now.Sub(at))}
 	for _, r := range w.Runs {
-		life.Runs = append(life.Runs, blame.Seen{Run: r.Number, Began: !r.BeganAt.IsZero(), Age: minRunAge(w, r), HostFails: s.hostCrashedWithout(now, w, r.Task), Elsewhere: s.crashesWithout(now, r.Task), Gang: gangOf(r), Trial: r.OnTrial})
+		ended.Runs = append(ended.Runs, blame.Seen{Run: r.Number, Began: !r.BeganAt.IsZero(), Age: minRunAge(w, r), HostFails: s.hostCrashedWithout(now, w, r.Task), Elsewhere: s.crashesWithout(now, r.Task), Gang: gangOf(r), Trial: r.OnTrial})
 	}
 	if !silent {
 		s.addHostCrash(now, w)
 	}
-	s.noteCrash(now, w, at, life)
+	s.noteCrash(now, w, at, ended)
 	if s.unsafe.NoBlame {
 		return
 	}
-	for i, c := range life.Accuse() {
+	for i, c := range ended.Accuse() {
 		if c != nil {
 			s.hold(now, w.Runs[i].Task, *c)
 		}
@@ -234,19 +234,19 @@
 
 // poisonousReason returns the failure reason of a job with a poisonous task.
 func poisonousReason(t *jobs.Task) string {
-	var where []string
+	var ids []string
 	for _, c := range t.Crashes {
-		where = append(where, c.Worker)
+		ids = append(ids, c.Worker)
 	}
-	return fmt.Sprintf("%s crashed %d workers that ran it: %s", t.Name(), len(where), strings.Join(where, ", "))
+	return fmt.Sprintf("%s crashed %d workers that ran it: %s", t.Name(), len(ids), strings.Join(ids, ", "))
 }
 
 // resolveSilent updates the evidence for selected silent runs, as it is now known whether their workers
 // crashed: it is confirmed if they did, and withdrawn if they did not.
-func (s *State) resolveSilent(now time.Time, crashed bool, which func(silentRun) bool) {
+func (s *State) resolveSilent(now time.Time, crashed bool, match func(silentRun) bool) {
 	var resolved []silentRun
 	s.silent = slices.DeleteFunc(s.silent, func(r silentRun) bool {
-		if which(r) {
+		if match(r) {
 			resolved = append(resolved, r)
 			return true
 		}
@@ -320,11 +320,11 @@
 
 // awaitsWord reports whether a task still waits to learn if a silent worker that ran it crashed.
 func (s *State) awaitsWord(now time.Time, t *jobs.Task) bool {
-	holds := maxSilentWait
+	maxWait := maxSilentWait
 	if t.Unit.Lasting() && !t.GuiltyIfSilentCrashed() {
-		holds = maxSilentWaitLasting
+		maxWait = maxSilentWaitLasting
 	}
-	return slices.ContainsFunc(s.silent, func(r silentRun) bool { return r.task == t && now.Sub(r.since) < holds })
+	return slices.ContainsFunc(s.silent, func(r silentRun) bool { return r.task == t && now.Sub(r.since) < maxWait })
 }
 
 // clearSuspects exonerates each task with a run that has lasted far longer than any of its runs that
@@ -367,7 +367,7 @@
 
 // noteCrash logs the end or silence of an incarnation: its runs with their ages, and how many workers went
 // silent at the same time.
-func (s *State) noteCrash(now time.Time, w *workers.Worker, at time.Time, life blame.Life) {
+func (s *State) noteCrash(now time.Time, w *workers.Worker, at time.Time, ended blame.Life) {
 	var runs []string
 	for _, r := range w.Runs {
 		if len(runs) == maxLoggedRuns {
@@ -378,7 +378,7 @@
 	}
 	s.note(Note{
 		What: NoteWorkerCrashed, Worker: w.ID, AgeMs: now.Sub(at).Milliseconds(),
-		Detail: fmt.Sprintf("only silent: %v; %d of %d workers went silent at the same time; runs: %s", life.Silent, life.Lives, life.Workers, strings.Join(runs, ", ")),
+		Detail: fmt.Sprintf("only silent: %v; %d of %d workers went silent at the same time; runs: %s", ended.Silent, ended.Lives, ended.Workers, strings.Join(runs, ", ")),
 	})
 }
 
--- a/pkg/process/cell/crashes_test.go
+++ b/pkg/process/cell/crashes_test.go
@@ -18,16 +18,16 @@
 func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
-	guilty := f.accept(1, oneTask())
-	f.guilty[guilty+".0.0.0"] = 10 * time.Millisecond
+	poisonous := f.accept(1, oneTask())
+	f.guilty[poisonous+".0.0.0"] = 10 * time.Millisecond
 	var others []string
 	for i := range 60 {
 		others = append(others, f.accept(100+i, oneTask()))
 		f.run(40 * time.Millisecond)
 	}
 	f.run(30 * time.Second)
-	must.Eq(t, 3, len(f.starts[guilty+".0.0.0"]))
-	must.StrContains(t, f.failedJobs[guilty], "crashed 3 workers that ran it")
+	must.Eq(t, 3, len(f.starts[poisonous+".0.0.0"]))
+	must.StrContains(t, f.failedJobs[poisonous], "crashed 3 workers that ran it")
 	must.Eq(t, len(others), f.countCompleted(others))
 	must.MapLen(t, 1, f.failedJobs)
 }
@@ -40,12 +40,12 @@
 	for i := range 20 {
 		others = append(others, f.accept(100+i, oneTask()))
 	}
-	guilty := []string{f.accept(1, oneTask()), f.accept(2, oneTask())}
-	for _, id := range guilty {
+	poisonous := []string{f.accept(1, oneTask()), f.accept(2, oneTask())}
+	for _, id := range poisonous {
 		f.guilty[id+".0.0.0"] = 10 * time.Millisecond
 	}
 	f.run(60 * time.Second)
-	for _, id := range guilty {
+	for _, id := range poisonous {
 		must.StrContains(t, f.failedJobs[id], "workers that ran it")
 		must.LessEq(t, 5, len(f.starts[id+".0.0.0"]))
 	}
@@ -58,8 +58,8 @@
 func TestCrashEvidenceSurvivesTakeovers(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
-	guilty := f.accept(1, oneTask())
-	task := guilty + ".0.0.0"
+	poisonous := f.accept(1, oneTask())
+	task := poisonous + ".0.0.0"
 	f.guilty[task] = 10 * time.Millisecond
 	for range 8 {
 		before := len(f.starts[task])
@@ -74,7 +74,7 @@
 	}
 	f.run(20 * time.Second)
 	must.LessEq(t, 5, len(f.starts[task]))
-	must.StrContains(t, f.failedJobs[guilty], "workers that ran it")
+	must.StrContains(t, f.failedJobs[poisonous], "workers that ran it")
 }
 
 // A leader orders an isolated run and dies before it learns of the crash. The record says that there may have been
@@ -82,8 +82,8 @@
 func TestARecordedIsolatedRunCountsAfterATakeover(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
-	guilty := f.accept(1, oneTask())
-	task := guilty + ".0.0.0"
+	poisonous := f.accept(1, oneTask())
+	task := poisonous + ".0.0.0"
 	f.guilty[task] = 10 * time.Millisecond
 	for range 2000 {
 		f.run(crashStep)
@@ -95,7 +95,7 @@
 	f.lead()
 	f.run(20 * time.Second)
 	must.LessEq(t, 4, len(f.starts[task]))
-	must.StrContains(t, f.failedJobs[guilty], "workers that ran it")
+	must.StrContains(t, f.failedJobs[poisonous], "workers that ran it")
 }
 
 // All workers crash at the same time, several times, without a fault of any task: no job fails, and all jobs
--- a/pkg/process/cell/crashfleet_test.go
+++ b/pkg/process/cell/crashfleet_test.go
@@ -42,7 +42,7 @@
 	upAt        time.Time
 	runs        map[string]crashRun
 	unreadEnds  []workers.End
-	number      int64
+	lastEnd     int64
 	clockOffset time.Duration
 	gone        bool // down after a crash, until upAt
 }
@@ -148,7 +148,7 @@
 func (f *crashFleet) stepWorker(w *crashWorker) {
 	if w.gone {
 		if !f.now.Before(w.upAt) {
-			w.gone, w.born, w.number, w.clockOffset, w.unreadEnds = false, w.born+1, 0, 0, nil
+			w.gone, w.born, w.lastEnd, w.clockOffset, w.unreadEnds = false, w.born+1, 0, 0, nil
 			f.listWorkers()
 		}
 		return
@@ -160,8 +160,8 @@
 		}
 		if r.crashesAt.IsZero() && f.now.Sub(r.beganAt) >= r.duration {
 			delete(w.runs, task)
-			w.number++
-			w.unreadEnds = append(w.unreadEnds, workers.End{Number: w.number, Task: task, Run: r.number, How: workers.EndedDone})
+			w.lastEnd++
+			w.unreadEnds = append(w.unreadEnds, workers.End{Number: w.lastEnd, Task: task, Run: r.number, How: workers.EndedDone})
 		}
 	}
 }
--- a/pkg/process/cell/trials.go
+++ b/pkg/process/cell/trials.go
@@ -44,12 +44,12 @@
 			}
 		}
 	}
-	for t, kept := range s.kept {
-		if !s.triedAlone(t) || !t.Waiting(now) || t.Unit.Job.Ended() || s.workers[kept.worker.ID] != kept.worker || now.Sub(kept.since) > maxReservation {
+	for t, reservation := range s.kept {
+		if !s.triedAlone(t) || !t.Waiting(now) || t.Unit.Job.Ended() || s.workers[reservation.worker.ID] != reservation.worker || now.Sub(reservation.since) > maxReservation {
 			delete(s.kept, t)
 			continue
 		}
-		s.closed[kept.worker] = true
+		s.closed[reservation.worker] = true
 	}
 }
 
@@ -61,11 +61,11 @@
 // run. The unit must have waited for holdAfter, or for maxIsolatedWait if it has a suspect, and any isolated run there
 // must be older than shareIsolatedAfter. To wait until that run exonerates its task would take longer.
 func (s *State) mayJoinIsolated(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
-	after := holdAfter
+	minWait := holdAfter
 	if slices.ContainsFunc(u.Tasks, (*jobs.Task).Suspected) {
-		after = maxIsolatedWait
+		minWait = maxIsolatedWait
 	}
-	return u.Lasting() && longestWait(now, u) >= after && mayShareIsolated(w)
+	return u.Lasting() && longestWait(now, u) >= minWait && mayShareIsolated(w)
 }
 
 // longestWait returns the longest time that a task of a unit has waited for a start, in all cells, as far as that
@@ -115,7 +115,7 @@
 // mayRunIsolated reports whether an isolated run of a task may start now, provided that a worker is found.
 func (s *State) mayRunIsolated(now time.Time, t *jobs.Task) bool {
 	inUse := s.trialsOut + len(s.kept)
-	if _, kept := s.kept[t]; kept {
+	if _, reserved := s.kept[t]; reserved {
 		inUse--
 	}
 	return inUse < blame.Trials(len(s.workers)) && !s.awaitsWord(now, t) && s.isQuiet(now, t)
@@ -190,7 +190,7 @@
 	if !s.mayRunIsolated(now, t) {
 		return nil
 	}
-	if _, is := s.kept[t]; !is {
+	if _, reserved := s.kept[t]; !reserved {
 		best := s.bestForIsolated(now, t, service, usable)
 		if best == nil {
 			return nil
