--- a/pkg/process/cell/crashes_test.go
+++ b/pkg/process/cell/crashes_test.go
@@ -11,59 +11,55 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A task crashed each worker that started it, 10 ms later. Nothing was remembered of a run that ended
-// with its worker, so it was started anew as soon as the next life answered, beside what had died with
-// it, on the same worker, each time; a count alone would have given up its neighbours, too. In a
-// leader's log, in one millisecond, and again every 3.2 to 3.6 s:
-//
-//	task-lost  ...0.1.0 run 1000927  "its host runs ..."
-//	task-start ...0.1.0 run 1001032  "after 20.822s, 400 millicores left"
-//	task-lost  ...0.0.1 run 1000780 (7.9 s old), and eight more
+// A task that crashes each worker 10 ms after its start was started again without end, every 3.2 to 3.6 s, since
+// a run that ended with its worker left no evidence. It started again on the same worker as soon as
+// the next incarnation answered, beside the tasks that it had crashed before (eight of them in one case, with runs up to 7.9 s
+// old). A count of crashes alone would have failed the jobs of these neighbours, too.
 func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
-	guilty := f.accept(1, oneTask())
-	f.guilty[guilty+".0.0.0"] = 10 * time.Millisecond
+	poisonous := f.accept(1, oneTask())
+	f.guilty[poisonous+".0.0.0"] = 10 * time.Millisecond
 	var others []string
 	for i := range 60 {
 		others = append(others, f.accept(100+i, oneTask()))
 		f.run(40 * time.Millisecond)
 	}
 	f.run(30 * time.Second)
-	must.Eq(t, 3, len(f.starts[guilty+".0.0.0"]))
-	must.StrContains(t, f.ended[guilty], "crashed 3 workers that ran it")
-	must.Eq(t, len(others), f.done(others))
-	must.MapLen(t, 1, f.ended)
+	must.Eq(t, 3, len(f.starts[poisonous+".0.0.0"]))
+	must.StrContains(t, f.failedJobs[poisonous], "crashed 3 workers that ran it")
+	must.Eq(t, len(others), f.countCompleted(others))
+	must.MapLen(t, 1, f.failedJobs)
 }
 
-// Two of them are started together, on the same worker: both are given up, and nothing else is.
-func TestTwoThatAreStartedTogetherAreToldApartFromTheRest(t *testing.T) {
+// Two crashing tasks start together on the same worker: both jobs fail, and no other job does.
+func TestTwoCrashingTasksOnOneWorkerBothFail(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	var others []string
 	for i := range 20 {
 		others = append(others, f.accept(100+i, oneTask()))
 	}
-	guilty := []string{f.accept(1, oneTask()), f.accept(2, oneTask())}
-	for _, id := range guilty {
+	poisonous := []string{f.accept(1, oneTask()), f.accept(2, oneTask())}
+	for _, id := range poisonous {
 		f.guilty[id+".0.0.0"] = 10 * time.Millisecond
 	}
 	f.run(60 * time.Second)
-	for _, id := range guilty {
-		must.StrContains(t, f.ended[id], "workers that ran it")
+	for _, id := range poisonous {
+		must.StrContains(t, f.failedJobs[id], "workers that ran it")
 		must.LessEq(t, 5, len(f.starts[id+".0.0.0"]))
 	}
-	must.Eq(t, len(others), f.done(others))
-	must.MapLen(t, 2, f.ended)
+	must.Eq(t, len(others), f.countCompleted(others))
+	must.MapLen(t, 2, f.failedJobs)
 }
 
-// What is held against a task stands in the table: successors go on from there, though each leader
-// dies soon after a crash.
-func TestSuspicionOutlastsTakeovers(t *testing.T) {
+// The table holds the evidence against a task: successors go on from it, though each leader dies soon
+// after a crash.
+func TestCrashEvidenceSurvivesTakeovers(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
-	guilty := f.accept(1, oneTask())
-	task := guilty + ".0.0.0"
+	poisonous := f.accept(1, oneTask())
+	task := poisonous + ".0.0.0"
 	f.guilty[task] = 10 * time.Millisecond
 	for range 8 {
 		before := len(f.starts[task])
@@ -78,16 +74,16 @@
 	}
 	f.run(20 * time.Second)
 	must.LessEq(t, 5, len(f.starts[task]))
-	must.StrContains(t, f.ended[guilty], "workers that ran it")
+	must.StrContains(t, f.failedJobs[poisonous], "workers that ran it")
 }
 
-// A leader that tries a task and dies before it learns what became of it: the record says that a run
-// may have been there, so it counts.
-func TestATrialThatNobodySawCounts(t *testing.T) {
+// A leader orders an isolated run and dies before it learns of the crash. The record says that there may have been
+// a run, so the successor counts it as evidence.
+func TestARecordedIsolatedRunCountsAfterATakeover(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
-	guilty := f.accept(1, oneTask())
-	task := guilty + ".0.0.0"
+	poisonous := f.accept(1, oneTask())
+	task := poisonous + ".0.0.0"
 	f.guilty[task] = 10 * time.Millisecond
 	for range 2000 {
 		f.run(crashStep)
@@ -99,12 +95,12 @@
 	f.lead()
 	f.run(20 * time.Second)
 	must.LessEq(t, 4, len(f.starts[task]))
-	must.StrContains(t, f.ended[guilty], "workers that ran it")
+	must.StrContains(t, f.failedJobs[poisonous], "workers that ran it")
 }
 
-// Workers crash again and again under tasks that have nothing to do with it, all at once: nobody is
-// given up, and all ends well when it stops.
-func TestCrashesOfManyWorkersAccuseNobody(t *testing.T) {
+// All workers crash at the same time, several times, without a fault of any task: no job fails, and all jobs
+// complete once the crashes stop.
+func TestSimultaneousCrashesFailNoJob(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	var others []string
@@ -120,17 +116,17 @@
 		}
 	}
 	f.run(20 * time.Second)
-	must.MapEmpty(t, f.ended)
-	must.Eq(t, len(others), f.done(others))
+	must.MapEmpty(t, f.failedJobs)
+	must.Eq(t, len(others), f.countCompleted(others))
 }
 
-// A suspect that runs for long is cleared: workers that crash later say nothing of before.
-func TestASuspectThatRunsWellIsCleared(t *testing.T) {
+// A task whose run lasts long is exonerated: later crashes of its worker don't add to earlier evidence.
+func TestALongRunExoneratesASuspect(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	lasting := f.accept(1, &wire.StepSpec{Count: 1, Millicores: 1000, Lasting: true, EstimateMs: 500})
 	task := lasting + ".0.0.0"
-	f.guilty[task] = time.Hour // it never ends
+	f.guilty[task] = time.Hour // crashes nothing within the test, and does not end by itself
 	for range 6 {
 		before := len(f.starts[task])
 		f.run(12 * time.Second)
@@ -142,11 +138,11 @@
 		}
 	}
 	f.run(10 * time.Second)
-	must.MapEmpty(t, f.ended)
+	must.MapEmpty(t, f.failedJobs)
 }
 
-// An operator takes a suspicion back: the task starts like any other.
-func TestAnOperatorTakesASuspicionBack(t *testing.T) {
+// An operator drops the evidence against a task: it starts like any other.
+func TestAnOperatorClearsASuspect(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	id := f.accept(1, oneTask())
@@ -160,12 +156,13 @@
 	must.SliceEmpty(t, f.state.Suspects())
 	delete(f.guilty, id+".0.0.0")
 	f.run(6 * time.Second)
-	must.Eq(t, 1, f.done([]string{id}))
+	must.Eq(t, 1, f.countCompleted([]string{id}))
 }
 
-// In a cell of few workers all of them have crashed under the task by the time that it is tried, and one
-// crash was lost with its leader: one more, alone, at a host that runs well without it, still names it.
-func TestAFewWorkersAreEnoughToNameATask(t *testing.T) {
+// In a cell of few workers each has crashed under the task before its isolated run, and the evidence of one
+// crash was lost with its leader. One more crash of an isolated run, at a host that is healthy without the task, is
+// still enough to fail the job.
+func TestACrashingTaskFailsInACellOfFewWorkers(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	for _, id := range []string{"w3", "w4", "w5"} {
@@ -178,28 +175,28 @@
 		f.guilty[id+".0.0.0"] = 20 * time.Millisecond
 	}
 	f.run(40 * time.Millisecond)
-	f.lead() // the first crash was not noticed yet
+	f.lead() // before the first crash is noticed
 	for range 400 {
 		f.run(10 * time.Millisecond)
 		if len(f.starts[ids[0]+".0.0.0"]) == 3 {
 			break
 		}
 	}
-	for _, w := range f.sorted() { // others crash in the same moment as under the third start
+	for _, w := range f.sorted() { // the other workers crash at the same time as the one with the third start
 		if _, runs := w.runs[ids[0]+".0.0.0"]; !runs && !w.gone {
 			f.end(w, time.Second)
 		}
 	}
 	f.run(80 * time.Second)
 	for _, id := range ids {
-		must.StrContains(t, f.ended[id], "workers that ran it")
+		must.StrContains(t, f.failedJobs[id], "workers that ran it")
 		must.LessEq(t, 5, len(f.starts[id+".0.0.0"]))
 	}
 }
 
-// A job that did nothing wrong was given up after runs in which many other workers crashed, the last of them isolated: the
-// run that decides waits until workers don't crash any more.
-func TestTheRunThatDecidesWaitsUntilWorkersDoNotCrash(t *testing.T) {
+// An innocent job failed after several runs that ended while many other workers crashed, the last run being
+// isolated. The run that would make the task poisonous waits for a quiet period.
+func TestADecisiveRunWaitsForAQuietPeriod(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	id := f.accept(1, oneTask())
@@ -209,12 +206,12 @@
 	f.rows[id] = &wire.JobProgress{Id: id, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{Crashes: []*wire.CrashNote{outside("a"), outside("b"), outside("c")}}}}}}
 	f.lead()
 	for i := range 4 {
-		f.end(f.workers["w"+strconv.Itoa(i)], crashBack)
-		f.end(f.workers["w"+strconv.Itoa((i+1)%4)], crashBack)
+		f.end(f.workers["w"+strconv.Itoa(i)], restartDelay)
+		f.end(f.workers["w"+strconv.Itoa((i+1)%4)], restartDelay)
 		f.run(2 * time.Second)
 	}
 	must.MapEmpty(t, f.starts)
 	f.run(8 * time.Second)
-	must.MapEmpty(t, f.ended)
-	must.Eq(t, 1, f.done([]string{id}))
+	must.MapEmpty(t, f.failedJobs)
+	must.Eq(t, 1, f.countCompleted([]string{id}))
 }
