--- a/pkg/process/cell/afterleaving_test.go
+++ b/pkg/process/cell/afterleaving_test.go
@@ -15,8 +15,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A short task of three attempts failed once, as recorded, and a second time at a worker that the successor does
-// not hear: its earlier leader had seen that end, and had started the third run before it was recorded.
+// A short task with three attempts has failed once, as recorded, and a second time at a worker that does not answer the
+// successor. The earlier leader received the second failure and started the third run before it recorded the failure.
+// When the third run fails, no fourth may start.
 func TestATaskIsNotStartedBeyondItsAttemptsWhileAFailureMayBeUnseen(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
@@ -47,7 +48,7 @@
 				case e.To.ID == "second":
 				case since < 4*time.Second:
 					looked.Err = fault.New(fault.Unknown, e.To.ID, "no answer", "")
-				default: // heard again while its lease goes on: its first list shows the second failure
+				default: // answers while its lease goes on: its first list shows the second failure
 					looked.Report.Ended = []workers.End{{Number: 1, Task: third.Task, Run: 1000002, How: workers.EndedFailed}}
 				}
 				v.state.Take(v.now, looked)
@@ -62,7 +63,8 @@
 	must.Zero(t, starts, must.Sprint("started a fourth time"))
 }
 
-// Lasting tasks on trial are found nowhere after a takeover: nothing is known of how long they have waited here.
+// Lasting tasks that are to run isolated have no known run after a takeover. The new leader does not know how long they
+// have waited, so none of them starts without isolation at once.
 func TestLastingTasksRunIsolatedAfterATakeover(t *testing.T) {
 	t.Parallel()
 	active := startSuspects(6, &wire.StepSpec{Count: 10, Millicores: 1000, Lasting: true})
@@ -72,8 +74,8 @@
 	}
 }
 
-// A worker had said that it leaves before the takeover. A short run there ends in time, and a lasting one is
-// stopped only once its task is settled.
+// A worker was leaving before the takeover, with 10 s left. A short run there ends in time, and a lasting one is stopped
+// only once its task is settled, so the successor stops neither in the first second.
 func TestASuccessorKnowsHowMuchTimeALeavingWorkerHas(t *testing.T) {
 	t.Parallel()
 	for _, lasting := range []bool{false, true} {
@@ -112,7 +114,7 @@
 	}
 }
 
-// After a takeover a lasting task that is found nowhere is left to its own cell first.
+// After a takeover a lasting task without a known run starts in its own cell if there is capacity.
 func TestALastingTaskIsNotDelegatedWhileItsOwnCellHasCapacity(t *testing.T) {
 	t.Parallel()
 	before := newEmptyCell()
@@ -138,7 +140,8 @@
 	must.MapContainsKey(t, successor.started, "00000000000000ff.0.0.0")
 }
 
-// A worker leaves unsaid, and its own cell is full: a task that nothing is held against is delegated in time.
+// A worker goes silent and its row is removed, without saying that it leaves, and the rest of its cell is full. Its
+// lasting task, against which there is no crash evidence, is delegated in time.
 func TestALastingTaskOfAWorkerThatFellSilentIsDelegatedWithinSixSeconds(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -165,7 +168,7 @@
 	must.Between(t, time.Millisecond, lent, 6*time.Second)
 }
 
-// The incarnation that ended had not said that it leaves; the one in its place says so.
+// The ended incarnation was not leaving, the one in its place is. The entry of the ended one must not say that it leaves.
 func TestTheMembershipDoesNotSayOfAnEndedIncarnationThatItLeaves(t *testing.T) {
 	t.Parallel()
 	h := newHeir(2)
@@ -180,7 +183,8 @@
 	must.False(t, entry.GetLeaving())
 }
 
-// What a lasting task has once waited for an isolated run says nothing of its next start.
+// A lasting task that has waited long enough for an isolated run starts without isolation. That holds for one start: the
+// next run is to be isolated again.
 func TestALastingTaskThatRanAmongOthersIsRunIsolatedTheNextTime(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
--- a/pkg/process/cell/leaving.go
+++ b/pkg/process/cell/leaving.go
@@ -7,13 +7,12 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// leaveMargin is what must be left of a leaving worker's time after the end of
-// a run, for it to be let run on: a stop takes some of it.
+// leaveMargin is the time that must remain between the expected end of a run and the end of its leaving worker for the
+// run to go on there. A stop takes part of that time.
 const leaveMargin = 300 * time.Millisecond
 
-// leave moves what a leaving worker can't end in the time it has left. What
-// can end there stays; the rest is stopped with a checkpoint and goes on
-// elsewhere.
+// leave stops the runs that leaving workers can't finish in the time they have left. Their tasks go on elsewhere from a
+// checkpoint. Runs that can finish there stay.
 func (s *State) leave(now time.Time) {
 	for _, w := range s.sorted() {
 		if !w.Leaving || w.Gone || !w.SilentSince.IsZero() {
@@ -24,7 +23,7 @@
 			if r.State != jobs.Running || !s.moveAway(now, r, left) || s.settlesSoon(now, w, r, left) {
 				continue
 			}
-			s.stop(now, w, r, "its worker leaves")
+			s.stop(now, w, r, "its worker is leaving")
 		}
 	}
 }
@@ -32,13 +31,14 @@
 // stopTakes is about as long as a stop takes.
 const stopTakes = time.Second
 
-// settlesSoon says whether a run is better stopped a little later: once its task is settled, it may start
-// elsewhere at once, and there is time for that.
+// settlesSoon returns whether a run is better stopped a little later: its lasting task settles soon and may then start
+// elsewhere at once, and the worker has enough time left to wait for that.
 func (s *State) settlesSoon(now time.Time, w *workers.Worker, r *jobs.Run, left time.Duration) bool {
 	wait := earlierPolls + lookWait - now.Sub(w.HeardAt)
 	return r.Task.Unit.Lasting() && !r.Task.Settled && wait > 0 && left-wait > stopTakes
 }
 
+// moveAway returns whether a run can't end at its worker in the time left. A lasting run never ends by itself.
 func (s *State) moveAway(now time.Time, r *jobs.Run, left time.Duration) bool {
 	if r.Task.Unit.Lasting() {
 		return true
@@ -46,8 +46,8 @@
 	return s.remaining(now, r) > left-leaveMargin
 }
 
-// remaining estimates how much longer a run takes, from its progress so far
-// or, while there is none, from what is known of its kind and its caller's guess.
+// remaining estimates how much longer a run takes: from its progress so far or, while it has made none, from the run
+// times learned for its queue and the estimate that its caller declared.
 func (s *State) remaining(now time.Time, r *jobs.Run) time.Duration {
 	guess := s.taskTime(r.Task.Unit)
 	if r.Percent <= 0 {
--- a/pkg/process/cell/lists.go
+++ b/pkg/process/cell/lists.go
@@ -9,9 +9,10 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// What a worker lists as running, against what is believed to run there.
+// The runs that workers list as active, and how they change the runs that the leader knows.
 
-// takeActive compares what the worker lists with what is believed to run there.
+// takeActive compares a worker's list of active runs with the runs that the leader knows there. It adopts or stops runs
+// that only the worker lists, and presumes runs over that the worker should list and does not.
 func (s *State) takeActive(now time.Time, w *workers.Worker, e Looked) {
 	listed := map[*jobs.Run]bool{}
 	foreign := ledger.Size{}
@@ -36,10 +37,10 @@
 	w.Strays, w.NewStrays = w.NewStrays, nil
 	if e.Report.Odd != w.Odd {
 		w.Odd = e.Report.Odd
-		s.note(Note{What: NoteUnreadable, Worker: w.ID, Detail: fmt.Sprintf("%d lines of its lists", e.Report.Odd), AgeMs: -1})
+		s.note(Note{What: NoteUnreadable, Worker: w.ID, Detail: fmt.Sprintf("%d unreadable lines in its lists", e.Report.Odd), AgeMs: -1})
 	}
 	if w.Odd > 0 {
-		return // a run that seems to be missing may be in one of these
+		return // a run that seems to be missing may be on an unreadable line
 	}
 	for _, r := range w.Runs {
 		if listed[r] {
@@ -49,10 +50,10 @@
 		case r.State == jobs.Sent:
 			// The order may still be on its way.
 		case r.State == jobs.Unsure:
-			// By the clock in this very answer, not by what the clock must show
-			// now: the answer may have waited here, and the order come meanwhile.
+			// Use the clock in this answer, not its estimate for now: the answer may have waited here, and
+			// the order may have reached the worker meanwhile.
 			if workers.Passed(e.Report.Clock, r.ValidUntil) {
-				s.loseRun(now, w, r, "never begun, and its order is too old now")
+				s.loseRun(now, w, r, "it never began, and its order has expired")
 			}
 		case r.AckedAt.Before(e.SentAt):
 			s.loseRun(now, w, r, "no longer listed by its worker")
@@ -60,8 +61,8 @@
 	}
 }
 
-// matchActive finds the run that a line of the list is about. A run of an
-// earlier leader is taken over.
+// matchActive returns the run that a line of a worker's list is about. It adopts a run of an earlier leader. It returns
+// nil if the task is unknown, or if the run must not go on.
 func (s *State) matchActive(now time.Time, w *workers.Worker, a workers.Active) *jobs.Run {
 	t := s.task(a.Task)
 	if t == nil {
@@ -81,7 +82,7 @@
 		BeganAt: now, ProgressAt: now, Percent: a.Percent, Pace: 100, PaceWanted: 100, Resumed: true, OnTrial: s.triedAlone(t),
 	}
 	if t.Unit.Spec.GetFiller() {
-		r.Pace = jobs.PaceUnknown // its leader may have made it stand still
+		r.Pace = jobs.PaceUnknown // the earlier leader may have paused it
 	}
 	t.Runs = append(t.Runs, r)
 	t.Tried = true
@@ -92,23 +93,24 @@
 	return r
 }
 
-// earlierPolls is how long after a worker was first heard it may still answer a poll of an earlier leader
-// with a list: one that came before this leader's fence waits as long as a poll may.
+// earlierPolls is how long after its first answer to this leader a worker may still answer a poll of an earlier leader
+// with a list. A poll that reached the worker before this leader's fence waits there for as long as any poll may.
 const earlierPolls = idleWait + 300*time.Millisecond
 
-// settleListed settles the lasting task of a run that its worker lists: while one goes on there is no other. An
-// earlier leader may start it anew only if it sees this one's end, which no poll of it shows any more. (Of
-// other tasks, a failure that counts may still be unseen.)
+// settleListed settles the lasting task of a run that its worker lists, once no poll of an earlier leader can be
+// answered there any more. The task has no other run while this one goes on, and an earlier leader would start the task
+// again only after it had received the end of this run. Other tasks are not settled here: a failure that counts towards
+// their attempts may not have been reported yet.
 func (s *State) settleListed(w *workers.Worker, r *jobs.Run, sentAt time.Time) {
 	if t := r.Task; !t.Settled && t.Unit.Lasting() && !t.Unit.Spec.GetCopies() && sentAt.Sub(w.HeardAt) >= earlierPolls {
 		t.Settled = true
 	}
 }
 
-// mayAdopt says whether a run that a worker lists may go on: not beside
-// another run of its task, unless copies may.
+// mayAdopt returns whether a run of a task that a worker lists may go on: the task has no other run, or allows copies.
 func mayAdopt(t *jobs.Task) bool { return len(t.Runs) == 0 || t.Unit.Spec.GetCopies() }
 
+// began marks a run as running and its job as begun.
 func (s *State) began(now time.Time, r *jobs.Run) {
 	r.State = jobs.Running
 	if r.AckedAt.IsZero() {
@@ -123,13 +125,13 @@
 	}
 }
 
-// stopForeign asks for the end of a run that belongs to no job of this cell.
+// stopForeign orders a worker to stop a run that belongs to no job of this cell, or that its task may not have.
 func (s *State) stopForeign(w *workers.Worker, a workers.Active) {
-	s.note(Note{What: NoteStop, Task: a.Task, Run: a.Run, Worker: w.ID, Detail: "no task of this cell may run so", AgeMs: -1})
+	s.note(Note{What: NoteStop, Task: a.Task, Run: a.Run, Worker: w.ID, Detail: "no task of this cell may have this run", AgeMs: -1})
 	s.emit(SendStop{To: target(w), Stop: workers.Stop{Fence: s.epoch, Task: a.Task, Run: a.Run}, Timeout: s.orders.Timeout()})
 }
 
-// task finds a task by its name at workers.
+// task returns the task that workers list under a name, or nil if it is unknown.
 func (s *State) task(name string) *jobs.Task {
 	id, ok := jobs.ParseTask(name)
 	if !ok {
@@ -142,10 +144,12 @@
 	return j.Task(id.Time, id.Step, id.Index)
 }
 
+// takeReading updates a run from a line of its worker's list: progress, checkpoint, and the tail latency or the
+// processors in use. Progress may end the quarantine of the worker.
 func (s *State) takeReading(now time.Time, w *workers.Worker, r *jobs.Run, a workers.Active) {
 	if a.Percent != r.Percent {
 		if a.Percent > r.Percent && (w.Health.Moved() || (r.Task.Unit.Lasting() && a.Percent >= 100 && w.Health.Worked())) {
-			s.note(Note{What: NoteWorkerBack, Worker: w.ID, Detail: "a run moves on", AgeMs: -1})
+			s.note(Note{What: NoteWorkerBack, Worker: w.ID, Detail: "a run makes progress", AgeMs: -1})
 		}
 		r.Percent, r.ProgressAt = a.Percent, now
 	}
--- a/pkg/process/cell/lives.go
+++ b/pkg/process/cell/lives.go
@@ -9,11 +9,11 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// A worker that starts again under the id that it had. Every order is for one life of its
-// worker and reaches no other, so with the first answer of the next life, which names when that
-// began, all that was believed of the life before ends, and what ran there is dead.
+// Restarts of a worker under the same id. Each order is for one incarnation of its worker and reaches no other. The
+// first answer of the next incarnation says when that one began. The leader then drops its state of the incarnation
+// before, whose runs have died.
 
-// takeLife takes in which life of a worker has answered.
+// takeLife handles the incarnation of a worker that has answered a poll.
 func (s *State) takeLife(now time.Time, w *workers.Worker, e Looked) {
 	born := e.Report.Born
 	switch {
@@ -21,7 +21,7 @@
 	case w.Born == 0:
 		w.Born = born
 		if !w.Listed {
-			w.SureFrom = now // known from the roster alone: it may be a life that has seen no epoch
+			w.SureFrom = now // known from the membership row alone: this may be a new incarnation, which has seen no epoch
 		}
 	case w.Born == born:
 		w.Answered(e.SentAt)
@@ -30,11 +30,11 @@
 	}
 }
 
-// begin takes in that the next life of a worker has answered.
+// begin handles the first answer of the next incarnation of a worker.
 func (s *State) begin(now time.Time, w *workers.Worker, e Looked) {
 	s.note(Note{
 		What: NoteWorkerLife, Worker: w.ID, AgeMs: now.Sub(w.AnsweredAt).Milliseconds(),
-		Detail: fmt.Sprintf("born %d, was %d; its clock shows %s, at least %s was due", e.Report.Born, w.Born, e.Report.Clock, w.ClockAtLeast(now).Round(time.Millisecond)),
+		Detail: fmt.Sprintf("born %d, was %d; clock %s, expected at least %s", e.Report.Born, w.Born, e.Report.Clock, w.ClockAtLeast(now).Round(time.Millisecond)),
 	})
 	s.crashed(now, w)
 	for _, p := range s.parts {
@@ -49,21 +49,21 @@
 	s.placeNow = true
 }
 
-// die says that a run ended with its worker's life, if not before that and unseen.
+// die marks a run as died: it ended with its worker's incarnation, or earlier without its end being reported.
 func (s *State) die(now time.Time, r *jobs.Run) {
 	r.State = jobs.Died
 	s.died = append(s.died, diedRun{run: r, at: now})
 	s.scanNow = true
 }
 
-// diedRun is a run that is over, and since when that is known.
+// diedRun is a run that died, and the time at which this leader learned that.
 type diedRun struct {
 	run *jobs.Run
 	at  time.Time
 }
 
-// buryDied takes runs for lost that died, once this process is known to have led the cell
-// after that: a later leader may have heard of a good end before.
+// buryDied presumes died runs over once this process is confirmed to have led the cell after it learned that they died.
+// Before that, a later leader may already have received the successful end of such a run.
 func (s *State) buryDied(now time.Time) {
 	confirmed := s.confirmed(now)
 	died := s.died
@@ -72,11 +72,11 @@
 		w := s.workers[d.run.Worker]
 		switch {
 		case d.run.State != jobs.Died || !slices.Contains(d.run.Task.Runs, d.run):
-			// Its end was seen after all.
+			// Its end has been reported meanwhile.
 		case confirmed.Before(d.at):
 			s.died = append(s.died, d)
 		default:
-			s.loseRun(now, w, d.run, "its worker has started again")
+			s.loseRun(now, w, d.run, "its worker has restarted")
 		}
 	}
 }
--- a/pkg/process/cell/lives_test.go
+++ b/pkg/process/cell/lives_test.go
@@ -15,30 +15,32 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// lives is a leader with one worker, which starts again under the id that it has.
+// lives is a leader with one worker, which can restart under the same id.
 type lives struct {
 	state *cell.State
 	now   time.Time
-	// What the life that is up says of itself.
+	// What the current incarnation reports: when it began, its clock's offset, its active runs and its ends.
 	born   int64
 	offset time.Duration
 	active []workers.Active
 	ended  []workers.End
-	// deaf says that its answers to orders to start are lost and the orders too.
+	// deaf loses each order to start and its answer.
 	deaf    bool
 	version int64
 	starts  []cell.SendStart
 	stops   []cell.SendStop
 	notes   []cell.Note
-	// recorded are the ends up to which looks at this life said that they are recorded.
+	// recorded is the newest end that polls of this incarnation acknowledged.
 	recorded int64
-	lost     bool
-	// room is what its answers say of its room.
+	// lost loses the answers to polls.
+	lost bool
+	// room is the capacity that its answers report; nil: none.
 	room *ledger.Size
-	// unconfirmed says that no renewal takes effect any more.
+	// unconfirmed keeps renewals of the leadership from taking effect.
 	unconfirmed bool
 }
 
+// livesSpan is how far run advances time in each step.
 const livesSpan = 50 * time.Millisecond
 
 func newLives() *lives {
@@ -53,7 +55,7 @@
 	return v
 }
 
-// list brings the worker's row.
+// list delivers the worker's row in the worker registry.
 func (v *lives) list() {
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{{
 		ID: "w", Born: v.born, Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h",
@@ -61,12 +63,13 @@
 	}}})
 }
 
-// begin starts the worker again: it knows nothing of before.
+// begin restarts the worker: its new incarnation knows nothing of the one before.
 func (v *lives) begin(offset time.Duration) {
 	v.born++
 	v.offset, v.active, v.ended, v.recorded = offset, nil, nil, 0
 }
 
+// accept hands in job i, and returns the name of its only task.
 func (v *lives) accept(i int) string {
 	id := fmt.Sprintf("%016x", i)
 	v.state.Take(v.now, cell.Accepted{Spec: &wire.JobSpec{
@@ -75,9 +78,10 @@
 	return id + ".0.0.0"
 }
 
+// clock returns the worker's clock.
 func (v *lives) clock() time.Duration { return v.offset + v.now.Sub(time.Unix(1000, 0)) }
 
-// run lets time pass, with what the worker and the table answer.
+// run advances time and answers each effect as the worker and the table do.
 func (v *lives) run(span time.Duration) {
 	for until := v.now.Add(span); v.now.Before(until); {
 		v.now = v.now.Add(livesSpan)
@@ -126,7 +130,7 @@
 	}
 }
 
-// finish ends all that runs, well.
+// finish ends all active runs successfully.
 func (v *lives) finish() {
 	for _, a := range v.active {
 		v.ended = append(v.ended, workers.End{Number: int64(len(v.ended)) + 1, Task: a.Task, Run: a.Run, How: workers.EndedDone})
@@ -134,6 +138,7 @@
 	v.active = nil
 }
 
+// startsOf returns how often the leader ordered a task to start.
 func (v *lives) startsOf(task string) int {
 	n := 0
 	for _, s := range v.starts {
@@ -144,10 +149,9 @@
 	return n
 }
 
-// A worker crashed, started again under its id, and numbered its ends from 1 again. The leader
-// kept the newest number of the life before, took the next life's first ends for known ones,
-// and their runs for lost: "no longer listed by its worker". It started the tasks again, after
-// it had let the worker forget their ends.
+// A worker crashes, restarts under its id, and numbers its ends from 1 again. A leader that kept the newest number of the
+// incarnation before would skip the first ends of the new one, let the worker forget them, presume their runs over ("no
+// longer listed by its worker") and start the tasks again.
 func TestEndsOfTheNextLifeAreNotTakenForKnownOnes(t *testing.T) {
 	t.Parallel()
 	v := newLives()
@@ -167,9 +171,9 @@
 	must.Eq(t, 1, v.startsOf(task))
 }
 
-// An order to start got no answer, and its worker started again under its id. The order holds
-// its task until the worker's clock is past the order's limit. The next life's clock showed an
-// hour less, so the task would have waited for an hour, with all of the worker's room free.
+// An order to start gets no answer, and its worker restarts under its id. The order holds back its task until the
+// worker's clock is past the order's limit. The clock of the new incarnation shows an hour less: if the order still
+// counted, the task would wait for an hour beside an idle worker.
 func TestAnOrderToTheLifeBeforeDoesNotHoldItsTask(t *testing.T) {
 	t.Parallel()
 	v := newLives()
@@ -185,9 +189,9 @@
 	must.Greater(t, tries, v.startsOf(task))
 }
 
-// A worker that has just started again has seen no epoch yet, and would do what a deposed leader
-// says. So the leader uses it, and takes for lost what ran at the life before, only when a
-// renewal that was sent after it came to know of the new life took effect.
+// A worker that has just restarted has seen no epoch yet, and would carry out orders of a deposed leader. So a leader
+// starts runs there, and presumes the runs of the incarnation before over, only after a renewal has taken effect that it
+// sent after it learned of the new incarnation.
 func TestTheNextLifeIsUsedOnlyByWhoStillLeads(t *testing.T) {
 	t.Parallel()
 	v := newLives()
@@ -206,8 +210,8 @@
 	must.Eq(t, 1, v.startsOf(second))
 }
 
-// A row of the life before came late and stands in the list: the life that answers is used
-// all the same, and the old row says nothing of it.
+// A row of the incarnation before is written late and stands in the worker registry. The leader still uses the
+// incarnation that answers, and applies none of the old row to it.
 func TestARowOfTheLifeBeforeSaysNothingOfTheNext(t *testing.T) {
 	t.Parallel()
 	v := newLives()
@@ -223,7 +227,7 @@
 	must.Eq(t, 1, v.startsOf(task))
 }
 
-// What a worker was told to leave for is over with its life: the next one takes work again.
+// Only one incarnation leaves: the next one takes work again.
 func TestTheNextLifeDoesNotLeave(t *testing.T) {
 	t.Parallel()
 	v := newLives()
@@ -239,8 +243,8 @@
 	must.Eq(t, 1, v.startsOf(task))
 }
 
-// An order got no answer, and its worker's row went, or turned into what nobody understands: the
-// order is not sent again, for the worker takes no new work.
+// An order to start gets no answer, and its worker's row is removed or becomes unreadable. The leader does not send the
+// order again, because a worker without a row takes no new work.
 func TestAnOrderIsNotRepeatedWhereNoRowNamesAWorker(t *testing.T) {
 	t.Parallel()
 	v := newLives()
@@ -258,8 +262,8 @@
 	must.Eq(t, 1, v.startsOf(task))
 }
 
-// A row of another life had put the worker in doubt, and went. The life that answers is not
-// thereby in the list again.
+// A row of another incarnation makes the leader doubt which one runs, and is then removed. The answer of the known
+// incarnation must not count as a row.
 func TestARowThatWentIsNotThereSinceItsLifeAnswers(t *testing.T) {
 	t.Parallel()
 	v := newLives()
@@ -276,10 +280,9 @@
 	must.Eq(t, 0, v.startsOf(task))
 }
 
-// A successor hears a worker that the roster names, after it came to know of it by the list, while
-// the table has fallen silent again: it uses it at once, as what it has settled allows. (Held to
-// a renewal like a life that began anew, each takeover stood still for another half second, and
-// as long as the table was away.)
+// A successor learns of a member from the worker registry, and gets the member's first answer while the table no longer
+// answers. It uses the member at once, as far as the cell has settled. If it waited for a renewal, as for a restarted
+// worker, each takeover would take another half second, and longer while the table is unavailable.
 func TestASuccessorUsesWorkersOfTheRosterWithoutAnotherRenewal(t *testing.T) {
 	t.Parallel()
 	v := &lives{now: time.Unix(1000, 0), born: 1, offset: time.Hour, unconfirmed: true}
@@ -295,9 +298,9 @@
 	must.Eq(t, 1, v.startsOf(task))
 }
 
-// A leader knows a worker from the roster alone, and the first life of it that answers may be a new one,
-// which has seen no epoch yet: if the leader was deposed meanwhile, that life would do what it says.
-// So nothing is started there until a renewal that was sent after the answer took effect.
+// A leader knows a worker from the membership row alone. The first incarnation that answers may be a new one, which has
+// seen no epoch yet and would carry out orders of this leader even if it was deposed meanwhile. So nothing starts there
+// until a renewal that was sent after the answer has taken effect.
 func TestALifeThatIsKnownFromTheRosterAloneWaitsForARenewal(t *testing.T) {
 	t.Parallel()
 	v := &lives{now: time.Unix(1000, 0), born: 5, offset: time.Hour, unconfirmed: true}
--- a/pkg/process/cell/look.go
+++ b/pkg/process/cell/look.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// lease is how long a worker holds what runs without renewal. It outlasts
-	// the death of all hosts at once (1.4 s on the platform's sites, and about
-	// a second until the first look after it), and is what a worker that
-	// crashed costs its tasks at most.
+	// lease is how long a worker keeps its runs without a renewal. It outlasts a simultaneous crash of all entry
+	// hosts (1.4 s on the platform's sites, and about a second until the first poll after it). It is also the most
+	// time that the crash of a worker costs its tasks.
 	lease = 3500 * time.Millisecond
-	// lookWait is how long a look waits for an end. It is the pace of readings
-	// (workers renew them every half second) and of renewals.
+	// lookWait is how long a worker with runs may wait for one of them to end before it answers a poll. It sets how
+	// often the leader gets readings, which workers renew every half second, and renews the lease.
 	lookWait = 500 * time.Millisecond
-	// idleWait is the same where nothing runs.
+	// idleWait is lookWait for a worker without runs.
 	idleWait = time.Second
-	// lookSlack is what a look may take beyond the wait that it asks for, at least.
+	// lookSlack is the least time that a poll may take beyond the wait that it asks for.
 	lookSlack = 600 * time.Millisecond
-	// lookAgain is the pause after a look that failed.
+	// lookAgain is the pause after a failed poll.
 	lookAgain = 200 * time.Millisecond
-	// ackPause is how long a look that brought ends is followed by none, while
-	// they are not recorded: their worker would list them again at once.
+	// loadingPause is the pause between polls of a worker while the leader loads the cell's jobs.
+	loadingPause = lookAgain / 4
+	// ackPause is the pause after a poll that brought ends, while these are not recorded: the worker would list them
+	// again at once.
 	ackPause = 150 * time.Millisecond
-	// heardWithin is how fresh a worker's last answer must be for new work.
+	// heardWithin is the greatest age of a worker's last answer at which it gets new work.
 	heardWithin = idleWait + time.Second
-	// LongestLease bounds what any leader grants.
+	// LongestLease bounds the lease that any leader grants.
 	LongestLease = lease + leaseSlack
-	// leaseSlack covers a forerunner's grant that was counted from a fresher
-	// reading of the worker's clock than our first one.
+	// leaseSlack covers a predecessor's grant that was computed from a fresher reading of the worker's clock than this
+	// leader's first one.
 	leaseSlack = 500 * time.Millisecond
 )
 
-// leaseSpan is the lease to ask for, within what the deployment allows.
+// leaseSpan returns the length of the leases that this leader grants, within the deployment's bound.
 func (s *State) leaseSpan() time.Duration {
 	if s.bounds.MaxLease > 0 {
 		return min(lease, s.bounds.MaxLease)
@@ -43,13 +44,13 @@
 	return lease
 }
 
-// takeListed takes in the list of workers. One that it no longer names may
-// still run what it was given.
+// takeListed handles the rows of the cell's workers in the worker registry. A worker that has no row any more is kept:
+// its runs may still go on.
 func (s *State) takeListed(now time.Time, e WorkersListed) {
 	named := map[string]bool{}
 	for _, r := range e.Records {
 		if born, over := s.over[r.ID]; over && born == r.Born {
-			continue // its row outlives it for a while, or comes back late
+			continue // the row of an ended incarnation stays for a while, or is written again late
 		}
 		named[r.ID] = true
 		w := s.workers[r.ID]
@@ -70,6 +71,8 @@
 	}
 }
 
+// takeRecord updates a worker from its row. A process that holds the leadership keeps a row of another incarnation aside
+// until the worker's next answer shows which incarnation runs.
 func (s *State) takeRecord(now time.Time, w *workers.Worker, r workers.Record) {
 	if w.OtherLife(r) {
 		if s.Holds() {
@@ -78,7 +81,7 @@
 			}
 			return
 		}
-		w.Leaving, w.LeavingAt = false, time.Time{} // that was the life before
+		w.Leaving, w.LeavingAt = false, time.Time{} // the incarnation before was leaving
 	}
 	if r.Leaving && w.LeavingAt.IsZero() {
 		w.LeavingAt = now
@@ -94,28 +97,28 @@
 	}
 	leaving, room := w.Leaving, w.Capacity
 	if r.Version != 0 && r.Version == w.Version && w.Listed {
-		r.Capacity = w.Capacity // the same row as before: an answer may have said more since
+		r.Capacity = w.Capacity // the same row as before: an answer may have reported a newer capacity since
 	}
 	w.Record = r
 	s.roomChanged(w, room)
 	w.RowGoneAt = time.Time{}
-	w.Leaving = leaving || r.Leaving // a life that leaves never comes back
+	w.Leaving = leaving || r.Leaving // an incarnation that leaves never takes work again
 	w.Listed = true
 }
 
-// roomChanged takes in that a worker says otherwise of its room than before. What runs there goes on:
-// a stop would cost its work, and the room comes back; nothing more is started until it fits.
+// roomChanged handles a change of a worker's capacity. Runs that no longer fit go on, because a stop would cost their
+// work and the capacity comes back. No more runs start there until they fit.
 func (s *State) roomChanged(w *workers.Worker, before ledger.Size) {
 	if w.Capacity == before {
 		return
 	}
 	s.placeNow = true
-	s.noteIfHeld(Note{What: NoteWorkerRoom, Worker: w.ID, Detail: fmt.Sprintf("%+v, was %+v; left %+v", w.Capacity, before, w.Free()), AgeMs: -1})
+	s.noteIfHeld(Note{What: NoteWorkerRoom, Worker: w.ID, Detail: fmt.Sprintf("now %+v, was %+v; free %+v", w.Capacity, before, w.Free()), AgeMs: -1})
 }
 
-// ------------------------------------------------------------------ looks
+// ------------------------------------------------------------------ polls
 
-// look sends the looks that are due.
+// look sends the polls that are due.
 func (s *State) look(now time.Time) {
 	for _, w := range s.sorted() {
 		if w.Gone || w.Looking || now.Before(w.LookAt) || w.Address == "" {
@@ -125,14 +128,15 @@
 	}
 }
 
+// sendLook polls a worker. The poll acknowledges recorded ends, and renews the lease if the worker is not silent.
 func (s *State) sendLook(now time.Time, w *workers.Worker) {
 	s.acknowledge(w)
 	l := workers.Look{Fence: s.epoch, Recorded: w.Recorded}
 	if w.InDoubt() {
-		l.Recorded = 0 // another life would forget ends of its own that have these numbers
+		l.Recorded = 0 // another incarnation would forget its own ends with these numbers
 	}
 	if w.Clocked() && w.SilentSince.IsZero() {
-		// A silent worker gets no renewal, so that its lease runs out for sure.
+		// A silent worker gets no renewal, so its lease surely expires.
 		l.Until = w.Grant(now, s.leaseSpan())
 		l.Wait = idleWait
 		if len(w.Runs) > 0 {
@@ -148,6 +152,7 @@
 	s.emit(SendLook{To: to, Look: l, Timeout: l.Wait + max(lookSlack, s.orders.Timeout())})
 }
 
+// takeLooked handles the outcome of the last poll of a worker.
 func (s *State) takeLooked(now time.Time, e Looked) {
 	w := s.workers[e.Worker]
 	if w == nil || !e.SentAt.Equal(w.LookSentAt) || !w.Looking {
@@ -163,7 +168,7 @@
 		w.LookAt = now.Add(lookAgain)
 		return
 	case e.Refusal == workers.RefusedLife:
-		s.lifeOver(now, w, "another life answers at its address")
+		s.lifeOver(now, w, "another incarnation answers at its address")
 		return
 	case e.Refusal != workers.RefusedNot:
 		s.lookFailed(now, w, string(e.Refusal))
@@ -180,9 +185,9 @@
 	s.resolveSilent(now, false, func(r silentRun) bool { return r.worker == w.ID && r.born == w.Born })
 	s.otherLivesOver(now, w, e.SentAt)
 	if s.phase == loading || s.phase == following {
-		// Before the jobs are loaded, nothing can be said of the lists.
+		// The lists are of no use before the jobs are loaded.
 		w.Heard = false
-		w.LookAt = now.Add(lookAgain / 4)
+		w.LookAt = now.Add(loadingPause)
 		return
 	}
 	before := w.Seen
@@ -195,20 +200,20 @@
 	case s.phase == releasing:
 		w.LookAt = now.Add(lookAgain)
 	case w.Seen > before || len(e.Report.Ended) > 0:
-		w.LookAt = now.Add(ackPause) // takeRecorded brings it forward
+		w.LookAt = now.Add(ackPause) // partDurable makes the next poll due earlier
 	default:
 		w.LookAt = now
 	}
 }
 
-// heard takes in that a worker has answered.
+// heard handles an answer of a worker to a poll; clock is the worker's clock.
 func (s *State) heard(now time.Time, w *workers.Worker, clock time.Duration) {
 	w.TakeClock(now, clock)
 	w.AnsweredAt, w.Failures = now, 0
 	if !w.Heard {
 		w.Heard, w.HeardAt = true, now
 		if !w.SilentSince.IsZero() {
-			w.SureFrom = now // a write of the membership without it may still be on its way
+			w.SureFrom = now // a write of a membership row without the worker may still be in flight
 		}
 		w.Grant(now, s.leaseSpan()+leaseSlack)
 		s.placeNow = true
@@ -221,9 +226,9 @@
 	}
 }
 
-// otherLivesOver takes a host's other lives for over that were known before a look was
-// sent which this life answered. (The list alone does not tell: rows of lives that are
-// over come back late, written anew.)
+// otherLivesOver ends the other incarnations on the host of w that were known before the leader sent the poll which w
+// has answered. The worker registry does not suffice for this, because rows of ended incarnations are sometimes written
+// again late.
 func (s *State) otherLivesOver(now time.Time, w *workers.Worker, sentAt time.Time) {
 	if w.Host == "" {
 		return
@@ -239,6 +244,8 @@
 	}
 }
 
+// lookFailed handles a poll without a usable answer. The worker counts as silent from the first one. After
+// failuresSilent in a row, fellSilent records the silence as evidence against the tasks there.
 func (s *State) lookFailed(now time.Time, w *workers.Worker, why string) {
 	if w.SilentSince.IsZero() {
 		w.SilentSince = now
@@ -252,7 +259,7 @@
 	w.LookAt = now.Add(lookAgain)
 }
 
-// acknowledge moves up to which end the worker may forget.
+// acknowledge advances w.Recorded, the newest end that the worker may forget.
 func (s *State) acknowledge(w *workers.Worker) {
 	if s.unsafe.NoRecorded {
 		w.Recorded = w.Seen
--- a/pkg/process/cell/lost.go
+++ b/pkg/process/cell/lost.go
@@ -7,12 +7,12 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// What is taken for over without its worker's own word: lives that ended, leases
-// that ran out, runs that stand still. All but the last is confirmed first: this
-// process must have led the cell after it was over (see model/cell.pml).
+// Runs whose ends the leader decides without a report of the worker: after the end of an incarnation, after the expiry of
+// a lease, and when a run stalls. All but the last are confirmed first: this process must have led the cell after the
+// incarnation or the lease was over (see model/cell.pml).
 
-// lifeOver says that a worker's life is over by what shows that a later one has begun:
-// whatever names it from now on is old.
+// lifeOver ends a worker's incarnation because a later one has begun. Rows that name the ended incarnation are out of
+// date from now on, and takeListed skips them.
 func (s *State) lifeOver(now time.Time, w *workers.Worker, why string) {
 	if !w.Gone {
 		s.endedUnseen(w)
@@ -23,8 +23,7 @@
 	s.workerGone(now, w, why)
 }
 
-// workerGone says that a worker's life is over. What ran there is taken for
-// lost when that is confirmed (buryGone).
+// workerGone marks a worker's incarnation as over. buryGone presumes its runs over once that is confirmed.
 func (s *State) workerGone(now time.Time, w *workers.Worker, why string) {
 	if w.Gone {
 		return
@@ -34,9 +33,8 @@
 	s.scanNow = true
 }
 
-// buryGone drops the workers whose lives are over, and takes for lost what ran
-// there, once this process is known to have led the cell after that: a later
-// leader may have heard of a good end before.
+// buryGone drops the workers whose incarnations are over and presumes their runs over, once this process is confirmed to
+// have led the cell after that. Before that, a later leader may already have received the successful end of such a run.
 func (s *State) buryGone(now time.Time) {
 	for _, w := range s.sorted() {
 		if !w.Gone || s.confirmed(now).Before(w.GoneAt) {
@@ -51,7 +49,7 @@
 	}
 }
 
-// confirmed is when this process surely led the cell last.
+// confirmed returns the last time at which this process surely led the cell.
 func (s *State) confirmed(now time.Time) time.Time {
 	if s.unsafe.NoConfirmation {
 		return now
@@ -59,8 +57,8 @@
 	return s.confirmedAt
 }
 
-// loseRun takes a run for over whose end will not be seen. w is nil where its worker is no
-// longer known.
+// loseRun presumes a run over whose end will not be reported. why is for the log; w is nil if the worker is no longer
+// known.
 func (s *State) loseRun(now time.Time, w *workers.Worker, r *jobs.Run, why string) {
 	t := r.Task
 	if w != nil {
@@ -75,7 +73,8 @@
 	s.touch(now, t.Unit.Job)
 }
 
-// lastSeen is when a worker whose runs are lost last said that they go on.
+// lastSeen returns when a worker whose runs are presumed over last answered: until then they went on for sure. It
+// returns now if the worker is unknown or never answered.
 func lastSeen(now time.Time, w *workers.Worker) time.Time {
 	if w == nil || w.AnsweredAt.IsZero() {
 		return now
@@ -83,8 +82,7 @@
 	return w.AnsweredAt
 }
 
-// checkRuns sees to workers that are silent, to orders without an answer, and
-// to runs that stand still.
+// checkRuns presumes runs of silent workers over once their leases have expired, and stops stalled runs of the others.
 func (s *State) checkRuns(now time.Time) {
 	for _, w := range s.sorted() {
 		if w.Gone {
@@ -100,11 +98,13 @@
 	}
 }
 
+// checkSilent presumes the runs of a silent worker over once its lease has expired. It then drops the worker if the worker
+// registry has no row of it either.
 func (s *State) checkSilent(now time.Time, w *workers.Worker) {
 	over := w.LeaseOver(s.confirmed(now)) || s.unsafe.NoLeaseWait
 	if over {
 		for _, r := range w.Runs {
-			s.loseRun(now, w, r, "its worker's lease is over")
+			s.loseRun(now, w, r, "its worker's lease has expired")
 		}
 	}
 	if !w.Listed && now.Sub(w.UnlistedAt) > unlistedFor && len(w.Runs) == 0 && (over || s.surelyOver(now, w)) {
@@ -113,17 +113,17 @@
 }
 
 const (
-	// unlistedFor is how long a worker that no list names, that does not answer
-	// and whose lease is over is kept in mind. A successor has to wait for each
-	// worker that the leadership row names.
+	// unlistedFor is how long a silent worker is kept that has no runs and no row in the worker registry. It is short
+	// because a successor has to wait for each worker that the membership row names.
 	unlistedFor = time.Second
-	// stillFor is how long a run may show no progress: 1% of the longest known
-	// tasks, at a sixth of their speed, is below half a second.
+	// stillFor is how long a run may make no progress before it counts as stalled. 1% of the longest known tasks
+	// takes less than half a second, even at a sixth of their speed.
 	stillFor = 1500 * time.Millisecond
-	// stillForFiller is the same for fillers, which wait for what others leave.
+	// stillForFiller is stillFor for fillers, which get only the processor time that other tasks leave.
 	stillForFiller = 4 * time.Second
 )
 
+// checkRun stops a run that has stalled at full pace, and quarantines its worker.
 func (s *State) checkRun(now time.Time, w *workers.Worker, r *jobs.Run) {
 	if r.State != jobs.Running || r.Percent >= 100 {
 		return
@@ -140,9 +140,10 @@
 	}
 	w.Health.StoodStill(now)
 	s.noteAside(w)
-	s.stop(now, w, r, "stands still")
+	s.stop(now, w, r, "makes no progress")
 }
 
+// noteAside logs that a worker is quarantined, and why.
 func (s *State) noteAside(w *workers.Worker) {
 	why, _ := w.Health.IsAside()
 	s.note(Note{What: NoteWorkerAside, Worker: w.ID, Detail: why, AgeMs: -1})
--- a/pkg/process/cell/readings.go
+++ b/pkg/process/cell/readings.go
@@ -10,23 +10,23 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// What others may ask of a State. Nothing here changes what it decides.
+// Queries of a State. None of them changes what it decides.
 
-// Leading says whether this process leads the cell and has loaded its jobs.
+// Leading returns whether this process leads the cell and has loaded its jobs.
 func (s *State) Leading() bool { return s.phase == leading || s.phase == releasing }
 
-// Holds says whether this process may order anything in the cell, now or once
-// it has loaded its jobs.
+// Holds returns whether this process holds the leadership of the cell: it may give orders, now or once it has loaded
+// the jobs.
 func (s *State) Holds() bool { return s.phase != following }
 
-// Waits says whether tasks wait here that other cells might take.
+// Waits returns whether tasks wait here that other cells might run.
 func (s *State) Waits() bool { return s.phase == leading && len(s.waiting) > 0 }
 
-// Settled says whether what earlier leaders started is known, or surely over.
+// Settled returns whether each run that earlier leaders started is known or surely over.
 func (s *State) Settled() bool { return s.settled && s.phase != following }
 
-// Quiet says whether a planned stop may give the cell up now: nothing is on
-// its way to the table or to workers.
+// Quiet returns whether a planned stop may release the leadership now: no write to the table and no order to start is
+// in flight. A process that does not lead is always quiet.
 func (s *State) Quiet() bool {
 	if s.phase != releasing {
 		return s.phase == following
@@ -46,7 +46,7 @@
 	return true
 }
 
-// Phase tells a job's phase as far as the table holds it.
+// Phase returns a job's phase as far as the table holds it; false if this process can't tell.
 func (s *State) Phase(id string) (wire.JobPhase, bool) {
 	j := s.jobs[id]
 	if j == nil || !s.Leading() || j.Guest() {
@@ -61,11 +61,12 @@
 	return wire.JobPhase_JOB_PHASE_QUEUED, true
 }
 
-// roomsGoodFor is how old the sums of room for fillers may be that a load tells: they
-// look at each worker's neighbours, and many hosts ask.
+// roomsGoodFor is the greatest age of the sums of capacity for fillers in a load message. They are cached because each
+// sum visits the neighbours at every worker, and many hosts ask.
 const roomsGoodFor = 250 * time.Millisecond
 
-// Load sums the cell up for those who choose where a job goes.
+// Load returns a summary of the cell for the processes that choose a cell for a job. withBeliefs adds the beliefs about
+// interference that this cell has learned itself.
 func (s *State) Load(now time.Time, withBeliefs bool) *wire.CellLoad {
 	if now.Sub(s.roomsAt) > roomsGoodFor {
 		s.fillerRooms, s.fillerFrees, s.roomsAt = s.fillerRoom(), s.fillerFree(), now
@@ -109,7 +110,8 @@
 	return l
 }
 
-// addFree adds what is free at a worker, for those that may take it.
+// addFree adds a worker's free processors to the lists of free capacity, unless they are kept for a waiting lasting
+// task. A worker that is closed for an isolated run counts for lasting tasks only, and only if they may join that run.
 func (s *State) addFree(l *wire.CellLoad, w *workers.Worker) {
 	free := w.Free().Millicores
 	if free <= 0 || s.held[w] {
@@ -123,7 +125,8 @@
 	}
 }
 
-// settlesIn is how long it may take until what earlier leaders started is known or surely over; 0: it is.
+// settlesIn returns how long it may take until each run that earlier leaders started is known or surely over; 0: that
+// is so already, or this process does not lead.
 func (s *State) settlesIn(now time.Time) time.Duration {
 	if !s.Holds() || s.newSettled() {
 		return 0
@@ -131,9 +134,10 @@
 	return max(time.Millisecond, s.settleBy.Sub(now))
 }
 
-// addLoad adds what a unit still asks for.
+// addLoad adds the remaining work of a unit to a load message.
 func addLoad(l *wire.CellLoad, u *jobs.Unit) {
-	work := u.Size.Millicores * u.Spec.GetEstimateMs() / 1000
+	const millicoresPerCore = 1000
+	work := u.Size.Millicores * u.Spec.GetEstimateMs() / millicoresPerCore // in core milliseconds
 	for _, t := range u.Tasks {
 		switch {
 		case t.Done || t.LentTo != "":
@@ -147,7 +151,7 @@
 	}
 }
 
-// Counts is a summary for the status page and the metrics.
+// Counts is a summary of a cell for the status page and the metrics.
 type Counts struct {
 	Jobs, Waiting, Running, Workers, Usable, Aside int
 	// Suspects are the tasks that are suspected of crashing workers.
@@ -155,7 +159,7 @@
 	Settled  bool
 }
 
-// Counts returns the summary.
+// Counts returns the summary of the cell as of now.
 func (s *State) Counts(now time.Time) Counts {
 	c := Counts{Settled: s.settled}
 	for _, j := range s.jobs {
--- a/pkg/process/cell/runsknown.go
+++ b/pkg/process/cell/runsknown.go
@@ -9,16 +9,17 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Members whose runs are known. A worker that leaves gets no more work, and one that is silent gets none for now, so
-// the membership can name the tasks that may run there. A successor that does not hear such a worker holds back these
-// tasks only; if the worker has crashed, it accuses no others. A worker gets work again only after a membership
-// without its tasks has been recorded.
+// Members whose runs are known. A leaving worker gets no more work, and a silent worker gets none for now, so the
+// membership row can name the tasks that may run there. A successor that gets no answer from such a worker holds back
+// only these tasks, and if the worker has crashed, its end implicates only these tasks. The worker gets work again only
+// after a membership row without its tasks has been recorded.
 
-// mayRunMost bounds the tasks that the membership names, in all: what most workers of a cell hold that are cut off
-// together is not worth its bytes.
+// mayRunMost bounds how many tasks the membership row names in all. If most workers of a cell are cut off together,
+// naming all their tasks is not worth the size of the row.
 const mayRunMost = 512
 
-// noteKnownRuns works out at which members the runs are known. Their runs only become fewer.
+// noteKnownRuns updates RunsKnown and MayRun of each worker. No run starts at a worker while its RunsKnown is set, so its
+// MayRun only shrinks.
 func (s *State) noteKnownRuns(now time.Time) {
 	named := 0
 	for _, w := range s.sorted() {
@@ -26,7 +27,7 @@
 		case w.Gone || w.Dropped:
 			continue
 		case !w.Heard:
-			// What earlier leaders said of it holds.
+			// The entry that earlier leaders wrote still applies.
 		case w.RunsKnown && !s.getsNoWork(now, w):
 			w.RunsKnown, w.MayRun, w.SureFrom = false, nil, now
 			s.placeNow = true
@@ -37,18 +38,20 @@
 	}
 }
 
-// getsNoWork says whether a worker gets no work now, and none later without being told of first. A table that does not
-// answer would keep a worker that is heard again from work for as long.
+// getsNoWork returns whether a worker gets no work now, and none later before a membership row without its tasks is
+// recorded. It is false for a newly silent worker while the table does not answer: such a worker would otherwise get no
+// work after it answers again until the table does, too.
 func (s *State) getsNoWork(now time.Time, w *workers.Worker) bool {
 	return w.Leaving || (w.Failures >= failuresSilent && (w.RunsKnown || s.tableAnswers(now)))
 }
 
-// knowsRuns says whether all that a worker may hold is among its runs.
+// knowsRuns returns whether a worker surely holds nothing but its known runs: no other run, and no end that is not
+// recorded.
 func (s *State) knowsRuns(w *workers.Worker) bool {
 	return w.HoldsNoOthers() && s.recordedEnd(w) >= w.Seen
 }
 
-// tasksAt are the names of the tasks that may have a run at a worker, sorted.
+// tasksAt returns the sorted names of the tasks that may have a run at a worker.
 func tasksAt(w *workers.Worker) []string {
 	list := make([]string, 0, len(w.Runs))
 	for _, r := range w.Runs {
@@ -58,12 +61,13 @@
 	return slices.Compact(list)
 }
 
-// mayHaveRunAt says whether a task may have run at a worker of the membership.
+// mayHaveRunAt returns whether a task may have run at a member, given the member's entry in the membership row.
 func mayHaveRunAt(e *wire.RosterEntry, t *jobs.Task) bool {
 	return !e.GetRunsKnown() || slices.Contains(e.GetMayRun(), t.Name())
 }
 
-// heldBack are the tasks that may run at workers that are not heard; known is false where any task may.
+// heldBack returns the names of the tasks that may still run at members which have not answered this leader. known is
+// false if any task may run at one of them.
 func (s *State) heldBack(now time.Time) (tasks map[string]bool, known bool) {
 	tasks = map[string]bool{}
 	for id := range s.unsettled {
@@ -81,11 +85,13 @@
 	return tasks, true
 }
 
-// newSettled says whether no earlier leader can have started what comes to be known here from now on.
+// newSettled returns whether tasks that become known here from now on may start at once: no earlier leader can have
+// started them, except those that holdBackNamed marks.
 func (s *State) newSettled() bool { return s.settled || s.othersSettled || s.unsafe.NoSettling }
 
-// holdBackNamed holds back those tasks of a job which may run at workers that are not heard: an earlier leader may have
-// known of them before they came to be known here, as of a time that fell due by its clock.
+// holdBackNamed marks as not settled the tasks of a job that may run at members which have not answered. An earlier
+// leader may have known a task before it became known here: for example, an occurrence of a repeating job may have
+// fallen due earlier by that leader's clock.
 func (s *State) holdBackNamed(j *jobs.Job) {
 	if len(s.mayRunUnheard) == 0 {
 		return
--- a/pkg/process/cell/runsknown_test.go
+++ b/pkg/process/cell/runsknown_test.go
@@ -10,13 +10,14 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
+// Tasks of the tests: thereTask runs at a worker that then stops answering, otherTask runs nowhere.
 const (
 	thereTask = "00000000000000ff.0.0.0"
 	otherTask = "00000000000000ee.0.0.0"
 )
 
-// leftUnheard gives the successor of a leader whose worker says that it leaves, while a lasting task runs there, and
-// is not heard any more.
+// leftUnheard returns the successor of a leader, and a worker that was leaving while thereTask ran there and that does
+// not answer the successor.
 func leftUnheard(t *testing.T, specs ...*wire.JobSpec) (successor *busyCell, left string) {
 	t.Helper()
 	b := newEmptyCell()
@@ -31,7 +32,7 @@
 	return successor, left
 }
 
-// A worker left as its leader died: a successor holds back what may run there, and nothing else.
+// A worker leaves while its leader dies. The successor holds back the tasks that may run there, and no others.
 func TestASuccessorHoldsBackOnlyWhatMayRunAtAWorkerThatLeft(t *testing.T) {
 	t.Parallel()
 	successor, _ := leftUnheard(t, lastingJob("00000000000000ff"), lastingJob("00000000000000ee"))
@@ -46,7 +47,7 @@
 	must.MapContainsKey(t, successor.started, thereTask)
 }
 
-// No earlier leader can have started at such a worker what comes to be known after the takeover.
+// No earlier leader can have started a job at a leaving worker that becomes known only after the takeover.
 func TestANewJobStartsAtOnceBesideAWorkerThatLeftUnheard(t *testing.T) {
 	t.Parallel()
 	successor, _ := leftUnheard(t, lastingJob("00000000000000ff"))
@@ -60,7 +61,7 @@
 	must.MapContainsKey(t, successor.started, otherTask)
 }
 
-// A row that an older version wrote names no tasks: any may run there.
+// A membership row that an older version wrote names no tasks, so any task may run at a worker that does not answer.
 func TestASuccessorHoldsBackAllWhereTheRunsAreNotKnown(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -74,7 +75,7 @@
 	must.MapEmpty(t, successor.started)
 }
 
-// entryOf is what the membership says of a worker.
+// entryOf returns a worker's entry in the membership row, or nil.
 func (b *busyCell) entryOf(id string) *wire.RosterEntry {
 	list := b.state.Roster()
 	if i := slices.IndexFunc(list, func(e *wire.RosterEntry) bool { return e.GetId() == id }); i >= 0 {
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// A silent worker's runs are named. Heard again, it gets work only once a membership that does not name them is recorded.
+// The membership row names the runs of a silent worker. When the worker answers again, it gets work only after a row
+// without these runs is recorded.
 func TestAWorkerWhoseRunsAreNamedGetsNoWorkUntilTheyAreNotAnyMore(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -103,7 +105,7 @@
 		b.step(100 * time.Millisecond)
 	}
 	must.False(t, b.entryOf(silent).GetRunsKnown())
-	must.MapLen(t, 16, b.started, must.Sprint("one at each other worker, and the first"))
+	must.MapLen(t, 16, b.started, must.Sprint("one at each other worker, and the first job's"))
 	b.down = false
 	for range 2 {
 		b.step(100 * time.Millisecond)
@@ -111,7 +113,8 @@
 	must.MapLen(t, 17, b.started)
 }
 
-// Evidence of a crash that its leader did not live to record is held against what ran there, and nothing else.
+// A leader dies before it records a crash. The successor adds the crash to the evidence against the tasks that the
+// membership row names at the worker, and no others.
 func TestACrashThatIsNotRecordedIsHeldAgainstWhatRanThere(t *testing.T) {
 	t.Parallel()
 	h := newHeirOf(&wire.RosterEntry{
@@ -122,7 +125,8 @@
 	must.Eq(t, "00000000000000aa.0.0.1", h.state.Suspects()[0].Task)
 }
 
-// A time of a repeating job fell due for the earlier leader first, which started it at a worker that then left.
+// An occurrence of a repeating job falls due earlier by the clock of the predecessor, which starts it at a worker that
+// does not answer the successor.
 func TestATimeThatFallsDueLaterIsHeldBackWhereItMayRunUnheard(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -143,7 +147,7 @@
 	must.MapContainsKey(t, successor.started, "00000000000000aa.1.0.0")
 }
 
-// A successor that does not hear a worker either passes on what its predecessor knew of the runs there.
+// A worker answers neither a leader nor its successor. The successor keeps the tasks that the worker's entry names.
 func TestASuccessorPassesOnWhatMayRunAtAWorkerThatItDoesNotHear(t *testing.T) {
 	t.Parallel()
 	for _, born := range []int64{0, 7} {
--- a/pkg/process/cell/strays.go
+++ b/pkg/process/cell/strays.go
@@ -8,18 +8,17 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// What workers list of tasks that are not known here. A forerunner may have been told of a job,
-// and have started it, that came to the table after this leader had read it. So a run or an end
-// of a task that is not known waits until the cell's table has been read once more from after
-// it was seen: if its job becomes known, the run is taken over and the end counts; if not, it is
-// nobody's.
+// Orphaned runs and ends: those that workers list for tasks that this leader does not know. A predecessor may have
+// started a job that reached the table after this leader had read it. So an orphaned run or end waits until the leader
+// has read the cell's table again, from after the run or end was listed. If its job is known by then, the leader adopts
+// the run and counts the end. Otherwise it belongs to no job: the run is stopped and the end acknowledged.
 
-// Followed says that all jobs which stood in the cell's table at a moment have been told.
+// Followed says that the leader has received an event for each job that stood in the cell's table at the time At.
 type Followed struct{ At time.Time }
 
 func (Followed) event() {}
 
-// takeFollowed lets go what belongs to none of the jobs.
+// takeFollowed drops the orphaned ends that belong to no job, so that they are acknowledged.
 func (s *State) takeFollowed(e Followed) {
 	s.followedAt = e.At
 	for _, w := range s.sorted() {
@@ -27,8 +26,8 @@
 	}
 }
 
-// opensLater says whether a task is of a time of a repeating job that has not fallen due here: a forerunner
-// may have opened it by a clock that was ahead, or a moment before its job came to be known here.
+// opensLater returns whether a task belongs to an occurrence of a repeating job that has not fallen due here. A
+// predecessor may have opened the occurrence by a clock that was ahead, or a moment before the job became known here.
 func (s *State) opensLater(task string) bool {
 	id, ok := jobs.ParseTask(task)
 	if !ok {
@@ -38,12 +37,13 @@
 	return j != nil && !j.Ended() && j.OpensLater(id)
 }
 
-// holdEnd keeps an end whose task is not known from being acknowledged.
+// holdEnd keeps an orphaned end, which is not acknowledged meanwhile.
 func (s *State) holdEnd(now time.Time, w *workers.Worker, e workers.End) {
 	w.HeldEnds = append(w.HeldEnds, workers.HeldEnd{End: e, At: now})
 }
 
-// keepStray remembers a run whose task is not known, and says whether it is nobody's.
+// keepStray keeps an orphaned run that a worker lists. It returns whether the run belongs to no job, and so is to be
+// stopped.
 func (s *State) keepStray(now time.Time, w *workers.Worker, a workers.Active) bool {
 	if s.unsafe.NoStrays {
 		return true
@@ -59,8 +59,8 @@
 	return since.Before(s.followedAt) && !s.opensLater(a.Task)
 }
 
-// claimStrays takes over what workers have listed of a job before it was known, or before its
-// times were due here.
+// claimStrays adopts the orphaned runs of a job that has become known, or whose next occurrences have fallen due, and
+// counts the orphaned ends whose tasks are known by now.
 func (s *State) claimStrays(now time.Time, j *jobs.Job) {
 	for _, w := range s.sorted() {
 		for _, task := range strayTasks(w, j) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// strayTasks are the tasks of a job that a worker has listed and that are known now, in order.
+// strayTasks returns the sorted names of a job's known tasks that have an orphaned run at a worker.
 func strayTasks(w *workers.Worker, j *jobs.Job) []string {
 	var list []string
 	for task := range w.Strays {
--- a/pkg/process/cell/unseen.go
+++ b/pkg/process/cell/unseen.go
@@ -11,34 +11,45 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Lives of workers that end while nobody leads the cell, or whose end its leader does not live to record.
-// The roster names the lives that earlier leaders could use. A successor that finds one of them over can't
-// say which tasks ran there; of those that it finds nowhere, any may have, and may have ended it. That is
-// little against each, but it outlasts leaders, so that a task which crashes its workers while leaders
-// change is told apart after as many crashes as another. A life is named in the roster until what its end
-// says is recorded. Jobs are recorded apart, so of an end some records may stand and others be lost: each says
-// of how many tasks there should be one.
-
-// keepLife keeps a life in the roster until what its end says of tasks, which is noted by now, is recorded.
+// Unobserved ends: incarnations of workers that ended while the cell had no leader, or whose leader ended before it
+// recorded what ran there.
+//
+// The membership row names the incarnations that earlier leaders could use. When a successor finds one of them over, it
+// can't tell which tasks ran there: any task without a known run may have, and may have crashed the worker. That is weak
+// crash evidence against each of these tasks, but it is recorded and outlasts leaders. So a poisonous task is identified
+// after as many crashes while leaders change as under one leader.
+//
+// The membership row names an ended incarnation, as a retained member, until the crash evidence from its end is recorded.
+// Each job is recorded by itself, so some records of an end may be written and others lost: each record says how many
+// tasks the end implicates (Accused).
+
+// maxNamedAtEnd bounds how many tasks the membership row names for one ended incarnation.
+const maxNamedAtEnd = mayRunMost / 4
+
+// keepLife retains an ended incarnation of a worker, which began at born, in the membership row until the evidence from
+// its end is recorded. The caller has added that evidence to the tasks. The entry names the tasks that ran there if all
+// of them are known and they are few.
 func (s *State) keepLife(w *workers.Worker, born int64) {
 	if s.roster[w.ID] && s.earlier[w.ID] == nil {
 		s.earlier[w.ID] = &wire.RosterEntry{Id: w.ID, Address: w.Address, Host: w.Host, Service: w.Service, Born: born}
-		if s.knowsRuns(w) && len(w.Runs) <= mayRunMost/4 {
+		if s.knowsRuns(w) && len(w.Runs) <= maxNamedAtEnd {
 			s.earlier[w.ID].RunsKnown, s.earlier[w.ID].MayRun = true, tasksAt(w)
 		}
 	}
 	s.weighedSeq = s.seq
 }
 
-// endedUnseen remembers that a life of the roster is over of which this leader never heard a list.
+// endedUnseen remembers that an incarnation of the membership row has ended without ever answering this leader. It
+// leaves out leaving workers, whose end is no evidence of a crash. Ends after the cell has settled are handled by
+// unheardEnded.
 func (s *State) endedUnseen(w *workers.Worker) {
 	if s.earlier[w.ID] != nil && !s.settled && !w.Heard && !w.Leaving && !s.earlier[w.ID].GetLeaving() {
 		s.unseen = append(s.unseen, w.ID)
 	}
 }
 
-// unseenEnds are the lives of the roster that have ended and that not all tasks' records tell of, by worker:
-// those that are over, and those in whose place another one answers under the same id.
+// unseenEnds returns the ids of the workers whose incarnation in the membership row has ended and whose end is not
+// completely recorded: those that endedUnseen remembers, and those at which another incarnation answers under the id.
 func (s *State) unseenEnds() []string {
 	ended := s.unseen
 	for _, id := range slices.Sorted(maps.Keys(s.earlier)) {
@@ -50,8 +61,8 @@
 	return slices.DeleteFunc(ended, s.allRecorded)
 }
 
-// allRecorded says whether the records hold the end of a worker's incarnation against each task that it was held
-// against: a predecessor may have lived to write some of them only. Ended jobs have their records, too.
+// allRecorded returns whether the job records hold the end of a worker's incarnation as evidence against every task
+// that it implicates. A predecessor may have written only some of these records. Records of ended jobs count, too.
 func (s *State) allRecorded(worker string) bool {
 	born, all, held := s.earlier[worker].GetBorn(), 0, 0
 	for _, j := range s.jobs {
@@ -67,14 +78,15 @@
 	return held > 0 && held >= all
 }
 
-// crashOf is where the end of a worker's incarnation stands among what is held against a task, or -1.
+// crashOf returns the index of the end of a worker's incarnation in the evidence against a task, or -1.
 func crashOf(t *jobs.Task, worker string, born int64) int {
 	return slices.IndexFunc(t.Crashes, func(c blame.Crash) bool { return c.Worker == worker && c.Born == born })
 }
 
-// blameUnseen holds against tasks that were found nowhere that they may have run where incarnations have ended:
-// against each the first of those that are not held against it yet. A task of which only isolated runs were to start
-// had none: else its record would tell (see trialNowhere).
+// blameUnseen adds unobserved crashes to the evidence against tasks without a known run, given as nowhere. Each task
+// gets at most one: that of the first ended incarnation where it may have run and which is not part of its evidence yet.
+// Tasks that were to start only as isolated runs are left out: such a run is recorded before it starts, and
+// trialNowhere handles the tasks that have such a record.
 func (s *State) blameUnseen(now time.Time, nowhere []*jobs.Task) {
 	ended := s.unseenEnds()
 	if len(ended) == 0 || s.unsafe.NoBlame || s.unsafe.NoUnseen {
@@ -99,14 +111,14 @@
 	s.weighedSeq = s.seq
 }
 
-// unheardMember is a member that was not heard when the cell settled: the incarnation that earlier leaders could use, and
-// the tasks that may have run there.
+// unheardMember is an unreached member: one that had not answered this leader when the cell settled.
 type unheardMember struct {
-	entry *wire.RosterEntry
-	tasks []*jobs.Task
+	entry *wire.RosterEntry // names the incarnation that earlier leaders could use
+	tasks []*jobs.Task      // tasks without a known run that may have run there
 }
 
-// rememberUnheard keeps the members that are not heard until it shows whether they have crashed.
+// rememberUnheard keeps the unreached members, except leaving ones, until the leader learns whether they have crashed.
+// nowhere are the tasks without a known run.
 func (s *State) rememberUnheard(nowhere []*jobs.Task) {
 	for id := range s.unsettled {
 		e := s.earlier[id]
@@ -117,7 +129,8 @@
 	}
 }
 
-// unheardEnded holds the end of a member that was not heard against what may have run there.
+// unheardEnded handles the end of an unreached member: it adds an unobserved crash to the evidence against the tasks
+// that may have run there.
 func (s *State) unheardEnded(now time.Time, id string) {
 	u := s.unheard[id]
 	delete(s.unheard, id)
@@ -129,7 +142,8 @@
 	}
 }
 
-// holdUnseen holds an end that nobody saw against a task: one for each leader, as it can have run at one of them only.
+// holdUnseen adds an unobserved crash to the evidence against a task. unheardEnded adds no second one under the same
+// leader, because the task can have run at only one of the unreached members.
 func (s *State) holdUnseen(now time.Time, t *jobs.Task, c blame.Crash) {
 	if t.Accuse(c) {
 		s.unseenHeld[t] = true
@@ -138,7 +152,8 @@
 	}
 }
 
-// hostAnswers takes in that a worker answers whose host another member ran on that was not heard.
+// hostAnswers handles an answer of a worker: unreached members on its host are over, because a host runs one worker at a
+// time.
 func (s *State) hostAnswers(now time.Time, w *workers.Worker) {
 	for _, id := range slices.Sorted(maps.Keys(s.unheard)) {
 		if id != w.ID && s.unheard[id].entry.GetHost() == w.Host {
@@ -147,7 +162,8 @@
 	}
 }
 
-// unheardAnswers takes in which incarnation of a member answers that was not heard.
+// unheardAnswers handles the first answer under the id of an unreached member. If another incarnation answers, the
+// member has ended; otherwise it was only cut off.
 func (s *State) unheardAnswers(now time.Time, w *workers.Worker) {
 	u, was := s.unheard[w.ID]
 	if !was {
@@ -160,13 +176,14 @@
 	delete(s.unheard, w.ID)
 }
 
-// rosterEntry is what the roster says of a worker: the life whose end has not been weighed yet.
+// rosterEntry returns a worker's entry for the membership row. Until the evidence from the end of an earlier
+// incarnation is recorded, the entry names that incarnation.
 func (s *State) rosterEntry(w *workers.Worker) *wire.RosterEntry {
 	e := &wire.RosterEntry{Id: w.ID, Address: w.Address, Host: w.Host, Service: w.Service, Born: w.Born, Leaving: w.Leaving, RunsKnown: w.RunsKnown, MayRun: w.MayRun}
 	before := s.earlier[w.ID]
 	switch {
 	case before.GetBorn() != 0 && w.Born == 0:
-		e.Born, e.Leaving = before.GetBorn(), w.Leaving || before.GetLeaving() // it has not answered yet
+		e.Born, e.Leaving = before.GetBorn(), w.Leaving || before.GetLeaving() // the worker has not answered yet
 	case before.GetBorn() != 0 && before.GetBorn() != w.Born:
 		e.Born, e.Leaving, e.RunsKnown, e.MayRun = before.GetBorn(), before.GetLeaving(), false, nil
 	case before.GetLeaving():
@@ -175,7 +192,8 @@
 	return e
 }
 
-// forgetEarlier lets go of earlier lives once what their ends say is recorded.
+// forgetEarlier drops the entries that earlier leaders wrote to the membership row, once the cell has settled and the
+// evidence from the ends of these incarnations is recorded.
 func (s *State) forgetEarlier() {
 	if len(s.earlier) > 0 && s.settled && s.recordedUpTo(s.weighedSeq) {
 		clear(s.earlier)
--- a/pkg/process/cell/unseen_test.go
+++ b/pkg/process/cell/unseen_test.go
@@ -16,22 +16,23 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// heir is a successor to a cell of one worker, of which the roster names the first life.
+// heir is a new leader of a cell with one worker. The membership row names the worker's first incarnation.
 type heir struct {
 	state *cell.State
 	now   time.Time
-	// silentTable says that records get no answer, silent that the worker gives none.
+	// silentTable leaves records without an answer, silent polls of the worker.
 	silentTable, silent bool
-	// active is what the worker lists.
+	// active are the runs that the worker lists.
 	active []workers.Active
 }
 
-// newHeir takes over a job; born is the life that answers.
+// newHeir returns a successor that has loaded one job of two steps; born identifies the incarnation in the worker
+// registry.
 func newHeir(born int64) *heir {
 	return newHeirOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, born)
 }
 
-// newHeirOf is one of a cell whose roster has the given entry.
+// newHeirOf is newHeir for a membership row with the given entries.
 func newHeirOf(entry *wire.RosterEntry, born int64, more ...*wire.RosterEntry) *heir {
 	h := &heir{now: time.Unix(1000, 0)}
 	h.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
@@ -47,6 +48,7 @@
 	return h
 }
 
+// run advances time and answers each effect; born identifies the incarnation of the worker that answers polls.
 func (h *heir) run(span time.Duration, born int64) {
 	for until := h.now.Add(span); h.now.Before(until); {
 		h.now = h.now.Add(20 * time.Millisecond)
@@ -69,14 +71,14 @@
 	}
 }
 
-// All that is left of crashes that no leader lived to record is that incarnations of the roster are over: that is held,
-// a little, against what may have run there.
+// If a leader ends before it records a crash, its successor finds only that an incarnation of the membership row is over.
+// That is weak evidence against each task that may have run there.
 func TestALifeThatEndedUnseenIsHeldAgainstWhatMayHaveRunThere(t *testing.T) {
 	t.Parallel()
 	h := newHeir(2)
 	h.run(time.Second, 2)
 	suspects := h.state.Suspects()
-	must.Len(t, 3, suspects) // the second step may have begun, on ends of the first that are not recorded
+	must.Len(t, 3, suspects) // the second step may have begun, after ends of the first that are not recorded
 	for _, s := range suspects {
 		must.Len(t, 1, s.Crashes)
 		must.True(t, s.Crashes[0].Unseen)
@@ -84,7 +86,7 @@
 	}
 }
 
-// A step can't have begun while a task of the one before it runs.
+// A step can't have begun while a task of the step before it runs.
 func TestALifeThatEndedUnseenIsNotHeldAgainstStepsThatCannotHaveBegun(t *testing.T) {
 	t.Parallel()
 	h := newHeir(2)
@@ -95,6 +97,7 @@
 	must.Eq(t, "00000000000000aa.0.0.1", suspects[0].Task)
 }
 
+// The incarnation that the membership row names still answers: nothing has crashed.
 func TestALifeThatGoesOnAccusesNobody(t *testing.T) {
 	t.Parallel()
 	h := newHeir(1)
@@ -102,8 +105,8 @@
 	must.SliceEmpty(t, h.state.Suspects())
 }
 
-// The roster names the life that ended until what that says is recorded: a leader that dies before leaves it
-// to the next.
+// The membership row names an ended incarnation until the evidence from its end is recorded. If the leader dies before
+// that, the next leader finds the entry.
 func TestTheRosterNamesAnEndedLifeUntilItIsWeighed(t *testing.T) {
 	t.Parallel()
 	h := newHeir(2)
@@ -115,7 +118,7 @@
 	must.Eq(t, 2, recorded.state.Roster()[0].GetBorn())
 }
 
-// The end of a worker that had said that it leaves accuses no task, also after a takeover.
+// The end of a leaving worker is no evidence against any task, also after a takeover.
 func TestAWorkerThatLeftBeforeATakeoverAccusesNobody(t *testing.T) {
 	t.Parallel()
 	h := newHeirOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1, Leaving: true}, 2)
@@ -123,7 +126,8 @@
 	must.SliceEmpty(t, h.state.Suspects())
 }
 
-// crashOfTwo is a cell of one worker that crashed under tasks of two jobs, while a third job waits.
+// crashOfTwo returns a cell whose only worker crashed while it ran tasks of two jobs, and a third job that was accepted
+// after that. lost is a part of the table whose transactions get no answer until then.
 func crashOfTwo(t *testing.T, lost string) (f *crashFleet, first, second, waiting string) {
 	t.Helper()
 	f = newCrashFleet()
@@ -143,19 +147,20 @@
 	return f, first, second, waiting
 }
 
-// succeed makes another process lead, and waits until it knows what the one before it started.
+// succeed makes another process lead and runs until the cell has settled.
 func (f *crashFleet) succeed() {
 	f.lead()
 	f.settle()
 }
 
+// settle runs until the cell has settled, for 10 s at most.
 func (f *crashFleet) settle() {
 	for until := f.now.Add(10 * time.Second); !f.state.Settled() && f.now.Before(until); {
 		f.run(crashStep)
 	}
 }
 
-// evidence is what the cell holds against the only task of a job.
+// evidence returns the crash evidence against the only task of a job.
 func (f *crashFleet) evidence(job string) []blame.Crash {
 	for _, s := range f.state.Suspects() {
 		if s.Task == job+".0.0.0" {
@@ -165,8 +170,8 @@
 	return nil
 }
 
-// A successor holds the end of an incarnation against each task whose record does not tell of it, also where it is recorded
-// of another one.
+// A predecessor recorded a crash for one task and ended before it recorded the crash for the other. Its successor adds
+// the crash as an unobserved one to the evidence against the other task.
 func TestAnEndThatIsRecordedOfSomeTasksIsHeldAgainstTheOthers(t *testing.T) {
 	t.Parallel()
 	f, first, second, _ := crashOfTwo(t, rows.JobPart("0000000000000002"))
@@ -180,7 +185,7 @@
 	must.Eq(t, 1, f.evidence(second)[0].Born)
 }
 
-// Where all that the end of an incarnation says is recorded, a successor holds it against nobody else.
+// If a predecessor recorded a crash for every task that ran there, its successor adds it to no other task's evidence.
 func TestAnEndThatIsRecordedOfAllTasksIsHeldAgainstNoOther(t *testing.T) {
 	t.Parallel()
 	f, first, second, waiting := crashOfTwo(t, "")
@@ -191,8 +196,8 @@
 	must.SliceEmpty(t, f.evidence(waiting))
 }
 
-// A task that is to run isolated only is started after a record of that run. Without one no predecessor started it, so
-// the end of an incarnation says nothing of it.
+// A task that may only run isolated starts after its isolated run is recorded. Without such a record no predecessor
+// started the task, so the end of an incarnation is no evidence against it.
 func TestAnEndIsNotHeldAgainstATaskThatWaitsForItsIsolatedRun(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
@@ -206,12 +211,12 @@
 	}
 	before := f.evidence(id)
 	must.Eq(t, blame.OnTrial, blame.LevelOf(before))
-	f.run(100 * time.Millisecond) // until that is recorded, and before the isolated run
+	f.run(100 * time.Millisecond) // until the second crash is recorded, and before the isolated run
 	must.Len(t, 2, f.starts[id+".0.0.0"])
 	f.lead()
 	for _, w := range f.sorted() {
 		if !w.gone {
-			f.end(w, 100*time.Millisecond) // before the new leader hears it
+			f.end(w, 100*time.Millisecond) // before it answers the new leader
 			break
 		}
 	}
@@ -219,8 +224,8 @@
 	must.Len(t, 2, f.evidence(id))
 }
 
-// A worker crashed as leaders changed, and was back only after the successor had settled without it: nothing was held
-// against what may have run there.
+// A worker crashes while leaders change, and restarts only after the successor has settled without it. The crash must
+// still count as evidence against the tasks that may have run there.
 func TestACrashThatShowsAfterTheCellHasSettledIsHeldAgainstWhatMayHaveRunThere(t *testing.T) {
 	t.Parallel()
 	for name, back := range map[string]workers.Record{"the same id": {ID: "w", Born: 2}, "another id": {ID: "w2", Born: 2}} {
@@ -240,7 +245,7 @@
 	}
 }
 
-// The same worker answers again: it was cut off, and that accuses nobody.
+// The same incarnation answers again after the cell has settled: it was cut off, which is no evidence against any task.
 func TestAWorkerThatIsHeardAfterTheCellHasSettledAccusesNobody(t *testing.T) {
 	t.Parallel()
 	h := newHeir(1)
@@ -251,7 +256,8 @@
 	must.SliceEmpty(t, h.state.Suspects())
 }
 
-// A task can have run at one of the workers only that a leader did not hear.
+// Two unreached members have crashed. A task can have run at only one of them, so only one of the crashes is
+// added to its evidence.
 func TestOfCrashesThatShowAfterTheCellHasSettledOneIsHeldAgainstATask(t *testing.T) {
 	t.Parallel()
 	h := newHeirOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, 1, &wire.RosterEntry{Id: "v", Address: "y", Host: "g", Service: "quotes", Born: 1})
