--- a/pkg/process/cell/afterleaving_test.go
+++ b/pkg/process/cell/afterleaving_test.go
@@ -18,7 +18,7 @@
 // A short task with three attempts has failed once, as recorded, and a second time at a worker that does not answer the
 // successor. The earlier leader received the second failure and started the third run before it recorded the failure.
 // When the third run fails, no fourth may start.
-func TestATaskIsNotStartedBeyondItsAttemptsWhileAFailureMayBeUnseen(t *testing.T) {
+func TestTaskIsNotStartedBeyondItsAttemptsWhileAFailureIsUnreported(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	progress := &wire.JobProgress{Id: spec.GetId(), Phase: wire.JobPhase_JOB_PHASE_RUNNING, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{FailedRuns: []int64{1000001}}}}}}
@@ -65,7 +65,7 @@
 
 // Lasting tasks that are to run isolated have no known run after a takeover. The new leader does not know how long they
 // have waited, so none of them starts without isolation at once.
-func TestLastingTasksRunIsolatedAfterATakeover(t *testing.T) {
+func TestLastingTasksRunIsolatedAfterTakeover(t *testing.T) {
 	t.Parallel()
 	active := startSuspects(6, &wire.StepSpec{Count: 10, Millicores: 1000, Lasting: true})
 	must.MapLen(t, 2, active)
@@ -76,7 +76,7 @@
 
 // A worker was leaving before the takeover, with 10 s left. A short run there ends in time, and a lasting one is stopped
 // only once its task is settled, so the successor stops neither in the first second.
-func TestASuccessorKnowsHowMuchTimeALeavingWorkerHas(t *testing.T) {
+func TestSuccessorKnowsRemainingTimeOfLeavingWorker(t *testing.T) {
 	t.Parallel()
 	for _, lasting := range []bool{false, true} {
 		t.Run(fmt.Sprintf("lasting %v", lasting), func(t *testing.T) {
@@ -115,7 +115,7 @@
 }
 
 // After a takeover a lasting task without a known run starts in its own cell if there is capacity.
-func TestALastingTaskIsNotDelegatedWhileItsOwnCellHasCapacity(t *testing.T) {
+func TestLastingTaskIsNotDelegatedWhileItsOwnCellHasCapacity(t *testing.T) {
 	t.Parallel()
 	before := newEmptyCell()
 	before.step(100 * time.Millisecond)
@@ -142,7 +142,7 @@
 
 // A worker goes silent and its row is removed, without saying that it leaves, and the rest of its cell is full. Its
 // lasting task, against which there is no crash evidence, is delegated in time.
-func TestALastingTaskOfAWorkerThatFellSilentIsDelegatedWithinSixSeconds(t *testing.T) {
+func TestLastingTaskOfSilentWorkerIsDelegatedWithinSixSeconds(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 16, Millicores: 30000, Lasting: true})
@@ -169,10 +169,10 @@
 }
 
 // The ended incarnation was not leaving, the one in its place is. The entry of the ended one must not say that it leaves.
-func TestTheMembershipDoesNotSayOfAnEndedIncarnationThatItLeaves(t *testing.T) {
+func TestEntryOfEndedIncarnationIsNotMarkedLeaving(t *testing.T) {
 	t.Parallel()
-	h := newHeir(2)
-	h.silentTable = true
+	h := newSoleSuccessor(2)
+	h.tableDown = true
 	h.run(time.Second, 2)
 	h.state.Take(h.now, cell.WorkersListed{Records: []workers.Record{{
 		ID: "w", Born: 2, Service: "quotes", Address: "x", Hall: "hall", Ready: true, Leaving: true, Remaining: 5 * time.Second, Host: "h", Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
@@ -185,7 +185,7 @@
 
 // A lasting task that has waited long enough for an isolated run starts without isolation. That holds for one start: the
 // next run is to be isolated again.
-func TestALastingTaskThatRanAmongOthersIsRunIsolatedTheNextTime(t *testing.T) {
+func TestIsolationWaiverHoldsForOneStart(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	s := cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
--- a/pkg/process/cell/leaving.go
+++ b/pkg/process/cell/leaving.go
@@ -7,9 +7,9 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// leaveMargin is the time that must remain between the expected end of a run and the end of its leaving worker for the
+// leavingMargin is the time that must remain between the expected end of a run and the end of its leaving worker for the
 // run to go on there. A stop takes part of that time.
-const leaveMargin = 300 * time.Millisecond
+const leavingMargin = 300 * time.Millisecond
 
 // leave stops the runs that leaving workers can't finish in the time they have left. Their tasks go on elsewhere from a
 // checkpoint. Runs that can finish there stay.
@@ -20,7 +20,7 @@
 		}
 		left := w.Remaining - now.Sub(w.LeavingAt)
 		for _, r := range w.Runs {
-			if r.State != jobs.Running || !s.moveAway(now, r, left) || s.settlesSoon(now, w, r, left) {
+			if r.State != jobs.Running || !s.cannotFinish(now, r, left) || s.settlesSoon(now, w, r, left) {
 				continue
 			}
 			s.stop(now, w, r, "its worker is leaving")
@@ -28,27 +28,27 @@
 	}
 }
 
-// stopTakes is about as long as a stop takes.
-const stopTakes = time.Second
+// stopDuration is about as long as a stop takes.
+const stopDuration = time.Second
 
 // settlesSoon returns whether a run is better stopped a little later: its lasting task settles soon and may then start
 // elsewhere at once, and the worker has enough time left to wait for that.
 func (s *State) settlesSoon(now time.Time, w *workers.Worker, r *jobs.Run, left time.Duration) bool {
-	wait := earlierPolls + lookWait - now.Sub(w.HeardAt)
-	return r.Task.Unit.Lasting() && !r.Task.Settled && wait > 0 && left-wait > stopTakes
+	wait := earlierPollWindow + lookWait - now.Sub(w.HeardAt)
+	return r.Task.Unit.Lasting() && !r.Task.Settled && wait > 0 && left-wait > stopDuration
 }
 
-// moveAway returns whether a run can't end at its worker in the time left. A lasting run never ends by itself.
-func (s *State) moveAway(now time.Time, r *jobs.Run, left time.Duration) bool {
+// cannotFinish returns whether a run can't end at its worker in the time left. A lasting run never ends by itself.
+func (s *State) cannotFinish(now time.Time, r *jobs.Run, left time.Duration) bool {
 	if r.Task.Unit.Lasting() {
 		return true
 	}
-	return s.remaining(now, r) > left-leaveMargin
+	return s.remainingTime(now, r) > left-leavingMargin
 }
 
-// remaining estimates how much longer a run takes: from its progress so far or, while it has made none, from the run
+// remainingTime estimates how much longer a run takes: from its progress so far or, while it has made none, from the run
 // times learned for its queue and the estimate that its caller declared.
-func (s *State) remaining(now time.Time, r *jobs.Run) time.Duration {
+func (s *State) remainingTime(now time.Time, r *jobs.Run) time.Duration {
 	guess := s.taskTime(r.Task.Unit)
 	if r.Percent <= 0 {
 		return max(0, guess-now.Sub(r.BeganAt))
--- a/pkg/process/cell/lists.go
+++ b/pkg/process/cell/lists.go
@@ -11,27 +11,27 @@
 
 // The runs that workers list as active, and how they change the runs that the leader knows.
 
-// takeActive compares a worker's list of active runs with the runs that the leader knows there. It adopts or stops runs
-// that only the worker lists, and presumes runs over that the worker should list and does not.
-func (s *State) takeActive(now time.Time, w *workers.Worker, e Looked) {
+// reconcileActive compares a worker's list of active runs with the runs that the leader knows there. It adopts or
+// stops runs that only the worker lists, and presumes runs over that the worker should list and does not.
+func (s *State) reconcileActive(now time.Time, w *workers.Worker, e Looked) {
 	listed := map[*jobs.Run]bool{}
 	foreign := ledger.Size{}
 	w.NewStrays = nil
 	for _, a := range e.Report.Active {
-		r := s.matchActive(now, w, a)
+		r := s.runOfLine(now, w, a)
 		if r == nil {
 			t := s.task(a.Task)
 			if t != nil {
 				foreign = foreign.Plus(workers.Reserved(t.Unit))
 			}
-			if t != nil || s.keepStray(now, w, a) {
+			if t != nil || s.keepOrphanedRun(now, w, a) {
 				s.stopForeign(w, a)
 			}
 			continue
 		}
 		listed[r] = true
-		s.settleListed(w, r, e.SentAt)
-		s.takeReading(now, w, r, a)
+		s.settleListedRun(w, r, e.SentAt)
+		s.updateRun(now, w, r, a)
 	}
 	w.SetForeign(foreign)
 	w.Strays, w.NewStrays = w.NewStrays, nil
@@ -61,9 +61,9 @@
 	}
 }
 
-// matchActive returns the run that a line of a worker's list is about. It adopts a run of an earlier leader. It returns
+// runOfLine returns the run that a line of a worker's list is about. It adopts a run of an earlier leader. It returns
 // nil if the task is unknown, or if the run must not go on.
-func (s *State) matchActive(now time.Time, w *workers.Worker, a workers.Active) *jobs.Run {
+func (s *State) runOfLine(now time.Time, w *workers.Worker, a workers.Active) *jobs.Run {
 	t := s.task(a.Task)
 	if t == nil {
 		return nil
@@ -93,16 +93,16 @@
 	return r
 }
 
-// earlierPolls is how long after its first answer to this leader a worker may still answer a poll of an earlier leader
+// earlierPollWindow is how long after its first answer to this leader a worker may still answer a poll of an earlier leader
 // with a list. A poll that reached the worker before this leader's fence waits there for as long as any poll may.
-const earlierPolls = idleWait + 300*time.Millisecond
+const earlierPollWindow = idleWait + 300*time.Millisecond
 
-// settleListed settles the lasting task of a run that its worker lists, once no poll of an earlier leader can be
+// settleListedRun settles the lasting task of a run that its worker lists, once no poll of an earlier leader can be
 // answered there any more. The task has no other run while this one goes on, and an earlier leader would start the task
 // again only after it had received the end of this run. Other tasks are not settled here: a failure that counts towards
 // their attempts may not have been reported yet.
-func (s *State) settleListed(w *workers.Worker, r *jobs.Run, sentAt time.Time) {
-	if t := r.Task; !t.Settled && t.Unit.Lasting() && !t.Unit.Spec.GetCopies() && sentAt.Sub(w.HeardAt) >= earlierPolls {
+func (s *State) settleListedRun(w *workers.Worker, r *jobs.Run, sentAt time.Time) {
+	if t := r.Task; !t.Settled && t.Unit.Lasting() && !t.Unit.Spec.GetCopies() && sentAt.Sub(w.HeardAt) >= earlierPollWindow {
 		t.Settled = true
 	}
 }
@@ -144,9 +144,9 @@
 	return j.Task(id.Time, id.Step, id.Index)
 }
 
-// takeReading updates a run from a line of its worker's list: progress, checkpoint, and the tail latency or the
+// updateRun updates a run from a line of its worker's list: progress, checkpoint, and the tail latency or the
 // processors in use. Progress may end the quarantine of the worker.
-func (s *State) takeReading(now time.Time, w *workers.Worker, r *jobs.Run, a workers.Active) {
+func (s *State) updateRun(now time.Time, w *workers.Worker, r *jobs.Run, a workers.Active) {
 	if a.Percent != r.Percent {
 		if a.Percent > r.Percent && (w.Health.Moved() || (r.Task.Unit.Lasting() && a.Percent >= 100 && w.Health.Worked())) {
 			s.note(Note{What: NoteWorkerBack, Worker: w.ID, Detail: "a run makes progress", AgeMs: -1})
--- a/pkg/process/cell/lives.go
+++ b/pkg/process/cell/lives.go
@@ -13,8 +13,8 @@
 // first answer of the next incarnation says when that one began. The leader then drops its state of the incarnation
 // before, whose runs have died.
 
-// takeLife handles the incarnation of a worker that has answered a poll.
-func (s *State) takeLife(now time.Time, w *workers.Worker, e Looked) {
+// takeIncarnation handles the incarnation of a worker that has answered a poll.
+func (s *State) takeIncarnation(now time.Time, w *workers.Worker, e Looked) {
 	born := e.Report.Born
 	switch {
 	case born == 0:
@@ -26,12 +26,12 @@
 	case w.Born == born:
 		w.Answered(e.SentAt)
 	default:
-		s.begin(now, w, e)
+		s.beginIncarnation(now, w, e)
 	}
 }
 
-// begin handles the first answer of the next incarnation of a worker.
-func (s *State) begin(now time.Time, w *workers.Worker, e Looked) {
+// beginIncarnation handles the first answer of the next incarnation of a worker.
+func (s *State) beginIncarnation(now time.Time, w *workers.Worker, e Looked) {
 	s.note(Note{
 		What: NoteWorkerLife, Worker: w.ID, AgeMs: now.Sub(w.AnsweredAt).Milliseconds(),
 		Detail: fmt.Sprintf("born %d, was %d; clock %s, expected at least %s", e.Report.Born, w.Born, e.Report.Clock, w.ClockAtLeast(now).Round(time.Millisecond)),
@@ -44,13 +44,13 @@
 		delete(a.tickets, w.ID)
 	}
 	for _, r := range w.Begin(now, e.Report.Born) {
-		s.die(now, r)
+		s.markDied(now, r)
 	}
 	s.placeNow = true
 }
 
-// die marks a run as died: it ended with its worker's incarnation, or earlier without its end being reported.
-func (s *State) die(now time.Time, r *jobs.Run) {
+// markDied marks a run as died: it ended with its worker's incarnation, or earlier without its end being reported.
+func (s *State) markDied(now time.Time, r *jobs.Run) {
 	r.State = jobs.Died
 	s.died = append(s.died, diedRun{run: r, at: now})
 	s.scanNow = true
--- a/pkg/process/cell/lives_test.go
+++ b/pkg/process/cell/lives_test.go
@@ -32,16 +32,16 @@
 	notes   []cell.Note
 	// recorded is the newest end that polls of this incarnation acknowledged.
 	recorded int64
-	// lost loses the answers to polls.
-	lost bool
+	// pollsLost loses the answers to polls.
+	pollsLost bool
 	// room is the capacity that its answers report; nil: none.
 	room *ledger.Size
 	// unconfirmed keeps renewals of the leadership from taking effect.
 	unconfirmed bool
 }
 
-// livesSpan is how far run advances time in each step.
-const livesSpan = 50 * time.Millisecond
+// restartStep is how far run advances time in each step.
+const restartStep = 50 * time.Millisecond
 
 func newLives() *lives {
 	v := &lives{now: time.Unix(1000, 0), born: 1, offset: time.Hour}
@@ -84,7 +84,7 @@
 // run advances time and answers each effect as the worker and the table do.
 func (v *lives) run(span time.Duration) {
 	for until := v.now.Add(span); v.now.Before(until); {
-		v.now = v.now.Add(livesSpan)
+		v.now = v.now.Add(restartStep)
 		v.state.Take(v.now, cell.Tick{})
 		if !v.unconfirmed {
 			v.state.Take(v.now, cell.Confirmed{At: v.now})
@@ -101,7 +101,7 @@
 		v.notes = append(v.notes, e)
 	case cell.SendLook:
 		looked := cell.Looked{Worker: e.To.ID, SentAt: v.now}
-		if v.lost {
+		if v.pollsLost {
 			looked.Err = fault.New(fault.Unknown, "w", "no answer", "")
 		} else {
 			v.recorded = max(v.recorded, e.Look.Recorded)
@@ -152,7 +152,7 @@
 // A worker crashes, restarts under its id, and numbers its ends from 1 again. A leader that kept the newest number of the
 // incarnation before would skip the first ends of the new one, let the worker forget them, presume their runs over ("no
 // longer listed by its worker") and start the tasks again.
-func TestEndsOfTheNextLifeAreNotTakenForKnownOnes(t *testing.T) {
+func TestEndsOfNextIncarnationAreNotSkipped(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	for i := range 3 {
@@ -174,7 +174,7 @@
 // An order to start gets no answer, and its worker restarts under its id. The order holds back its task until the
 // worker's clock is past the order's limit. The clock of the new incarnation shows an hour less: if the order still
 // counted, the task would wait for an hour beside an idle worker.
-func TestAnOrderToTheLifeBeforeDoesNotHoldItsTask(t *testing.T) {
+func TestOrderToEarlierIncarnationDoesNotHoldBackItsTask(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	v.deaf = true
@@ -192,7 +192,7 @@
 // A worker that has just restarted has seen no epoch yet, and would carry out orders of a deposed leader. So a leader
 // starts runs there, and presumes the runs of the incarnation before over, only after a renewal has taken effect that it
 // sent after it learned of the new incarnation.
-func TestTheNextLifeIsUsedOnlyByWhoStillLeads(t *testing.T) {
+func TestNextIncarnationIsUsedOnlyAfterRenewal(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	first := v.accept(1)
@@ -212,7 +212,7 @@
 
 // A row of the incarnation before is written late and stands in the worker registry. The leader still uses the
 // incarnation that answers, and applies none of the old row to it.
-func TestARowOfTheLifeBeforeSaysNothingOfTheNext(t *testing.T) {
+func TestRowOfEarlierIncarnationIsNotAppliedToTheNext(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	v.begin(time.Minute)
@@ -228,7 +228,7 @@
 }
 
 // Only one incarnation leaves: the next one takes work again.
-func TestTheNextLifeDoesNotLeave(t *testing.T) {
+func TestNextIncarnationOfLeavingWorkerTakesWork(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{{
@@ -245,7 +245,7 @@
 
 // An order to start gets no answer, and its worker's row is removed or becomes unreadable. The leader does not send the
 // order again, because a worker without a row takes no new work.
-func TestAnOrderIsNotRepeatedWhereNoRowNamesAWorker(t *testing.T) {
+func TestUnansweredStartIsNotRepeatedAtUnlistedWorker(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	v.deaf = true
@@ -264,17 +264,17 @@
 
 // A row of another incarnation makes the leader doubt which one runs, and is then removed. The answer of the known
 // incarnation must not count as a row.
-func TestARowThatWentIsNotThereSinceItsLifeAnswers(t *testing.T) {
+func TestAnswerDoesNotMakeUnlistedWorkerListed(t *testing.T) {
 	t.Parallel()
 	v := newLives()
-	v.lost = true
+	v.pollsLost = true
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{{
 		ID: "w", Born: 9, Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h",
 		Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
 	}}})
 	v.run(200 * time.Millisecond)
 	v.state.Take(v.now, cell.WorkersListed{})
-	v.lost = false
+	v.pollsLost = false
 	task := v.accept(1)
 	v.run(2 * time.Second)
 	must.Eq(t, 0, v.startsOf(task))
@@ -283,7 +283,7 @@
 // A successor learns of a member from the worker registry, and gets the member's first answer while the table no longer
 // answers. It uses the member at once, as far as the cell has settled. If it waited for a renewal, as for a restarted
 // worker, each takeover would take another half second, and longer while the table is unavailable.
-func TestASuccessorUsesWorkersOfTheRosterWithoutAnotherRenewal(t *testing.T) {
+func TestSuccessorUsesMembersWithoutAnotherRenewal(t *testing.T) {
 	t.Parallel()
 	v := &lives{now: time.Unix(1000, 0), born: 1, offset: time.Hour, unconfirmed: true}
 	v.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
@@ -301,7 +301,7 @@
 // A leader knows a worker from the membership row alone. The first incarnation that answers may be a new one, which has
 // seen no epoch yet and would carry out orders of this leader even if it was deposed meanwhile. So nothing starts there
 // until a renewal that was sent after the answer has taken effect.
-func TestALifeThatIsKnownFromTheRosterAloneWaitsForARenewal(t *testing.T) {
+func TestWorkerKnownOnlyFromMembershipWaitsForRenewal(t *testing.T) {
 	t.Parallel()
 	v := &lives{now: time.Unix(1000, 0), born: 5, offset: time.Hour, unconfirmed: true}
 	v.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
--- a/pkg/process/cell/look.go
+++ b/pkg/process/cell/look.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// lease is how long a worker keeps its runs without a renewal. It outlasts a simultaneous crash of all entry
+	// leaseDuration is how long a worker keeps its runs without a renewal. It outlasts a simultaneous crash of all entry
 	// hosts (1.4 s on the platform's sites, and about a second until the first poll after it). It is also the most
 	// time that the crash of a worker costs its tasks.
-	lease = 3500 * time.Millisecond
+	leaseDuration = 3500 * time.Millisecond
 	// lookWait is how long a worker with runs may wait for one of them to end before it answers a poll. It sets how
 	// often the leader gets readings, which workers renew every half second, and renews the lease.
 	lookWait = 500 * time.Millisecond
@@ -20,17 +20,17 @@
 	idleWait = time.Second
 	// lookSlack is the least time that a poll may take beyond the wait that it asks for.
 	lookSlack = 600 * time.Millisecond
-	// lookAgain is the pause after a failed poll.
-	lookAgain = 200 * time.Millisecond
-	// loadingPause is the pause between polls of a worker while the leader loads the cell's jobs.
-	loadingPause = lookAgain / 4
+	// pollRetryPause is the pause after a failed poll.
+	pollRetryPause = 200 * time.Millisecond
+	// loadingPollPause is the pause between polls of a worker while the leader loads the cell's jobs.
+	loadingPollPause = pollRetryPause / 4
 	// ackPause is the pause after a poll that brought ends, while these are not recorded: the worker would list them
 	// again at once.
 	ackPause = 150 * time.Millisecond
 	// heardWithin is the greatest age of a worker's last answer at which it gets new work.
 	heardWithin = idleWait + time.Second
 	// LongestLease bounds the lease that any leader grants.
-	LongestLease = lease + leaseSlack
+	LongestLease = leaseDuration + leaseSlack
 	// leaseSlack covers a predecessor's grant that was computed from a fresher reading of the worker's clock than this
 	// leader's first one.
 	leaseSlack = 500 * time.Millisecond
@@ -39,9 +39,9 @@
 // leaseSpan returns the length of the leases that this leader grants, within the deployment's bound.
 func (s *State) leaseSpan() time.Duration {
 	if s.bounds.MaxLease > 0 {
-		return min(lease, s.bounds.MaxLease)
+		return min(leaseDuration, s.bounds.MaxLease)
 	}
-	return lease
+	return leaseDuration
 }
 
 // takeListed handles the rows of the cell's workers in the worker registry. A worker that has no row any more is kept:
@@ -61,7 +61,7 @@
 			s.reorder = true
 			s.noteIfHeld(Note{What: NoteWorkerNew, Worker: r.ID, Detail: fmt.Sprintf("%s at %s, %+v, labels %v, born %d", r.Service, r.Address, r.Capacity, r.Labels, r.Born), AgeMs: -1})
 		}
-		s.takeRecord(now, w, r)
+		s.applyRecord(now, w, r)
 	}
 	for _, w := range s.sorted() {
 		if !named[w.ID] {
@@ -71,9 +71,9 @@
 	}
 }
 
-// takeRecord updates a worker from its row. A process that holds the leadership keeps a row of another incarnation aside
+// applyRecord updates a worker from its row. A process that holds the leadership keeps a row of another incarnation aside
 // until the worker's next answer shows which incarnation runs.
-func (s *State) takeRecord(now time.Time, w *workers.Worker, r workers.Record) {
+func (s *State) applyRecord(now time.Time, w *workers.Worker, r workers.Record) {
 	if w.OtherLife(r) {
 		if s.Holds() {
 			if w.TakeOtherRow(now, r) {
@@ -100,15 +100,15 @@
 		r.Capacity = w.Capacity // the same row as before: an answer may have reported a newer capacity since
 	}
 	w.Record = r
-	s.roomChanged(w, room)
+	s.capacityChanged(w, room)
 	w.RowGoneAt = time.Time{}
 	w.Leaving = leaving || r.Leaving // an incarnation that leaves never takes work again
 	w.Listed = true
 }
 
-// roomChanged handles a change of a worker's capacity. Runs that no longer fit go on, because a stop would cost their
+// capacityChanged handles a change of a worker's capacity. Runs that no longer fit go on, because a stop would cost their
 // work and the capacity comes back. No more runs start there until they fit.
-func (s *State) roomChanged(w *workers.Worker, before ledger.Size) {
+func (s *State) capacityChanged(w *workers.Worker, before ledger.Size) {
 	if w.Capacity == before {
 		return
 	}
@@ -124,13 +124,13 @@
 		if w.Gone || w.Looking || now.Before(w.LookAt) || w.Address == "" {
 			continue
 		}
-		s.sendLook(now, w)
+		s.sendPoll(now, w)
 	}
 }
 
-// sendLook polls a worker. The poll acknowledges recorded ends, and renews the lease if the worker is not silent.
-func (s *State) sendLook(now time.Time, w *workers.Worker) {
-	s.acknowledge(w)
+// sendPoll polls a worker. The poll acknowledges recorded ends, and renews the lease if the worker is not silent.
+func (s *State) sendPoll(now time.Time, w *workers.Worker) {
+	s.advanceRecorded(w)
 	l := workers.Look{Fence: s.epoch, Recorded: w.Recorded}
 	if w.InDoubt() {
 		l.Recorded = 0 // another incarnation would forget its own ends with these numbers
@@ -165,7 +165,7 @@
 		return
 	case e.Refusal == workers.RefusedFence:
 		s.emit(StepDown{Why: "worker " + w.ID + " knows a higher epoch"})
-		w.LookAt = now.Add(lookAgain)
+		w.LookAt = now.Add(pollRetryPause)
 		return
 	case e.Refusal == workers.RefusedLife:
 		s.lifeOver(now, w, "another incarnation answers at its address")
@@ -174,31 +174,31 @@
 		s.lookFailed(now, w, string(e.Refusal))
 		return
 	}
-	s.takeLife(now, w, e)
+	s.takeIncarnation(now, w, e)
 	s.unheardAnswers(now, w)
-	s.heard(now, w, e.Report.Clock)
+	s.workerAnswered(now, w, e.Report.Clock)
 	if room := e.Report.Room; room != nil {
 		before := w.Capacity
 		w.Capacity = *room
-		s.roomChanged(w, before)
+		s.capacityChanged(w, before)
 	}
 	s.resolveSilent(now, false, func(r silentRun) bool { return r.worker == w.ID && r.born == w.Born })
-	s.otherLivesOver(now, w, e.SentAt)
+	s.endOtherIncarnations(now, w, e.SentAt)
 	if s.phase == loading || s.phase == following {
 		// The lists are of no use before the jobs are loaded.
 		w.Heard = false
-		w.LookAt = now.Add(loadingPause)
+		w.LookAt = now.Add(loadingPollPause)
 		return
 	}
 	before := w.Seen
 	for _, end := range e.Report.Ended {
 		s.takeEnd(now, w, end)
 	}
-	s.takeActive(now, w, e)
+	s.reconcileActive(now, w, e)
 	s.learnPress(now, w)
 	switch {
 	case s.phase == releasing:
-		w.LookAt = now.Add(lookAgain)
+		w.LookAt = now.Add(pollRetryPause)
 	case w.Seen > before || len(e.Report.Ended) > 0:
 		w.LookAt = now.Add(ackPause) // partDurable makes the next poll due earlier
 	default:
@@ -206,8 +206,8 @@
 	}
 }
 
-// heard handles an answer of a worker to a poll; clock is the worker's clock.
-func (s *State) heard(now time.Time, w *workers.Worker, clock time.Duration) {
+// workerAnswered handles an answer of a worker to a poll; clock is the worker's clock.
+func (s *State) workerAnswered(now time.Time, w *workers.Worker, clock time.Duration) {
 	w.TakeClock(now, clock)
 	w.AnsweredAt, w.Failures = now, 0
 	if !w.Heard {
@@ -226,17 +226,17 @@
 	}
 }
 
-// otherLivesOver ends the other incarnations on the host of w that were known before the leader sent the poll which w
+// endOtherIncarnations ends the other incarnations on the host of w that were known before the leader sent the poll which w
 // has answered. The worker registry does not suffice for this, because rows of ended incarnations are sometimes written
 // again late.
-func (s *State) otherLivesOver(now time.Time, w *workers.Worker, sentAt time.Time) {
+func (s *State) endOtherIncarnations(now time.Time, w *workers.Worker, sentAt time.Time) {
 	if w.Host == "" {
 		return
 	}
 	s.resolveSilent(now, true, func(r silentRun) bool {
 		return r.host == w.Host && (r.worker != w.ID || r.born != w.Born) && r.at.Before(sentAt)
 	})
-	s.hostAnswers(now, w)
+	s.endUnreachedOnHost(now, w)
 	for _, other := range s.sorted() {
 		if other != w && other.Host == w.Host && other.KnownAt.Before(sentAt) && !other.Gone {
 			s.lifeOver(now, other, "its host runs "+w.ID)
@@ -256,11 +256,11 @@
 	if w.Failures == failuresSilent {
 		s.fellSilent(now, w)
 	}
-	w.LookAt = now.Add(lookAgain)
+	w.LookAt = now.Add(pollRetryPause)
 }
 
-// acknowledge advances w.Recorded, the newest end that the worker may forget.
-func (s *State) acknowledge(w *workers.Worker) {
+// advanceRecorded advances w.Recorded, the newest end that the worker may forget.
+func (s *State) advanceRecorded(w *workers.Worker) {
 	if s.unsafe.NoRecorded {
 		w.Recorded = w.Seen
 		return
--- a/pkg/process/cell/lost.go
+++ b/pkg/process/cell/lost.go
@@ -20,11 +20,11 @@
 		s.crashed(now, w)
 	}
 	s.over[w.ID] = w.Born
-	s.workerGone(now, w, why)
+	s.markGone(now, w, why)
 }
 
-// workerGone marks a worker's incarnation as over. buryGone presumes its runs over once that is confirmed.
-func (s *State) workerGone(now time.Time, w *workers.Worker, why string) {
+// markGone marks a worker's incarnation as over. buryGone presumes its runs over once that is confirmed.
+func (s *State) markGone(now time.Time, w *workers.Worker, why string) {
 	if w.Gone {
 		return
 	}
@@ -65,7 +65,7 @@
 		w.Remove(r)
 	}
 	t.Drop(r)
-	t.WaitsSince, t.HereSince = lastSeen(now, w), now
+	t.WaitsSince, t.HereSince = lastAnswer(now, w), now
 	s.note(Note{
 		What: NoteLost, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: r.Worker, Detail: why,
 		AgeMs: now.Sub(r.SentAt).Milliseconds(),
@@ -73,9 +73,9 @@
 	s.touch(now, t.Unit.Job)
 }
 
-// lastSeen returns when a worker whose runs are presumed over last answered: until then they went on for sure. It
+// lastAnswer returns when a worker whose runs are presumed over last answered: until then they went on for sure. It
 // returns now if the worker is unknown or never answered.
-func lastSeen(now time.Time, w *workers.Worker) time.Time {
+func lastAnswer(now time.Time, w *workers.Worker) time.Time {
 	if w == nil || w.AnsweredAt.IsZero() {
 		return now
 	}
@@ -89,18 +89,18 @@
 			continue
 		}
 		if !w.SilentSince.IsZero() {
-			s.checkSilent(now, w)
+			s.checkLease(now, w)
 			continue
 		}
 		for _, r := range w.Runs {
-			s.checkRun(now, w, r)
+			s.stopIfStalled(now, w, r)
 		}
 	}
 }
 
-// checkSilent presumes the runs of a silent worker over once its lease has expired. It then drops the worker if the worker
+// checkLease presumes the runs of a silent worker over once its lease has expired. It then drops the worker if the worker
 // registry has no row of it either.
-func (s *State) checkSilent(now time.Time, w *workers.Worker) {
+func (s *State) checkLease(now time.Time, w *workers.Worker) {
 	over := w.LeaseOver(s.confirmed(now)) || s.unsafe.NoLeaseWait
 	if over {
 		for _, r := range w.Runs {
@@ -108,7 +108,7 @@
 		}
 	}
 	if !w.Listed && now.Sub(w.UnlistedAt) > unlistedFor && len(w.Runs) == 0 && (over || s.surelyOver(now, w)) {
-		s.workerGone(now, w, "not listed and silent")
+		s.markGone(now, w, "not listed and silent")
 	}
 }
 
@@ -116,21 +116,21 @@
 	// unlistedFor is how long a silent worker is kept that has no runs and no row in the worker registry. It is short
 	// because a successor has to wait for each worker that the membership row names.
 	unlistedFor = time.Second
-	// stillFor is how long a run may make no progress before it counts as stalled. 1% of the longest known tasks
+	// stallTimeout is how long a run may make no progress before it counts as stalled. 1% of the longest known tasks
 	// takes less than half a second, even at a sixth of their speed.
-	stillFor = 1500 * time.Millisecond
-	// stillForFiller is stillFor for fillers, which get only the processor time that other tasks leave.
-	stillForFiller = 4 * time.Second
+	stallTimeout = 1500 * time.Millisecond
+	// fillerStallTimeout is stallTimeout for fillers, which get only the processor time that other tasks leave.
+	fillerStallTimeout = 4 * time.Second
 )
 
-// checkRun stops a run that has stalled at full pace, and quarantines its worker.
-func (s *State) checkRun(now time.Time, w *workers.Worker, r *jobs.Run) {
+// stopIfStalled stops a run that has stalled at full pace, and quarantines its worker.
+func (s *State) stopIfStalled(now time.Time, w *workers.Worker, r *jobs.Run) {
 	if r.State != jobs.Running || r.Percent >= 100 {
 		return
 	}
-	limit := stillFor
+	limit := stallTimeout
 	if r.Task.Unit.Spec.GetFiller() {
-		limit = stillForFiller
+		limit = fillerStallTimeout
 	}
 	if r.Pace < 100 || r.PaceWanted < 100 || now.Sub(r.PacedAt) < limit {
 		return
--- a/pkg/process/cell/readings.go
+++ b/pkg/process/cell/readings.go
@@ -61,18 +61,18 @@
 	return wire.JobPhase_JOB_PHASE_QUEUED, true
 }
 
-// roomsGoodFor is the greatest age of the sums of capacity for fillers in a load message. They are cached because each
+// fillerSumsMaxAge is the greatest age of the sums of capacity for fillers in a load message. They are cached because each
 // sum visits the neighbours at every worker, and many hosts ask.
-const roomsGoodFor = 250 * time.Millisecond
+const fillerSumsMaxAge = 250 * time.Millisecond
 
 // Load returns a summary of the cell for the processes that choose a cell for a job. withBeliefs adds the beliefs about
 // interference that this cell has learned itself.
 func (s *State) Load(now time.Time, withBeliefs bool) *wire.CellLoad {
-	if now.Sub(s.roomsAt) > roomsGoodFor {
+	if now.Sub(s.roomsAt) > fillerSumsMaxAge {
 		s.fillerRooms, s.fillerFrees, s.roomsAt = s.fillerRoom(), s.fillerFree(), now
 	}
 	labels := map[string]bool{}
-	l := &wire.CellLoad{SettlesInMs: s.settlesIn(now).Milliseconds(), Worker: &wire.WorkerSize{}, Leading: s.Leading(), Holds: s.Holds(), Cell: s.name, Pending: map[string]int32{}}
+	l := &wire.CellLoad{SettlesInMs: s.timeToSettle(now).Milliseconds(), Worker: &wire.WorkerSize{}, Leading: s.Leading(), Holds: s.Holds(), Cell: s.name, Pending: map[string]int32{}}
 	for _, w := range s.sorted() {
 		if w.Gone || !w.Listed || w.Leaving {
 			continue
@@ -88,7 +88,7 @@
 		if w.SilentSince.IsZero() && s.roster[w.ID] {
 			l.LargestFreeMillicores = max(l.LargestFreeMillicores, w.Free().Millicores)
 			l.LargestLastingMillicores = max(l.LargestLastingMillicores, w.Capacity.Minus(w.Lasting()).Millicores)
-			s.addFree(l, w)
+			s.addFreeCapacity(l, w)
 		}
 	}
 	l.Labels = slices.Sorted(maps.Keys(labels))
@@ -104,15 +104,15 @@
 			l.Pending[j.Spec.GetQueue()]++
 		}
 		for _, u := range j.Units {
-			addLoad(l, u)
+			addUnitLoad(l, u)
 		}
 	}
 	return l
 }
 
-// addFree adds a worker's free processors to the lists of free capacity, unless they are kept for a waiting lasting
+// addFreeCapacity adds a worker's free processors to the lists of free capacity, unless they are kept for a waiting lasting
 // task. A worker that is closed for an isolated run counts for lasting tasks only, and only if they may join that run.
-func (s *State) addFree(l *wire.CellLoad, w *workers.Worker) {
+func (s *State) addFreeCapacity(l *wire.CellLoad, w *workers.Worker) {
 	free := w.Free().Millicores
 	if free <= 0 || s.held[w] {
 		return
@@ -125,17 +125,17 @@
 	}
 }
 
-// settlesIn returns how long it may take until each run that earlier leaders started is known or surely over; 0: that
+// timeToSettle returns how long it may take until each run that earlier leaders started is known or surely over; 0: that
 // is so already, or this process does not lead.
-func (s *State) settlesIn(now time.Time) time.Duration {
+func (s *State) timeToSettle(now time.Time) time.Duration {
 	if !s.Holds() || s.newSettled() {
 		return 0
 	}
 	return max(time.Millisecond, s.settleBy.Sub(now))
 }
 
-// addLoad adds the remaining work of a unit to a load message.
-func addLoad(l *wire.CellLoad, u *jobs.Unit) {
+// addUnitLoad adds the remaining work of a unit to a load message.
+func addUnitLoad(l *wire.CellLoad, u *jobs.Unit) {
 	const millicoresPerCore = 1000
 	work := u.Size.Millicores * u.Spec.GetEstimateMs() / millicoresPerCore // in core milliseconds
 	for _, t := range u.Tasks {
--- a/pkg/process/cell/runsknown.go
+++ b/pkg/process/cell/runsknown.go
@@ -14,9 +14,9 @@
 // only these tasks, and if the worker has crashed, its end implicates only these tasks. The worker gets work again only
 // after a membership row without its tasks has been recorded.
 
-// mayRunMost bounds how many tasks the membership row names in all. If most workers of a cell are cut off together,
+// maxNamedTasks bounds how many tasks the membership row names in all. If most workers of a cell are cut off together,
 // naming all their tasks is not worth the size of the row.
-const mayRunMost = 512
+const maxNamedTasks = 512
 
 // noteKnownRuns updates RunsKnown and MayRun of each worker. No run starts at a worker while its RunsKnown is set, so its
 // MayRun only shrinks.
@@ -28,31 +28,31 @@
 			continue
 		case !w.Heard:
 			// The entry that earlier leaders wrote still applies.
-		case w.RunsKnown && !s.getsNoWork(now, w):
+		case w.RunsKnown && !s.excludedFromWork(now, w):
 			w.RunsKnown, w.MayRun, w.SureFrom = false, nil, now
 			s.placeNow = true
-		case s.getsNoWork(now, w) && s.knowsRuns(w) && named+len(w.Runs) <= mayRunMost:
-			w.RunsKnown, w.MayRun = true, tasksAt(w)
+		case s.excludedFromWork(now, w) && s.holdsOnlyKnownRuns(w) && named+len(w.Runs) <= maxNamedTasks:
+			w.RunsKnown, w.MayRun = true, taskNamesAt(w)
 		}
 		named += len(w.MayRun)
 	}
 }
 
-// getsNoWork returns whether a worker gets no work now, and none later before a membership row without its tasks is
+// excludedFromWork returns whether a worker gets no work now, and none later before a membership row without its tasks is
 // recorded. It is false for a newly silent worker while the table does not answer: such a worker would otherwise get no
 // work after it answers again until the table does, too.
-func (s *State) getsNoWork(now time.Time, w *workers.Worker) bool {
+func (s *State) excludedFromWork(now time.Time, w *workers.Worker) bool {
 	return w.Leaving || (w.Failures >= failuresSilent && (w.RunsKnown || s.tableAnswers(now)))
 }
 
-// knowsRuns returns whether a worker surely holds nothing but its known runs: no other run, and no end that is not
+// holdsOnlyKnownRuns returns whether a worker surely holds nothing but its known runs: no other run, and no end that is not
 // recorded.
-func (s *State) knowsRuns(w *workers.Worker) bool {
+func (s *State) holdsOnlyKnownRuns(w *workers.Worker) bool {
 	return w.HoldsNoOthers() && s.recordedEnd(w) >= w.Seen
 }
 
-// tasksAt returns the sorted names of the tasks that may have a run at a worker.
-func tasksAt(w *workers.Worker) []string {
+// taskNamesAt returns the sorted names of the tasks that may have a run at a worker.
+func taskNamesAt(w *workers.Worker) []string {
 	list := make([]string, 0, len(w.Runs))
 	for _, r := range w.Runs {
 		list = append(list, r.Task.Name())
--- a/pkg/process/cell/runsknown_test.go
+++ b/pkg/process/cell/runsknown_test.go
@@ -10,20 +10,20 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Tasks of the tests: thereTask runs at a worker that then stops answering, otherTask runs nowhere.
+// Tasks of the tests: unreachedTask runs at a worker that then stops answering, otherTask runs nowhere.
 const (
-	thereTask = "00000000000000ff.0.0.0"
-	otherTask = "00000000000000ee.0.0.0"
+	unreachedTask = "00000000000000ff.0.0.0"
+	otherTask     = "00000000000000ee.0.0.0"
 )
 
-// leftUnheard returns the successor of a leader, and a worker that was leaving while thereTask ran there and that does
-// not answer the successor.
-func leftUnheard(t *testing.T, specs ...*wire.JobSpec) (successor *busyCell, left string) {
+// takeOverFromLeavingWorker returns the successor of a leader, and a worker that was leaving while unreachedTask ran there
+// and that does not answer the successor.
+func takeOverFromLeavingWorker(t *testing.T, specs ...*wire.JobSpec) (successor *busyCell, left string) {
 	t.Helper()
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
 	b.step(100 * time.Millisecond)
-	left = b.at[thereTask]
+	left = b.at[unreachedTask]
 	b.list(16, left)
 	b.step(100 * time.Millisecond)
 	b.silent[left] = true
@@ -33,24 +33,24 @@
 }
 
 // A worker leaves while its leader dies. The successor holds back the tasks that may run there, and no others.
-func TestASuccessorHoldsBackOnlyWhatMayRunAtAWorkerThatLeft(t *testing.T) {
+func TestSuccessorHoldsBackOnlyTasksNamedAtUnreachedWorker(t *testing.T) {
 	t.Parallel()
-	successor, _ := leftUnheard(t, lastingJob("00000000000000ff"), lastingJob("00000000000000ee"))
+	successor, _ := takeOverFromLeavingWorker(t, lastingJob("00000000000000ff"), lastingJob("00000000000000ee"))
 	for range 3 {
 		successor.step(100 * time.Millisecond)
 	}
 	must.MapContainsKey(t, successor.started, otherTask)
-	must.MapNotContainsKey(t, successor.started, thereTask)
+	must.MapNotContainsKey(t, successor.started, unreachedTask)
 	for range 160 {
 		successor.step(100 * time.Millisecond)
 	}
-	must.MapContainsKey(t, successor.started, thereTask)
+	must.MapContainsKey(t, successor.started, unreachedTask)
 }
 
 // No earlier leader can have started a job at a leaving worker that becomes known only after the takeover.
-func TestANewJobStartsAtOnceBesideAWorkerThatLeftUnheard(t *testing.T) {
+func TestNewJobStartsAtOnceDespiteUnreachedLeavingWorker(t *testing.T) {
 	t.Parallel()
-	successor, _ := leftUnheard(t, lastingJob("00000000000000ff"))
+	successor, _ := takeOverFromLeavingWorker(t, lastingJob("00000000000000ff"))
 	for range 3 {
 		successor.step(100 * time.Millisecond)
 	}
@@ -62,7 +62,7 @@
 }
 
 // A membership row that an older version wrote names no tasks, so any task may run at a worker that does not answer.
-func TestASuccessorHoldsBackAllWhereTheRunsAreNotKnown(t *testing.T) {
+func TestSuccessorHoldsBackAllTasksIfRunsAreNotKnown(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	members := b.state.Roster()
@@ -75,8 +75,8 @@
 	must.MapEmpty(t, successor.started)
 }
 
-// entryOf returns a worker's entry in the membership row, or nil.
-func (b *busyCell) entryOf(id string) *wire.RosterEntry {
+// memberEntry returns a worker's entry in the membership row, or nil.
+func (b *busyCell) memberEntry(id string) *wire.RosterEntry {
 	list := b.state.Roster()
 	if i := slices.IndexFunc(list, func(e *wire.RosterEntry) bool { return e.GetId() == id }); i >= 0 {
 		return list[i]
@@ -86,25 +86,25 @@
 
 // The membership row names the runs of a silent worker. When the worker answers again, it gets work only after a row
 // without these runs is recorded.
-func TestAWorkerWhoseRunsAreNamedGetsNoWorkUntilTheyAreNotAnyMore(t *testing.T) {
+func TestWorkerWithNamedRunsGetsNoWorkUntilRowWithoutThemIsRecorded(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
 	b.step(100 * time.Millisecond)
-	silent := b.at[thereTask]
+	silent := b.at[unreachedTask]
 	b.silent[silent] = true
 	for range 8 {
 		b.step(100 * time.Millisecond)
 	}
-	must.True(t, b.entryOf(silent).GetRunsKnown())
-	must.Eq(t, []string{thereTask}, b.entryOf(silent).GetMayRun())
+	must.True(t, b.memberEntry(silent).GetRunsKnown())
+	must.Eq(t, []string{unreachedTask}, b.memberEntry(silent).GetMayRun())
 	b.down = true
 	b.silent[silent] = false
 	b.accept("00000000000000dd", "watches", &wire.StepSpec{Count: 16, Millicores: 20000, Lasting: true})
 	for range 3 {
 		b.step(100 * time.Millisecond)
 	}
-	must.False(t, b.entryOf(silent).GetRunsKnown())
+	must.False(t, b.memberEntry(silent).GetRunsKnown())
 	must.MapLen(t, 16, b.started, must.Sprint("one at each other worker, and the first job's"))
 	b.down = false
 	for range 2 {
@@ -115,9 +115,9 @@
 
 // A leader dies before it records a crash. The successor adds the crash to the evidence against the tasks that the
 // membership row names at the worker, and no others.
-func TestACrashThatIsNotRecordedIsHeldAgainstWhatRanThere(t *testing.T) {
+func TestUnrecordedCrashIsEvidenceAgainstNamedTasksOnly(t *testing.T) {
 	t.Parallel()
-	h := newHeirOf(&wire.RosterEntry{
+	h := newSoleSuccessorOf(&wire.RosterEntry{
 		Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1, RunsKnown: true, MayRun: []string{"00000000000000aa.0.0.1"},
 	}, 2)
 	h.run(time.Second, 2)
@@ -127,7 +127,7 @@
 
 // An occurrence of a repeating job falls due earlier by the clock of the predecessor, which starts it at a worker that
 // does not answer the successor.
-func TestATimeThatFallsDueLaterIsHeldBackWhereItMayRunUnheard(t *testing.T) {
+func TestOccurrenceDueLaterIsHeldBackIfNamedAtUnreachedWorker(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	members := b.state.Roster()
@@ -148,21 +148,21 @@
 }
 
 // A worker answers neither a leader nor its successor. The successor keeps the tasks that the worker's entry names.
-func TestASuccessorPassesOnWhatMayRunAtAWorkerThatItDoesNotHear(t *testing.T) {
+func TestSuccessorKeepsNamedTasksOfUnreachedWorker(t *testing.T) {
 	t.Parallel()
 	for _, born := range []int64{0, 7} {
 		b := newEmptyCell()
 		members := b.state.Roster()
 		b.silent["w03"] = true
 		entry := members[slices.IndexFunc(members, func(e *wire.RosterEntry) bool { return e.GetId() == "w03" })]
-		entry.Born, entry.RunsKnown, entry.MayRun = born, true, []string{thereTask}
+		entry.Born, entry.RunsKnown, entry.MayRun = born, true, []string{unreachedTask}
 		successor := newEmptyCell()
 		successor.takeOver(b, 15*time.Second, members, lastingJob("00000000000000ff"))
 		for range 5 {
 			successor.step(100 * time.Millisecond)
 		}
-		must.Eq(t, born, successor.entryOf("w03").GetBorn())
-		must.True(t, successor.entryOf("w03").GetRunsKnown())
-		must.Eq(t, []string{thereTask}, successor.entryOf("w03").GetMayRun())
+		must.Eq(t, born, successor.memberEntry("w03").GetBorn())
+		must.True(t, successor.memberEntry("w03").GetRunsKnown())
+		must.Eq(t, []string{unreachedTask}, successor.memberEntry("w03").GetMayRun())
 	}
 }
--- a/pkg/process/cell/strays.go
+++ b/pkg/process/cell/strays.go
@@ -22,13 +22,13 @@
 func (s *State) takeFollowed(e Followed) {
 	s.followedAt = e.At
 	for _, w := range s.sorted() {
-		w.HeldEnds = slices.DeleteFunc(w.HeldEnds, func(h workers.HeldEnd) bool { return h.At.Before(e.At) && !s.opensLater(h.Task) })
+		w.HeldEnds = slices.DeleteFunc(w.HeldEnds, func(h workers.HeldEnd) bool { return h.At.Before(e.At) && !s.isNotYetDue(h.Task) })
 	}
 }
 
-// opensLater returns whether a task belongs to an occurrence of a repeating job that has not fallen due here. A
+// isNotYetDue returns whether a task belongs to an occurrence of a repeating job that has not fallen due here. A
 // predecessor may have opened the occurrence by a clock that was ahead, or a moment before the job became known here.
-func (s *State) opensLater(task string) bool {
+func (s *State) isNotYetDue(task string) bool {
 	id, ok := jobs.ParseTask(task)
 	if !ok {
 		return false
@@ -42,9 +42,9 @@
 	w.HeldEnds = append(w.HeldEnds, workers.HeldEnd{End: e, At: now})
 }
 
-// keepStray keeps an orphaned run that a worker lists. It returns whether the run belongs to no job, and so is to be
+// keepOrphanedRun keeps an orphaned run that a worker lists. It returns whether the run belongs to no job, and so is to be
 // stopped.
-func (s *State) keepStray(now time.Time, w *workers.Worker, a workers.Active) bool {
+func (s *State) keepOrphanedRun(now time.Time, w *workers.Worker, a workers.Active) bool {
 	if s.unsafe.NoStrays {
 		return true
 	}
@@ -56,15 +56,15 @@
 		w.NewStrays = map[string]workers.Stray{}
 	}
 	w.NewStrays[a.Task] = workers.Stray{Active: a, Since: since}
-	return since.Before(s.followedAt) && !s.opensLater(a.Task)
+	return since.Before(s.followedAt) && !s.isNotYetDue(a.Task)
 }
 
 // claimStrays adopts the orphaned runs of a job that has become known, or whose next occurrences have fallen due, and
 // counts the orphaned ends whose tasks are known by now.
 func (s *State) claimStrays(now time.Time, j *jobs.Job) {
 	for _, w := range s.sorted() {
-		for _, task := range strayTasks(w, j) {
-			s.matchActive(now, w, w.Strays[task].Active)
+		for _, task := range orphanedTasks(w, j) {
+			s.runOfLine(now, w, w.Strays[task].Active)
 			delete(w.Strays, task)
 		}
 		held := w.HeldEnds
@@ -79,8 +79,8 @@
 	}
 }
 
-// strayTasks returns the sorted names of a job's known tasks that have an orphaned run at a worker.
-func strayTasks(w *workers.Worker, j *jobs.Job) []string {
+// orphanedTasks returns the sorted names of a job's known tasks that have an orphaned run at a worker.
+func orphanedTasks(w *workers.Worker, j *jobs.Job) []string {
 	var list []string
 	for task := range w.Strays {
 		id, ok := jobs.ParseTask(task)
--- a/pkg/process/cell/unseen.go
+++ b/pkg/process/cell/unseen.go
@@ -24,7 +24,7 @@
 // tasks the end implicates (Accused).
 
 // maxNamedAtEnd bounds how many tasks the membership row names for one ended incarnation.
-const maxNamedAtEnd = mayRunMost / 4
+const maxNamedAtEnd = maxNamedTasks / 4
 
 // keepLife retains an ended incarnation of a worker, which began at born, in the membership row until the evidence from
 // its end is recorded. The caller has added that evidence to the tasks. The entry names the tasks that ran there if all
@@ -32,8 +32,8 @@
 func (s *State) keepLife(w *workers.Worker, born int64) {
 	if s.roster[w.ID] && s.earlier[w.ID] == nil {
 		s.earlier[w.ID] = &wire.RosterEntry{Id: w.ID, Address: w.Address, Host: w.Host, Service: w.Service, Born: born}
-		if s.knowsRuns(w) && len(w.Runs) <= maxNamedAtEnd {
-			s.earlier[w.ID].RunsKnown, s.earlier[w.ID].MayRun = true, tasksAt(w)
+		if s.holdsOnlyKnownRuns(w) && len(w.Runs) <= maxNamedAtEnd {
+			s.earlier[w.ID].RunsKnown, s.earlier[w.ID].MayRun = true, taskNamesAt(w)
 		}
 	}
 	s.weighedSeq = s.seq
@@ -58,17 +58,17 @@
 			ended = append(ended, id)
 		}
 	}
-	return slices.DeleteFunc(ended, s.allRecorded)
+	return slices.DeleteFunc(ended, s.isEndRecorded)
 }
 
-// allRecorded returns whether the job records hold the end of a worker's incarnation as evidence against every task
+// isEndRecorded returns whether the job records hold the end of a worker's incarnation as evidence against every task
 // that it implicates. A predecessor may have written only some of these records. Records of ended jobs count, too.
-func (s *State) allRecorded(worker string) bool {
+func (s *State) isEndRecorded(worker string) bool {
 	born, all, held := s.earlier[worker].GetBorn(), 0, 0
 	for _, j := range s.jobs {
 		for _, u := range j.Units {
 			for _, t := range u.Tasks {
-				if i := crashOf(t, worker, born); i >= 0 {
+				if i := crashIndex(t, worker, born); i >= 0 {
 					held++
 					all = max(all, t.Crashes[i].Accused)
 				}
@@ -78,8 +78,8 @@
 	return held > 0 && held >= all
 }
 
-// crashOf returns the index of the end of a worker's incarnation in the evidence against a task, or -1.
-func crashOf(t *jobs.Task, worker string, born int64) int {
+// crashIndex returns the index of the end of a worker's incarnation in the evidence against a task, or -1.
+func crashIndex(t *jobs.Task, worker string, born int64) int {
 	return slices.IndexFunc(t.Crashes, func(c blame.Crash) bool { return c.Worker == worker && c.Born == born })
 }
 
@@ -96,7 +96,7 @@
 	mayHaveRun := map[string][]*jobs.Task{}
 	for _, t := range nowhere {
 		first := slices.IndexFunc(ended, func(id string) bool {
-			return crashOf(t, id, s.earlier[id].GetBorn()) < 0 && mayHaveRunAt(s.earlier[id], t)
+			return crashIndex(t, id, s.earlier[id].GetBorn()) < 0 && mayHaveRunAt(s.earlier[id], t)
 		})
 		if first >= 0 {
 			mayHaveRun[ended[first]] = append(mayHaveRun[ended[first]], t)
@@ -135,7 +135,7 @@
 	u := s.unheard[id]
 	delete(s.unheard, id)
 	for _, t := range u.tasks {
-		if t.Done || t.Unit.Job.Ended() || s.unseenHeld[t] || crashOf(t, id, u.entry.GetBorn()) >= 0 || s.unsafe.NoBlame || s.unsafe.NoUnseen {
+		if t.Done || t.Unit.Job.Ended() || s.unseenHeld[t] || crashIndex(t, id, u.entry.GetBorn()) >= 0 || s.unsafe.NoBlame || s.unsafe.NoUnseen {
 			continue
 		}
 		s.holdUnseen(now, t, blame.Unseen(id, u.entry.GetBorn(), len(u.tasks)-1, 1, s.wall))
@@ -152,9 +152,9 @@
 	}
 }
 
-// hostAnswers handles an answer of a worker: unreached members on its host are over, because a host runs one worker at a
-// time.
-func (s *State) hostAnswers(now time.Time, w *workers.Worker) {
+// endUnreachedOnHost handles an answer of a worker: unreached members on its host are over, because a host runs one
+// worker at a time.
+func (s *State) endUnreachedOnHost(now time.Time, w *workers.Worker) {
 	for _, id := range slices.Sorted(maps.Keys(s.unheard)) {
 		if id != w.ID && s.unheard[id].entry.GetHost() == w.Host {
 			s.unheardEnded(now, id)
--- a/pkg/process/cell/unseen_test.go
+++ b/pkg/process/cell/unseen_test.go
@@ -16,25 +16,25 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// heir is a new leader of a cell with one worker. The membership row names the worker's first incarnation.
-type heir struct {
+// soleSuccessor is a new leader of a cell with one worker. The membership row names the worker's first incarnation.
+type soleSuccessor struct {
 	state *cell.State
 	now   time.Time
-	// silentTable leaves records without an answer, silent polls of the worker.
-	silentTable, silent bool
+	// tableDown leaves records without an answer, silent polls of the worker.
+	tableDown, silent bool
 	// active are the runs that the worker lists.
 	active []workers.Active
 }
 
-// newHeir returns a successor that has loaded one job of two steps; born identifies the incarnation in the worker
+// newSoleSuccessor returns a successor that has loaded one job of two steps; born identifies the incarnation in the worker
 // registry.
-func newHeir(born int64) *heir {
-	return newHeirOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, born)
+func newSoleSuccessor(born int64) *soleSuccessor {
+	return newSoleSuccessorOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, born)
 }
 
-// newHeirOf is newHeir for a membership row with the given entries.
-func newHeirOf(entry *wire.RosterEntry, born int64, more ...*wire.RosterEntry) *heir {
-	h := &heir{now: time.Unix(1000, 0)}
+// newSoleSuccessorOf is newSoleSuccessor for a membership row with the given entries.
+func newSoleSuccessorOf(entry *wire.RosterEntry, born int64, more ...*wire.RosterEntry) *soleSuccessor {
+	h := &soleSuccessor{now: time.Unix(1000, 0)}
 	h.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
 	h.state.Take(h.now, cell.ManifestChanged{Manifest: theManifest})
 	h.state.Take(h.now, cell.WorkersListed{Records: []workers.Record{{
@@ -49,7 +49,7 @@
 }
 
 // run advances time and answers each effect; born identifies the incarnation of the worker that answers polls.
-func (h *heir) run(span time.Duration, born int64) {
+func (h *soleSuccessor) run(span time.Duration, born int64) {
 	for until := h.now.Add(span); h.now.Before(until); {
 		h.now = h.now.Add(20 * time.Millisecond)
 		h.state.Take(h.now, cell.Tick{})
@@ -63,7 +63,7 @@
 				}
 				h.state.Take(h.now, cell.Looked{Worker: e.To.ID, SentAt: h.now, Report: workers.Report{Born: born, Active: h.active, Clock: h.now.Sub(time.Unix(900, 0))}})
 			case cell.Record:
-				if !h.silentTable {
+				if !h.tableDown {
 					h.state.Take(h.now, cell.RecordAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
 				}
 			}
@@ -73,9 +73,9 @@
 
 // If a leader ends before it records a crash, its successor finds only that an incarnation of the membership row is over.
 // That is weak evidence against each task that may have run there.
-func TestALifeThatEndedUnseenIsHeldAgainstWhatMayHaveRunThere(t *testing.T) {
+func TestUnobservedCrashIsWeakEvidenceAgainstTasksThatMayHaveRunThere(t *testing.T) {
 	t.Parallel()
-	h := newHeir(2)
+	h := newSoleSuccessor(2)
 	h.run(time.Second, 2)
 	suspects := h.state.Suspects()
 	must.Len(t, 3, suspects) // the second step may have begun, after ends of the first that are not recorded
@@ -87,9 +87,9 @@
 }
 
 // A step can't have begun while a task of the step before it runs.
-func TestALifeThatEndedUnseenIsNotHeldAgainstStepsThatCannotHaveBegun(t *testing.T) {
+func TestUnobservedCrashIsNoEvidenceAgainstStepsThatCannotHaveBegun(t *testing.T) {
 	t.Parallel()
-	h := newHeir(2)
+	h := newSoleSuccessor(2)
 	h.active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 1000001, Percent: 1}}
 	h.run(time.Second, 2)
 	suspects := h.state.Suspects()
@@ -98,37 +98,37 @@
 }
 
 // The incarnation that the membership row names still answers: nothing has crashed.
-func TestALifeThatGoesOnAccusesNobody(t *testing.T) {
+func TestIncarnationThatStillAnswersIsNoEvidence(t *testing.T) {
 	t.Parallel()
-	h := newHeir(1)
+	h := newSoleSuccessor(1)
 	h.run(time.Second, 1)
 	must.SliceEmpty(t, h.state.Suspects())
 }
 
 // The membership row names an ended incarnation until the evidence from its end is recorded. If the leader dies before
 // that, the next leader finds the entry.
-func TestTheRosterNamesAnEndedLifeUntilItIsWeighed(t *testing.T) {
+func TestMembershipNamesEndedIncarnationUntilEvidenceIsRecorded(t *testing.T) {
 	t.Parallel()
-	h := newHeir(2)
-	h.silentTable = true
+	h := newSoleSuccessor(2)
+	h.tableDown = true
 	h.run(time.Second, 2)
 	must.Eq(t, 1, h.state.Roster()[0].GetBorn())
-	recorded := newHeir(2)
+	recorded := newSoleSuccessor(2)
 	recorded.run(time.Second, 2)
 	must.Eq(t, 2, recorded.state.Roster()[0].GetBorn())
 }
 
 // The end of a leaving worker is no evidence against any task, also after a takeover.
-func TestAWorkerThatLeftBeforeATakeoverAccusesNobody(t *testing.T) {
+func TestEndOfLeavingWorkerIsNoEvidenceAfterTakeover(t *testing.T) {
 	t.Parallel()
-	h := newHeirOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1, Leaving: true}, 2)
+	h := newSoleSuccessorOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1, Leaving: true}, 2)
 	h.run(time.Second, 2)
 	must.SliceEmpty(t, h.state.Suspects())
 }
 
-// crashOfTwo returns a cell whose only worker crashed while it ran tasks of two jobs, and a third job that was accepted
-// after that. lost is a part of the table whose transactions get no answer until then.
-func crashOfTwo(t *testing.T, lost string) (f *crashFleet, first, second, waiting string) {
+// crashUnderTwoTasks returns a cell whose only worker crashed while it ran tasks of two jobs, and a third job that was
+// accepted after that. lost is a part of the table whose transactions get no answer until then.
+func crashUnderTwoTasks(t *testing.T, lost string) (f *crashFleet, first, second, waiting string) {
 	t.Helper()
 	f = newCrashFleet()
 	for _, id := range []string{"w1", "w2", "w3", "w4", "w5"} {
@@ -147,14 +147,14 @@
 	return f, first, second, waiting
 }
 
-// succeed makes another process lead and runs until the cell has settled.
-func (f *crashFleet) succeed() {
+// takeOver makes another process lead and runs until the cell has settled.
+func (f *crashFleet) takeOver() {
 	f.lead()
-	f.settle()
+	f.runUntilSettled()
 }
 
-// settle runs until the cell has settled, for 10 s at most.
-func (f *crashFleet) settle() {
+// runUntilSettled runs until the cell has settled, for 10 s at most.
+func (f *crashFleet) runUntilSettled() {
 	for until := f.now.Add(10 * time.Second); !f.state.Settled() && f.now.Before(until); {
 		f.run(crashStep)
 	}
@@ -172,11 +172,11 @@
 
 // A predecessor recorded a crash for one task and ended before it recorded the crash for the other. Its successor adds
 // the crash as an unobserved one to the evidence against the other task.
-func TestAnEndThatIsRecordedOfSomeTasksIsHeldAgainstTheOthers(t *testing.T) {
+func TestCrashRecordedForOneTaskIsAddedToTheOther(t *testing.T) {
 	t.Parallel()
-	f, first, second, _ := crashOfTwo(t, rows.JobPart("0000000000000002"))
+	f, first, second, _ := crashUnderTwoTasks(t, rows.JobPart("0000000000000002"))
 	must.Nil(t, f.rows[second])
-	f.succeed()
+	f.takeOver()
 	must.Len(t, 1, f.evidence(first))
 	must.False(t, f.evidence(first)[0].Unseen)
 	must.Len(t, 1, f.evidence(second))
@@ -186,10 +186,10 @@
 }
 
 // If a predecessor recorded a crash for every task that ran there, its successor adds it to no other task's evidence.
-func TestAnEndThatIsRecordedOfAllTasksIsHeldAgainstNoOther(t *testing.T) {
+func TestCrashRecordedForAllTasksIsAddedToNoOther(t *testing.T) {
 	t.Parallel()
-	f, first, second, waiting := crashOfTwo(t, "")
-	f.succeed()
+	f, first, second, waiting := crashUnderTwoTasks(t, "")
+	f.takeOver()
 	for _, id := range []string{first, second} {
 		must.False(t, f.evidence(id)[0].Unseen)
 	}
@@ -198,7 +198,7 @@
 
 // A task that may only run isolated starts after its isolated run is recorded. Without such a record no predecessor
 // started the task, so the end of an incarnation is no evidence against it.
-func TestAnEndIsNotHeldAgainstATaskThatWaitsForItsIsolatedRun(t *testing.T) {
+func TestUnobservedCrashIsNoEvidenceAgainstTaskWaitingForIsolatedRun(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	id := f.accept(1, oneTask())
@@ -220,18 +220,18 @@
 			break
 		}
 	}
-	f.settle()
+	f.runUntilSettled()
 	must.Len(t, 2, f.evidence(id))
 }
 
 // A worker crashes while leaders change, and restarts only after the successor has settled without it. The crash must
 // still count as evidence against the tasks that may have run there.
-func TestACrashThatShowsAfterTheCellHasSettledIsHeldAgainstWhatMayHaveRunThere(t *testing.T) {
+func TestCrashDetectedAfterSettlingIsEvidence(t *testing.T) {
 	t.Parallel()
 	for name, back := range map[string]workers.Record{"the same id": {ID: "w", Born: 2}, "another id": {ID: "w2", Born: 2}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHeir(1)
+			h := newSoleSuccessor(1)
 			h.silent = true
 			h.run(17*time.Second, 1)
 			must.SliceEmpty(t, h.state.Suspects())
@@ -246,9 +246,9 @@
 }
 
 // The same incarnation answers again after the cell has settled: it was cut off, which is no evidence against any task.
-func TestAWorkerThatIsHeardAfterTheCellHasSettledAccusesNobody(t *testing.T) {
+func TestWorkerAnsweringAgainAfterSettlingIsNoEvidence(t *testing.T) {
 	t.Parallel()
-	h := newHeir(1)
+	h := newSoleSuccessor(1)
 	h.silent = true
 	h.run(17*time.Second, 1)
 	h.silent = false
@@ -258,9 +258,9 @@
 
 // Two unreached members have crashed. A task can have run at only one of them, so only one of the crashes is
 // added to its evidence.
-func TestOfCrashesThatShowAfterTheCellHasSettledOneIsHeldAgainstATask(t *testing.T) {
+func TestTaskGetsOneUnobservedCrashAfterSettling(t *testing.T) {
 	t.Parallel()
-	h := newHeirOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, 1, &wire.RosterEntry{Id: "v", Address: "y", Host: "g", Service: "quotes", Born: 1})
+	h := newSoleSuccessorOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, 1, &wire.RosterEntry{Id: "v", Address: "y", Host: "g", Service: "quotes", Born: 1})
 	record := func(id, host string) workers.Record {
 		return workers.Record{ID: id, Born: 1, Service: "quotes", Address: id, Hall: "hall", Ready: true, Host: host, Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000}}
 	}
