--- a/pkg/process/cell/afterleaving_test.go
+++ b/pkg/process/cell/afterleaving_test.go
@@ -15,9 +15,10 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A short task of three attempts failed once, as recorded, and a second time at a worker that the successor does
-// not hear: its earlier leader had seen that end, and had started the third run before it was recorded.
-func TestATaskIsNotStartedBeyondItsAttemptsWhileAFailureMayBeUnseen(t *testing.T) {
+// A short task with three attempts has failed once, as recorded, and a second time at a worker that does not answer the
+// successor. The earlier leader received the second failure and started the third run before it recorded the failure.
+// When the third run fails, no fourth may start.
+func TestTaskIsNotStartedBeyondItsAttemptsWhileAFailureIsUnreported(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	progress := &wire.JobProgress{Id: spec.GetId(), Phase: wire.JobPhase_JOB_PHASE_RUNNING, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{FailedRuns: []int64{1000001}}}}}}
@@ -47,7 +48,7 @@
 				case e.To.ID == "second":
 				case since < 4*time.Second:
 					looked.Err = fault.New(fault.Unknown, e.To.ID, "no answer", "")
-				default: // heard again while its lease goes on: its first list shows the second failure
+				default: // answers while its lease goes on: its first list shows the second failure
 					looked.Report.Ended = []workers.End{{Number: 1, Task: third.Task, Run: 1000002, How: workers.EndedFailed}}
 				}
 				v.state.Take(v.now, looked)
@@ -62,8 +63,9 @@
 	must.Zero(t, starts, must.Sprint("started a fourth time"))
 }
 
-// Lasting tasks on trial are found nowhere after a takeover: nothing is known of how long they have waited here.
-func TestLastingTasksRunIsolatedAfterATakeover(t *testing.T) {
+// Lasting tasks that are to run isolated have no known run after a takeover. The new leader does not know how long they
+// have waited, so none of them starts without isolation at once.
+func TestLastingTasksRunIsolatedAfterTakeover(t *testing.T) {
 	t.Parallel()
 	active := startSuspects(6, &wire.StepSpec{Count: 10, Millicores: 1000, Lasting: true})
 	must.MapLen(t, 2, active)
@@ -72,9 +74,9 @@
 	}
 }
 
-// A worker had said that it leaves before the takeover. A short run there ends in time, and a lasting one is
-// stopped only once its task is settled.
-func TestASuccessorKnowsHowMuchTimeALeavingWorkerHas(t *testing.T) {
+// A worker was leaving before the takeover, with 10 s left. A short run there ends in time, and a lasting one is stopped
+// only once its task is settled, so the successor stops neither in the first second.
+func TestSuccessorKnowsRemainingTimeOfLeavingWorker(t *testing.T) {
 	t.Parallel()
 	for _, lasting := range []bool{false, true} {
 		t.Run(fmt.Sprintf("lasting %v", lasting), func(t *testing.T) {
@@ -112,8 +114,8 @@
 	}
 }
 
-// After a takeover a lasting task that is found nowhere is left to its own cell first.
-func TestALastingTaskIsNotDelegatedWhileItsOwnCellHasCapacity(t *testing.T) {
+// After a takeover a lasting task without a known run starts in its own cell if there is capacity.
+func TestLastingTaskIsNotDelegatedWhileItsOwnCellHasCapacity(t *testing.T) {
 	t.Parallel()
 	before := newEmptyCell()
 	before.step(100 * time.Millisecond)
@@ -138,8 +140,9 @@
 	must.MapContainsKey(t, successor.started, "00000000000000ff.0.0.0")
 }
 
-// A worker leaves unsaid, and its own cell is full: a task that nothing is held against is delegated in time.
-func TestALastingTaskOfAWorkerThatFellSilentIsDelegatedWithinSixSeconds(t *testing.T) {
+// A worker goes silent and its row is removed, without saying that it leaves, and the rest of its cell is full. Its
+// lasting task, against which there is no crash evidence, is delegated in time.
+func TestLastingTaskOfSilentWorkerIsDelegatedWithinSixSeconds(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 16, Millicores: 30000, Lasting: true})
@@ -165,11 +168,11 @@
 	must.Between(t, time.Millisecond, lent, 6*time.Second)
 }
 
-// The incarnation that ended had not said that it leaves; the one in its place says so.
-func TestTheMembershipDoesNotSayOfAnEndedIncarnationThatItLeaves(t *testing.T) {
+// The ended incarnation was not leaving, the one in its place is. The entry of the ended one must not say that it leaves.
+func TestEntryOfEndedIncarnationIsNotMarkedLeaving(t *testing.T) {
 	t.Parallel()
-	h := newHeir(2)
-	h.silentTable = true
+	h := newSoleSuccessor(2)
+	h.tableDown = true
 	h.run(time.Second, 2)
 	h.state.Take(h.now, cell.WorkersListed{Records: []workers.Record{{
 		ID: "w", Born: 2, Service: "quotes", Address: "x", Hall: "hall", Ready: true, Leaving: true, Remaining: 5 * time.Second, Host: "h", Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
@@ -180,8 +183,9 @@
 	must.False(t, entry.GetLeaving())
 }
 
-// What a lasting task has once waited for an isolated run says nothing of its next start.
-func TestALastingTaskThatRanAmongOthersIsRunIsolatedTheNextTime(t *testing.T) {
+// A lasting task that has waited long enough for an isolated run starts without isolation. That holds for one start: the
+// next run is to be isolated again.
+func TestIsolationWaiverHoldsForOneStart(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	s := cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
--- a/pkg/process/cell/unseen_test.go
+++ b/pkg/process/cell/unseen_test.go
@@ -16,24 +16,25 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// heir is a successor to a cell of one worker, of which the roster names the first life.
-type heir struct {
+// soleSuccessor is a new leader of a cell with one worker. The membership row names the worker's first incarnation.
+type soleSuccessor struct {
 	state *cell.State
 	now   time.Time
-	// silentTable says that records get no answer, silent that the worker gives none.
-	silentTable, silent bool
-	// active is what the worker lists.
+	// tableDown leaves records without an answer, silent polls of the worker.
+	tableDown, silent bool
+	// active are the runs that the worker lists.
 	active []workers.Active
 }
 
-// newHeir takes over a job; born is the life that answers.
-func newHeir(born int64) *heir {
-	return newHeirOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, born)
+// newSoleSuccessor returns a successor that has loaded one job of two steps; born identifies the incarnation in the worker
+// registry.
+func newSoleSuccessor(born int64) *soleSuccessor {
+	return newSoleSuccessorOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, born)
 }
 
-// newHeirOf is one of a cell whose roster has the given entry.
-func newHeirOf(entry *wire.RosterEntry, born int64, more ...*wire.RosterEntry) *heir {
-	h := &heir{now: time.Unix(1000, 0)}
+// newSoleSuccessorOf is newSoleSuccessor for a membership row with the given entries.
+func newSoleSuccessorOf(entry *wire.RosterEntry, born int64, more ...*wire.RosterEntry) *soleSuccessor {
+	h := &soleSuccessor{now: time.Unix(1000, 0)}
 	h.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
 	h.state.Take(h.now, cell.ManifestChanged{Manifest: theManifest})
 	h.state.Take(h.now, cell.WorkersListed{Records: []workers.Record{{
@@ -47,7 +48,8 @@
 	return h
 }
 
-func (h *heir) run(span time.Duration, born int64) {
+// run advances time and answers each effect; born identifies the incarnation of the worker that answers polls.
+func (h *soleSuccessor) run(span time.Duration, born int64) {
 	for until := h.now.Add(span); h.now.Before(until); {
 		h.now = h.now.Add(20 * time.Millisecond)
 		h.state.Take(h.now, cell.Tick{})
@@ -61,7 +63,7 @@
 				}
 				h.state.Take(h.now, cell.Looked{Worker: e.To.ID, SentAt: h.now, Report: workers.Report{Born: born, Active: h.active, Clock: h.now.Sub(time.Unix(900, 0))}})
 			case cell.Record:
-				if !h.silentTable {
+				if !h.tableDown {
 					h.state.Take(h.now, cell.RecordAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
 				}
 			}
@@ -69,14 +71,14 @@
 	}
 }
 
-// All that is left of crashes that no leader lived to record is that incarnations of the roster are over: that is held,
-// a little, against what may have run there.
-func TestALifeThatEndedUnseenIsHeldAgainstWhatMayHaveRunThere(t *testing.T) {
+// If a leader ends before it records a crash, its successor finds only that an incarnation of the membership row is over.
+// That is weak evidence against each task that may have run there.
+func TestUnobservedCrashIsWeakEvidenceAgainstTasksThatMayHaveRunThere(t *testing.T) {
 	t.Parallel()
-	h := newHeir(2)
+	h := newSoleSuccessor(2)
 	h.run(time.Second, 2)
 	suspects := h.state.Suspects()
-	must.Len(t, 3, suspects) // the second step may have begun, on ends of the first that are not recorded
+	must.Len(t, 3, suspects) // the second step may have begun, after ends of the first that are not recorded
 	for _, s := range suspects {
 		must.Len(t, 1, s.Crashes)
 		must.True(t, s.Crashes[0].Unseen)
@@ -84,10 +86,10 @@
 	}
 }
 
-// A step can't have begun while a task of the one before it runs.
-func TestALifeThatEndedUnseenIsNotHeldAgainstStepsThatCannotHaveBegun(t *testing.T) {
+// A step can't have begun while a task of the step before it runs.
+func TestUnobservedCrashIsNoEvidenceAgainstStepsThatCannotHaveBegun(t *testing.T) {
 	t.Parallel()
-	h := newHeir(2)
+	h := newSoleSuccessor(2)
 	h.active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 1000001, Percent: 1}}
 	h.run(time.Second, 2)
 	suspects := h.state.Suspects()
@@ -95,36 +97,38 @@
 	must.Eq(t, "00000000000000aa.0.0.1", suspects[0].Task)
 }
 
-func TestALifeThatGoesOnAccusesNobody(t *testing.T) {
+// The incarnation that the membership row names still answers: nothing has crashed.
+func TestIncarnationThatStillAnswersIsNoEvidence(t *testing.T) {
 	t.Parallel()
-	h := newHeir(1)
+	h := newSoleSuccessor(1)
 	h.run(time.Second, 1)
 	must.SliceEmpty(t, h.state.Suspects())
 }
 
-// The roster names the life that ended until what that says is recorded: a leader that dies before leaves it
-// to the next.
-func TestTheRosterNamesAnEndedLifeUntilItIsWeighed(t *testing.T) {
+// The membership row names an ended incarnation until the evidence from its end is recorded. If the leader dies before
+// that, the next leader finds the entry.
+func TestMembershipNamesEndedIncarnationUntilEvidenceIsRecorded(t *testing.T) {
 	t.Parallel()
-	h := newHeir(2)
-	h.silentTable = true
+	h := newSoleSuccessor(2)
+	h.tableDown = true
 	h.run(time.Second, 2)
 	must.Eq(t, 1, h.state.Roster()[0].GetBorn())
-	recorded := newHeir(2)
+	recorded := newSoleSuccessor(2)
 	recorded.run(time.Second, 2)
 	must.Eq(t, 2, recorded.state.Roster()[0].GetBorn())
 }
 
-// The end of a worker that had said that it leaves accuses no task, also after a takeover.
-func TestAWorkerThatLeftBeforeATakeoverAccusesNobody(t *testing.T) {
+// The end of a leaving worker is no evidence against any task, also after a takeover.
+func TestEndOfLeavingWorkerIsNoEvidenceAfterTakeover(t *testing.T) {
 	t.Parallel()
-	h := newHeirOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1, Leaving: true}, 2)
+	h := newSoleSuccessorOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1, Leaving: true}, 2)
 	h.run(time.Second, 2)
 	must.SliceEmpty(t, h.state.Suspects())
 }
 
-// crashOfTwo is a cell of one worker that crashed under tasks of two jobs, while a third job waits.
-func crashOfTwo(t *testing.T, lost string) (f *crashFleet, first, second, waiting string) {
+// crashUnderTwoTasks returns a cell whose only worker crashed while it ran tasks of two jobs, and a third job that was
+// accepted after that. lost is a part of the table whose transactions get no answer until then.
+func crashUnderTwoTasks(t *testing.T, lost string) (f *crashFleet, first, second, waiting string) {
 	t.Helper()
 	f = newCrashFleet()
 	for _, id := range []string{"w1", "w2", "w3", "w4", "w5"} {
@@ -143,19 +147,20 @@
 	return f, first, second, waiting
 }
 
-// succeed makes another process lead, and waits until it knows what the one before it started.
-func (f *crashFleet) succeed() {
+// takeOver makes another process lead and runs until the cell has settled.
+func (f *crashFleet) takeOver() {
 	f.lead()
-	f.settle()
+	f.runUntilSettled()
 }
 
-func (f *crashFleet) settle() {
+// runUntilSettled runs until the cell has settled, for 10 s at most.
+func (f *crashFleet) runUntilSettled() {
 	for until := f.now.Add(10 * time.Second); !f.state.Settled() && f.now.Before(until); {
 		f.run(crashStep)
 	}
 }
 
-// evidence is what the cell holds against the only task of a job.
+// evidence returns the crash evidence against the only task of a job.
 func (f *crashFleet) evidence(job string) []blame.Crash {
 	for _, s := range f.state.Suspects() {
 		if s.Task == job+".0.0.0" {
@@ -165,13 +170,13 @@
 	return nil
 }
 
-// A successor holds the end of an incarnation against each task whose record does not tell of it, also where it is recorded
-// of another one.
-func TestAnEndThatIsRecordedOfSomeTasksIsHeldAgainstTheOthers(t *testing.T) {
+// A predecessor recorded a crash for one task and ended before it recorded the crash for the other. Its successor adds
+// the crash as an unobserved one to the evidence against the other task.
+func TestCrashRecordedForOneTaskIsAddedToTheOther(t *testing.T) {
 	t.Parallel()
-	f, first, second, _ := crashOfTwo(t, rows.JobPart("0000000000000002"))
+	f, first, second, _ := crashUnderTwoTasks(t, rows.JobPart("0000000000000002"))
 	must.Nil(t, f.rows[second])
-	f.succeed()
+	f.takeOver()
 	must.Len(t, 1, f.evidence(first))
 	must.False(t, f.evidence(first)[0].Unseen)
 	must.Len(t, 1, f.evidence(second))
@@ -180,20 +185,20 @@
 	must.Eq(t, 1, f.evidence(second)[0].Born)
 }
 
-// Where all that the end of an incarnation says is recorded, a successor holds it against nobody else.
-func TestAnEndThatIsRecordedOfAllTasksIsHeldAgainstNoOther(t *testing.T) {
+// If a predecessor recorded a crash for every task that ran there, its successor adds it to no other task's evidence.
+func TestCrashRecordedForAllTasksIsAddedToNoOther(t *testing.T) {
 	t.Parallel()
-	f, first, second, waiting := crashOfTwo(t, "")
-	f.succeed()
+	f, first, second, waiting := crashUnderTwoTasks(t, "")
+	f.takeOver()
 	for _, id := range []string{first, second} {
 		must.False(t, f.evidence(id)[0].Unseen)
 	}
 	must.SliceEmpty(t, f.evidence(waiting))
 }
 
-// A task that is to run isolated only is started after a record of that run. Without one no predecessor started it, so
-// the end of an incarnation says nothing of it.
-func TestAnEndIsNotHeldAgainstATaskThatWaitsForItsIsolatedRun(t *testing.T) {
+// A task that may only run isolated starts after its isolated run is recorded. Without such a record no predecessor
+// started the task, so the end of an incarnation is no evidence against it.
+func TestUnobservedCrashIsNoEvidenceAgainstTaskWaitingForIsolatedRun(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
 	id := f.accept(1, oneTask())
@@ -206,27 +211,27 @@
 	}
 	before := f.evidence(id)
 	must.Eq(t, blame.OnTrial, blame.LevelOf(before))
-	f.run(100 * time.Millisecond) // until that is recorded, and before the isolated run
+	f.run(100 * time.Millisecond) // until the second crash is recorded, and before the isolated run
 	must.Len(t, 2, f.starts[id+".0.0.0"])
 	f.lead()
 	for _, w := range f.sorted() {
 		if !w.gone {
-			f.end(w, 100*time.Millisecond) // before the new leader hears it
+			f.end(w, 100*time.Millisecond) // before it answers the new leader
 			break
 		}
 	}
-	f.settle()
+	f.runUntilSettled()
 	must.Len(t, 2, f.evidence(id))
 }
 
-// A worker crashed as leaders changed, and was back only after the successor had settled without it: nothing was held
-// against what may have run there.
-func TestACrashThatShowsAfterTheCellHasSettledIsHeldAgainstWhatMayHaveRunThere(t *testing.T) {
+// A worker crashes while leaders change, and restarts only after the successor has settled without it. The crash must
+// still count as evidence against the tasks that may have run there.
+func TestCrashDetectedAfterSettlingIsEvidence(t *testing.T) {
 	t.Parallel()
 	for name, back := range map[string]workers.Record{"the same id": {ID: "w", Born: 2}, "another id": {ID: "w2", Born: 2}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHeir(1)
+			h := newSoleSuccessor(1)
 			h.silent = true
 			h.run(17*time.Second, 1)
 			must.SliceEmpty(t, h.state.Suspects())
@@ -240,10 +245,10 @@
 	}
 }
 
-// The same worker answers again: it was cut off, and that accuses nobody.
-func TestAWorkerThatIsHeardAfterTheCellHasSettledAccusesNobody(t *testing.T) {
+// The same incarnation answers again after the cell has settled: it was cut off, which is no evidence against any task.
+func TestWorkerAnsweringAgainAfterSettlingIsNoEvidence(t *testing.T) {
 	t.Parallel()
-	h := newHeir(1)
+	h := newSoleSuccessor(1)
 	h.silent = true
 	h.run(17*time.Second, 1)
 	h.silent = false
@@ -251,10 +256,11 @@
 	must.SliceEmpty(t, h.state.Suspects())
 }
 
-// A task can have run at one of the workers only that a leader did not hear.
-func TestOfCrashesThatShowAfterTheCellHasSettledOneIsHeldAgainstATask(t *testing.T) {
+// Two unreached members have crashed. A task can have run at only one of them, so only one of the crashes is
+// added to its evidence.
+func TestTaskGetsOneUnobservedCrashAfterSettling(t *testing.T) {
 	t.Parallel()
-	h := newHeirOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, 1, &wire.RosterEntry{Id: "v", Address: "y", Host: "g", Service: "quotes", Born: 1})
+	h := newSoleSuccessorOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, 1, &wire.RosterEntry{Id: "v", Address: "y", Host: "g", Service: "quotes", Born: 1})
 	record := func(id, host string) workers.Record {
 		return workers.Record{ID: id, Born: 1, Service: "quotes", Address: id, Hall: "hall", Ready: true, Host: host, Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000}}
 	}
