--- a/pkg/process/cell/bench_test.go
+++ b/pkg/process/cell/bench_test.go
@@ -7,8 +7,7 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// BenchmarkBusyDecide is one decision of a busy cell after one worker's look;
-// a leader makes some hundred a second.
+// BenchmarkBusyDecide times one decision of a busy cell. A leader makes about a hundred per second.
 func BenchmarkBusyDecide(b *testing.B) {
 	c := newBusyCell()
 	counts := c.state.Counts(c.now)
--- a/pkg/process/cell/busycell_test.go
+++ b/pkg/process/cell/busycell_test.go
@@ -15,27 +15,31 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// busyCell is a cell as on a busy day: 16 workers full of serving tasks and
-// fillers, more fillers waiting.
+// busyCell drives the State of a cell with 16 workers, and answers its calls.
 type busyCell struct {
-	state   *cell.State
-	now     time.Time
-	clock   time.Duration
+	state *cell.State
+	now   time.Time
+	// clock is what the workers' clocks show.
+	clock time.Duration
+	// reports are what the workers answer to a poll, by id.
 	reports map[string]*workers.Report
 	looks   []cell.SendLook
+	// version is the row version of the last transaction.
 	version int64
 	records []cell.Record
+	// started are the tasks that were ever started.
 	started map[string]bool
-	// at is the worker of each task that was started.
+	// at is the worker of each started task.
 	at    map[string]string
 	paces []cell.SendPace
 	stops []cell.SendStop
 	notes []cell.Note
 	words []cell.Tell
-	ends  int64
+	// ends is the number of the last end of a run.
+	ends int64
 	// down says that the table does not answer.
 	down bool
-	// silent are workers that do not answer.
+	// silent are the workers that do not answer polls.
 	silent map[string]bool
 }
 
@@ -44,7 +48,7 @@
 	{Name: "watches", Service: "quotes", MaxAttempts: 3, Stretch: 2, Slack: time.Second},
 }, []manifest.Service{{Name: "quotes", Guards: true}}, manifest.Limits{})
 
-// newEmptyCell is its 16 workers with nothing on them.
+// newEmptyCell returns a cell whose leader has loaded the table and polled the workers; nothing runs.
 func newEmptyCell() *busyCell {
 	b := &busyCell{
 		started: map[string]bool{}, at: map[string]string{}, silent: map[string]bool{},
@@ -70,6 +74,7 @@
 	return b
 }
 
+// newBusyCell returns a cell whose workers are full of serving tasks and fillers, with more fillers waiting.
 func newBusyCell() *busyCell {
 	b := newEmptyCell()
 	for i := range 16 {
@@ -86,6 +91,7 @@
 	return b
 }
 
+// offer has the cell accept a job of eight fillers with number i.
 func (b *busyCell) offer(i int) {
 	b.accept(fmt.Sprintf("%016x", i), "offers", &wire.StepSpec{
 		Count: 8, Millicores: 3500, MemoryMb: 6000, Filler: true, EstimateMs: 2700, Image: fmt.Sprintf("f%d", i%9), Checkpointing: true,
@@ -96,7 +102,7 @@
 	b.state.Take(b.now, cell.Accepted{Spec: &wire.JobSpec{Id: id, Queue: queue, Service: "quotes", Cell: "hall", Steps: steps}})
 }
 
-// step lets time pass, answers every call, and decides.
+// step advances the clocks by span, lets the State decide, and answers its calls.
 func (b *busyCell) step(span time.Duration) {
 	b.now = b.now.Add(span)
 	b.clock += span
@@ -159,7 +165,7 @@
 	return r
 }
 
-// finish ends a run as its worker lists it.
+// finish ends the run of a task; its worker lists the end from then on.
 func (b *busyCell) finish(task string, how workers.How) {
 	r := b.reports[b.at[task]]
 	for i, a := range r.Active {
@@ -172,7 +178,7 @@
 	}
 }
 
-// removed says whether a row was ever taken away.
+// removed reports whether a transaction has ever removed a row.
 func (b *busyCell) removed(key table.Key) bool {
 	for _, r := range b.records {
 		if slices.Contains(r.Transaction.Removes, key) {
@@ -182,7 +188,7 @@
 	return false
 }
 
-// someFences are versions of the fence rows in all parts.
+// someFences returns versions of the fence rows of all parts.
 func someFences() map[string]int64 {
 	fences := map[string]int64{}
 	for i := range rows.JobParts {
--- a/pkg/process/cell/cancel_test.go
+++ b/pkg/process/cell/cancel_test.go
@@ -13,8 +13,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// removedBy loads a job whose cancel stands in the table, and returns the rows that the leader's first records
-// take away.
+// removedBy loads a job whose cancel is in the table, and returns the rows that the leader's first transactions
+// remove.
 func removedBy(job cell.LoadedJob) []table.Key {
 	now := time.Unix(1000, 0)
 	s := cell.New("hall", cell.Bounds{Retention: time.Minute}, cell.WithPeers([]string{"hall", "lent", "never"}))
@@ -29,8 +29,8 @@
 	return list
 }
 
-// A cancel has a row for every cell. The leader of the cell that keeps the job takes away, with the record
-// of its end, those of cells that never had tasks of it; a cell that has had some takes its own.
+// A cancel is written as one row for every cell. When the leader of the home cell records the job's end, it
+// removes the rows for cells that never had tasks of the job. A cell that had some removes its own row.
 func TestTheHomeCellTakesAwayCancelsThatNobodyNeeds(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
@@ -42,8 +42,8 @@
 	must.False(t, slices.Contains(removed, rows.CancelKey("lent", id)))
 }
 
-// A cell that was lent tasks takes away its own row alone: that of the cell which keeps the job must stand until
-// that has seen it. That is so, too, where nothing is known any more but that the job has ended here.
+// A cell that tasks were delegated to removes only its own row of a cancel: the home cell's row must stand until
+// the home cell's leader has read it. The same holds where all that is left of the job is that it has ended here.
 func TestABorrowerLeavesTheOtherCellsCancels(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
--- a/pkg/process/cell/ends.go
+++ b/pkg/process/cell/ends.go
@@ -9,8 +9,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// takeEnd takes in one end that a worker lists. It is listed again until the
-// worker is told that it is recorded, so each is taken in once by its number.
+// takeEnd processes one end of a run that a worker lists. A worker lists each end until the leader
+// acknowledges that it is recorded, so an end whose number is not new is skipped.
 func (s *State) takeEnd(now time.Time, w *workers.Worker, e workers.End) {
 	if e.Number <= w.Seen {
 		s.notePassed(w, e)
@@ -24,7 +24,7 @@
 	s.countEnd(now, w, e)
 }
 
-// countEnd takes in an end of a task that is known.
+// countEnd applies the end of a run to its task and job, which are known here.
 func (s *State) countEnd(now time.Time, w *workers.Worker, e workers.End) {
 	t := s.task(e.Task)
 	j := t.Unit.Job
@@ -51,23 +51,24 @@
 	case workers.EndedFailed:
 		s.endedFailed(now, w, t, e.Run)
 	case workers.EndedStopped, workers.EndedLapsed, workers.EndedBroken, workers.EndedAlone:
-		// The task waits again, and goes on from its checkpoint.
+		// The task waits for a new start and resumes from its checkpoint.
 	}
 	s.markDirty(j, false)
 	s.pendEnd(w, e.Number, j.Spec.GetId())
 	s.touch(now, j)
 }
 
-// notePassed tells of an end that is passed over though its run is still taken to be there.
+// notePassed logs an end that was skipped by its number although its run still counts as running.
 func (s *State) notePassed(w *workers.Worker, e workers.End) {
 	if t := s.task(e.Task); t != nil && t.Run(e.Run, w.ID) != nil {
 		s.note(Note{
 			What: NoteEndPassed, Job: t.Unit.Job.Spec.GetId(), Task: e.Task, Run: e.Run, Worker: w.ID, AgeMs: -1,
-			Detail: fmt.Sprintf("%s, number %d; %d was the newest", e.How, e.Number, w.Seen),
+			Detail: fmt.Sprintf("%s, number %d; newest processed number %d", e.How, e.Number, w.Seen),
 		})
 	}
 }
 
+// endDetail describes for the log how a run ended, and at what progress if the run is known.
 func endDetail(how workers.How, r *jobs.Run) string {
 	if r == nil {
 		return string(how)
@@ -75,6 +76,7 @@
 	return fmt.Sprintf("%s at %d%%", how, r.Percent)
 }
 
+// runAge returns the milliseconds since a run's start order was first sent, or -1 for an unknown run.
 func runAge(now time.Time, r *jobs.Run) int64 {
 	if r == nil {
 		return -1
@@ -82,16 +84,17 @@
 	return now.Sub(r.SentAt).Milliseconds()
 }
 
+// endedDone handles a run that ended well: its task is done, or its whole gang.
 func (s *State) endedDone(now time.Time, w *workers.Worker, t *jobs.Task, r *jobs.Run) {
 	s.learnTime(now, t.Unit, r)
 	if w.Health.Worked() {
 		s.note(Note{What: NoteWorkerBack, Worker: w.ID, Detail: "a run ended well", AgeMs: -1})
 	}
 	if t.Unit.Lasting() {
-		return // it is to be started again however it ends
+		return // a lasting task is started again however its run ends
 	}
 	if t.Unit.Spec.GetGang() {
-		// One such end stands for all.
+		// The success of one member is the success of the whole gang.
 		for _, member := range t.Unit.Tasks {
 			member.MarkDone()
 		}
@@ -101,8 +104,8 @@
 	s.completeIfDone(now, t.Unit.Job)
 }
 
-// completeIfDone ends a job that has no more to do. A guest ends by the word of the
-// cell that keeps it, which is told at once.
+// completeIfDone ends a job whose tasks are all done. The end of a delegated job is decided by its home
+// cell; here its progress is recorded at once, with a report to the home cell.
 func (s *State) completeIfDone(now time.Time, j *jobs.Job) {
 	switch {
 	case j.Guest():
@@ -114,6 +117,9 @@
 	}
 }
 
+// endedFailed handles a run that ended in failure. The failure counts against the worker's health while
+// the unit has failed at no other worker. The job fails once the task has failed as often as its queue
+// allows, unless the task is lasting.
 func (s *State) endedFailed(now time.Time, w *workers.Worker, t *jobs.Task, run int64) {
 	u := t.Unit
 	if u.FailedAt == nil {
@@ -134,10 +140,11 @@
 	}
 }
 
-// defaultAttempts is used for a queue that no known manifest names: none of
-// its tasks is given up on for fewer failures than any queue allows.
+// defaultAttempts is the limit for a queue that the manifest does not name. It is at least what any queue
+// allows, so that no job fails too early.
 const defaultAttempts = 4
 
+// maxAttempts returns after how many failed runs of one task a job fails.
 func (s *State) maxAttempts(j *jobs.Job) int {
 	if s.manifest != nil {
 		if q, ok := s.manifest.Queue(j.Spec.GetQueue()); ok && q.MaxAttempts > 0 {
@@ -147,8 +154,8 @@
 	return defaultAttempts
 }
 
-// service is whose workers run a job now: what the manifest says of its queue,
-// or, when that is gone, what it said when the job was accepted.
+// service returns the name of the service whose workers run a job: the one that the manifest names for
+// the job's queue or, if the queue is gone, the one that it named when the job was accepted.
 func (s *State) service(j *jobs.Job) string {
 	if s.manifest != nil {
 		if q, ok := s.manifest.Queue(j.Spec.GetQueue()); ok {
@@ -158,7 +165,7 @@
 	return j.Spec.GetService()
 }
 
-// guards says whether a service's workers refuse what does not fit.
+// guards reports whether the workers of a service refuse a start that exceeds their capacity.
 func (s *State) guards(service string) bool {
 	if s.manifest != nil {
 		if v, ok := s.manifest.Service(service); ok {
@@ -170,10 +177,10 @@
 
 // ------------------------------------------------------------------ stops
 
-// stopAgain is how long a stop may go unanswered before it is sent again.
+// stopAgain is how long after a stop order it is sent again if the run has not ended.
 const stopAgain = 500 * time.Millisecond
 
-// stop asks a worker to end a run. The run counts until its end is seen.
+// stop orders a worker to end a run. The run counts as running until the worker lists its end.
 func (s *State) stop(now time.Time, w *workers.Worker, r *jobs.Run, why string) {
 	if r.State == jobs.Stopping && now.Sub(r.StopSentAt) < stopAgain {
 		return
@@ -191,8 +198,8 @@
 	s.emit(SendStop{To: target(w), Stop: workers.Stop{Fence: s.epoch, Task: r.Task.Name(), Run: r.Number}, Timeout: s.orders.Timeout()})
 }
 
-// stopUnwanted asks for the end of runs whose job has ended or whose task is
-// done, and repeats stops that brought nothing.
+// stopUnwanted stops runs whose job has ended or whose task is done, and repeats stop orders that had no
+// effect.
 func (s *State) stopUnwanted(now time.Time) {
 	for _, w := range s.sorted() {
 		if w.Gone || !w.SilentSince.IsZero() {
@@ -203,7 +210,7 @@
 			case r.State == jobs.Stopping:
 				s.stop(now, w, r, r.Why)
 			case r.State == jobs.Sent || r.State == jobs.Unsure:
-				// A stop that overtakes the start does nothing.
+				// A stop order that arrives before the start order has no effect.
 			case r.Task.Unit.Job.Ended():
 				s.stop(now, w, r, "its job has ended")
 			case r.Task.Done && !r.Task.Unit.Spec.GetGang():
@@ -213,6 +220,7 @@
 	}
 }
 
+// takeStopAnswered handles the outcome of a stop order.
 func (s *State) takeStopAnswered(now time.Time, e StopAnswered) {
 	w := s.workers[e.Worker]
 	if w == nil || e.Err != nil {
@@ -221,7 +229,7 @@
 	s.answered(now, w, e.Reply)
 }
 
-// answered takes in what every answer of a worker tells.
+// answered processes what every reply of a worker carries: a reading of its clock, and a refusal.
 func (s *State) answered(now time.Time, w *workers.Worker, r workers.Reply) {
 	if r.Clock > 0 {
 		w.TakeClock(now, r.Clock)
@@ -230,9 +238,9 @@
 	case workers.RefusedFence:
 		s.emit(StepDown{Why: "worker " + w.ID + " knows a higher epoch"})
 	case workers.RefusedLife:
-		s.lifeOver(now, w, "another life answers at its address")
+		s.lifeOver(now, w, "another worker answers at its address")
 	case workers.RefusedBegun:
-		s.lookFailed(now, w, "another life answers under its id")
+		s.lookFailed(now, w, "another incarnation answers under its id")
 		w.LookAnew(now)
 	default:
 	}
--- a/pkg/process/cell/events.go
+++ b/pkg/process/cell/events.go
@@ -10,94 +10,97 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Event is something that a State takes in.
+// Event is an input of a State.
 type Event interface{ event() }
 
 // Tick says that time has passed.
 type Tick struct{}
 
-// ManifestChanged brings a newer manifest.
+// ManifestChanged carries a newer manifest.
 type ManifestChanged struct{ Manifest *manifest.Manifest }
 
-// BoundsChanged brings other bounds from the settings.
+// BoundsChanged carries new bounds from the settings.
 type BoundsChanged struct{ Bounds Bounds }
 
-// WorkersListed brings all workers of the cell that the list holds.
+// WorkersListed carries all workers of the cell that are in the worker registry.
 type WorkersListed struct{ Records []workers.Record }
 
-// Led says that this process leads the cell from now on.
+// Led says that this process leads the cell from now on, in a new epoch.
 type Led struct {
 	Epoch int64
-	// RosterUntil is when the last lease of leaders that are known to be over is over.
+	// RosterUntil is when the last lease expires that was granted by leaders known to have ended.
 	RosterUntil time.Time
-	// Predecessors are leaders that are not known to be over, by their incarnations' names, and when
-	// the last lease that each could grant is over.
+	// Predecessors are the earlier leaders that are not known to have ended, by incarnation, with the
+	// time at which the last lease that each could grant expires.
 	Predecessors map[string]time.Time
 }
 
-// Confirmed says that this process still led the cell when it sent a renewal
-// that took effect. Nobody else can have granted anything before that moment. Until is how long this
-// process may go on without another one; the zero time: it is not bounded.
+// Confirmed says that a renewal of the leadership took effect which this process sent at At. It still led
+// the cell then, so no later leader can have granted anything before At. Until is when this process must
+// stop without another renewal; zero: no limit.
 type Confirmed struct{ At, Until time.Time }
 
-// PredecessorOver says that a leader before this epoch grants nothing more:
-// it has said so, or its process is over.
+// PredecessorOver says that a leader of an earlier epoch grants no more leases: it has said so, or its
+// process has ended.
 type PredecessorOver struct {
-	Epoch  int64
+	// Epoch is the epoch of this process's leadership.
+	Epoch int64
+	// Holder is the incarnation of the earlier leader.
 	Holder string
-	// Grants are the leases of its own that may go on, by worker, where GrantsKnown; Own says that it was an earlier
-	// leadership of this process.
+	// Grants are the remaining times of leases that it granted, by worker, if GrantsKnown is set. Own says that
+	// it was an earlier leadership of this process.
 	Grants           map[string]time.Duration
 	GrantsKnown, Own bool
-	// Since is from when on it has granted nothing, as a later process runs in its place; the zero time: not known.
+	// Since is a time since which it has granted nothing, because a later process runs in its place; zero: unknown.
 	Since time.Time
 }
 
-// Deposed says that it no longer does.
+// Deposed says that this process no longer leads the cell.
 type Deposed struct{ Why string }
 
-// RosterRecorded says which workers the cell's roster in the table now names.
+// RosterRecorded says which workers the cell's membership row in the table now names.
 type RosterRecorded struct{ IDs []string }
 
 // LoadedJob is one job as it was read from the table.
 type LoadedJob struct {
 	Spec     *wire.JobSpec
 	Progress *wire.JobProgress
+	// Recorded is the version of the progress row; 0 if there is none.
 	Recorded int64
 }
 
-// Loaded brings what the table holds of the cell, read after its fences were
-// put in every part.
+// Loaded carries the cell's rows, read after this leader's fence was written in every part.
 type Loaded struct {
 	Epoch int64
-	// Roster are the workers that may hold runs of earlier leaders, read after this
-	// epoch began.
-	Roster  []*wire.RosterEntry
-	Jobs    []LoadedJob
+	// Roster are the members: the workers that may hold runs of earlier leaders, read after this epoch
+	// began.
+	Roster []*wire.RosterEntry
+	Jobs   []LoadedJob
+	// Cancels are the ids of jobs to cancel.
 	Cancels []string
-	// Returned are the tasks that other cells have given back.
+	// Returned are reports of other cells on tasks that were delegated to them.
 	Returned []*wire.ReturnedTasks
 	// Fences are the versions of the fence rows by part.
 	Fences map[string]int64
-	// Wall is the time of day, for jobs with times.
+	// Wall is the time of day, by which runs of repeating jobs fall due.
 	Wall time.Time
-	// StoreNow is the store's clock at the time of the event.
+	// StoreNow is the table service's clock at the time of the event.
 	StoreNow time.Duration
 }
 
-// Accepted brings a job that stands in the table.
+// Accepted carries a job whose specification is in the table.
 type Accepted struct {
 	Spec     *wire.JobSpec
 	StoreNow time.Duration
 }
 
-// CancelAsked brings a cancel that stands in the table.
+// CancelAsked carries the id of a job whose cancel is in the table.
 type CancelAsked struct{ ID string }
 
-// Returned brings tasks that another cell gives back; they stand in the table.
+// Returned carries another cell's report, already in the table, on tasks that were delegated to it.
 type Returned struct{ Tasks *wire.ReturnedTasks }
 
-// Looked is the outcome of a look at a worker.
+// Looked is the outcome of a poll of a worker.
 type Looked struct {
 	Worker  string
 	SentAt  time.Time
@@ -106,26 +109,26 @@
 	Err     error
 }
 
-// Started is the outcome of an order to start.
+// Started is the outcome of a start order.
 type Started struct {
 	Worker string
 	Task   string
 	Run    int64
 	Reply  workers.Reply
 	Err    error
-	// Took is how long the call took, Bytes what its order counted for.
+	// Took is how long the call took. Bytes is the size of the order, as in SendStart.
 	Took  time.Duration
 	Bytes int
 }
 
-// StopAnswered is the outcome of an order to stop.
+// StopAnswered is the outcome of a stop order.
 type StopAnswered struct {
 	Worker string
 	Reply  workers.Reply
 	Err    error
 }
 
-// PaceAnswered is the outcome of an order to pace.
+// PaceAnswered is the outcome of a pace order.
 type PaceAnswered struct {
 	Worker  string
 	Task    string
@@ -135,7 +138,7 @@
 	Err     error
 }
 
-// RecordAnswered is the outcome of writing progress in one part.
+// RecordAnswered is the outcome of a transaction in one part of the table.
 type RecordAnswered struct {
 	Part      string
 	Serial    int64
@@ -143,10 +146,10 @@
 	Err       error
 }
 
-// OtherLoad is what the leader of another cell tells of it.
+// OtherLoad carries a load that the leader of another cell reports.
 type OtherLoad struct{ Load *wire.CellLoad }
 
-// Release asks the leader to hand the cell over: it starts nothing more.
+// Release asks the leader to hand the cell over. The leader starts no more runs.
 type Release struct{}
 
 func (Tick) event()            {}
@@ -170,54 +173,53 @@
 func (Release) event()         {}
 func (OtherLoad) event()       {}
 
-// Effect is something that a State wants done.
+// Effect is an action that a State asks its caller to carry out.
 type Effect interface{ effect() }
 
-// Load asks for the fences to be put and the cell's rows to be read; Loaded
-// answers.
+// Load asks to write the fences of an epoch and then read the cell's rows. The answer is Loaded.
 type Load struct{ Epoch int64 }
 
-// SendLook asks for a look at a worker; Looked answers.
+// SendLook asks to poll a worker. The answer is Looked.
 type SendLook struct {
 	To   workers.Target
 	Look workers.Look
-	// Timeout is how long to wait for the answer, the look's own wait included.
+	// Timeout is how long to wait for the answer. It includes the poll's own wait.
 	Timeout time.Duration
 }
 
-// SendStart asks for an order to start; Started answers, in any case.
+// SendStart asks to send a start order. The answer is always a Started, also if the call fails.
 type SendStart struct {
 	To      workers.Target
 	Start   workers.Start
 	Timeout time.Duration
-	// Bytes is what the order counts for on the way.
+	// Bytes is the size of the order, as counted in the window of bytes in flight.
 	Bytes int
 }
 
-// SendStop asks for an order to stop; StopAnswered answers.
+// SendStop asks to send a stop order. The answer is StopAnswered.
 type SendStop struct {
 	To      workers.Target
 	Stop    workers.Stop
 	Timeout time.Duration
 }
 
-// SendPace asks for an order to pace; PaceAnswered answers.
+// SendPace asks to send a pace order. The answer is PaceAnswered.
 type SendPace struct {
 	To      workers.Target
 	Pace    workers.Pace
 	Timeout time.Duration
 }
 
-// Record asks for progress to be written; RecordAnswered answers.
+// Record asks to commit a transaction with the progress of jobs. The answer is RecordAnswered.
 type Record struct {
 	Part        string
 	Serial      int64
 	Transaction table.Transaction
 }
 
-// Tell asks for word to the leader of another cell of what stands in the table by now:
-// tasks that it is lent, what became of tasks that it has lent, or the end of a job of
-// which it has tasks. It is only faster than the table, which that leader follows.
+// Tell asks to notify the leader of another cell of a row that is in the table: tasks that are delegated
+// to its cell, a report on tasks that its cell has delegated, or the cancel of a job of which its cell has
+// tasks. The leader follows the table anyway; the notification is only faster.
 type Tell struct {
 	Cell      string
 	Lent      *wire.JobSpec
@@ -225,23 +227,23 @@
 	Cancelled string
 }
 
-// StepDown says that another leader was found to be in charge.
+// StepDown says that this process must stop leading the cell, and why.
 type StepDown struct{ Why string }
 
-// Note is a line for the log: one decision and what it was made from.
+// Note is a log line: one decision, with the information that it is based on.
 type Note struct {
 	What   What
 	Job    string
 	Task   string
 	Run    int64
 	Worker string
-	// Detail is what else decided, in words and figures.
+	// Detail gives more facts as text.
 	Detail string
-	// AgeMs is how old the information was, where that matters; -1: it has none.
+	// AgeMs is the age of the information or of what the line is about, in ms; -1: none.
 	AgeMs int64
 	Code  fault.Code
-	// Reason is why a lasting task waits, and how often it fits into the free capacity of this
-	// cell's workers and of other cells.
+	// Reason is why a lasting task waits. FitsHere and FitsElsewhere are how often it fits into the
+	// free capacity of this cell's workers and of other cells.
 	Reason                  WaitReason
 	FitsHere, FitsElsewhere int64
 }
--- a/pkg/process/cell/fillers.go
+++ b/pkg/process/cell/fillers.go
@@ -8,27 +8,25 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// Which places a filler may take: those with unused processors, where it costs its
-// neighbours (harm.go) no more than it earns, or than its wait has come to be worth.
+// Which workers a filler may start on: those with enough unused CPU, where it costs its neighbours no more
+// than it earns (its net cost, harm.go). The longer it waits, the higher its net cost may be.
 
 const (
-	// disturbAfter is how long a filler waits for a harmless place in a cell, or
-	// among cells, with room, and roomyBelow the share of their room in use below
-	// which there is some: there, work that stands still for three seconds counts as
-	// lost.
+	// disturbAfter is how long a filler waits for a harmless worker while the cell, or the cells together,
+	// have spare capacity: there, work that makes no progress for three seconds counts as lost. roomyBelow
+	// is the share of CPU in use below which capacity counts as spare.
 	disturbAfter = 1500 * time.Millisecond
 	roomyBelow   = 0.6
-	// patience is the wait after which a filler may cost as much more than it earns
-	// as it earns: who waits on costs its job ever more.
+	// patience is the wait after which the net cost of a filler may be as high as fullEarns: the wait itself
+	// costs the filler's job more and more.
 	patience = 8 * time.Second
-	// fillerShare is the least share of its processors that must be unused for
-	// a filler to start: fewer that run at full speed end sooner, one after the
-	// other, than many that share.
+	// fillerShare is the least share of the CPU that a filler asks for which must be unused for it to
+	// start: a few fillers at full speed, one after the other, end sooner than many that share.
 	fillerShare = 0.7
 )
 
-// mayCost is how much more a filler may cost its neighbours than it earns. That
-// grows with its wait: it does not wait forever, whatever its job still earns.
+// mayCost returns the highest net cost (fillerHarm) at which a filler may start. It grows with the wait, so
+// that no filler waits forever, whatever its job still earns.
 func (s *State) mayCost(now time.Time, u *jobs.Unit) float64 {
 	waits := now.Sub(u.ReadyAt)
 	if !s.has(WaitForCheapPlaces) {
@@ -40,8 +38,8 @@
 	return fullEarns(u) * waits.Seconds() / patience.Seconds()
 }
 
-// isRoomy says whether much of the room is free: in this cell, or in all of which
-// this process has heard lately.
+// isRoomy reports whether there is spare capacity: in this cell, or in all cells together of which this
+// process has a recent load.
 func (s *State) isRoomy(now time.Time) bool {
 	taken, all := int64(0), int64(0)
 	for _, w := range s.sorted() {
@@ -62,8 +60,8 @@
 	return float64(taken) < roomyBelow*float64(all)
 }
 
-// fillerFits says whether a filler would get enough of a worker's unused
-// processors.
+// fillerFits reports whether a filler would get enough unused CPU at a worker, and whether fillers may
+// join there at all.
 func fillerFits(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
 	return !now.Before(w.NoFillersUntil) && float64(w.Unused()) >= fillerShare*float64(u.Size.Millicores)
 }
--- a/pkg/process/cell/orders.go
+++ b/pkg/process/cell/orders.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// startValid is how long, by the worker's clock, an order to start may be
-	// carried out: some are carried out seconds late.
+	// startValid is how long a start order may be carried out, by the worker's clock. Some orders are
+	// carried out seconds late.
 	startValid = 2 * time.Second
-	// orderOverhead is what an order takes beside its texts: its head, the task's name
-	// and the fields' names (counted on the wire).
+	// orderOverhead is the size in bytes of a start order without its body, checkpoint and ticket: the
+	// headers, the task's name and the field names, as counted on the wire.
 	orderOverhead = 330
-	// heldNoteEvery bounds how often it is told that orders are held back.
+	// heldNoteEvery is the least time between two log lines about held back start orders.
 	heldNoteEvery = time.Second
-	// startTries is how often an order without an answer is sent, each time as
-	// the same run: a worker that has it says so.
+	// startTries is how often a start order without an answer is sent in all. Each try names the same
+	// run, so that a worker which has begun the run already says so.
 	startTries = 3
-	// refusedPause is how long a task waits after a refusal that may pass.
+	// refusedPause is how long a task waits after a refused start. The reason for the refusal may pass.
 	refusedPause = 100 * time.Millisecond
-	// runsPerEpoch leaves room for the run numbers of one epoch below those of
-	// the next: a successor doesn't know which its forerunner has used.
+	// runsPerEpoch is the size of an epoch's range of run numbers. Ranges don't overlap because a
+	// successor doesn't know which numbers its predecessor has used.
 	runsPerEpoch = 1_000_000
 )
 
-// nextRun is a run number above all that this cell has used.
+// nextRun returns a run number above all that were used in this cell.
 func (s *State) nextRun() int64 {
 	s.runs++
 	return s.epoch*runsPerEpoch + s.runs
 }
 
-// start orders a run of a task at a worker.
+// start orders a run of a task at a worker, and counts the run as running there from now on.
 func (s *State) start(now time.Time, w *workers.Worker, t *jobs.Task, number int64, ticket string) {
 	r := &jobs.Run{
 		Task: t, Number: number, Worker: w.ID, State: jobs.Sent, SentAt: now, ProgressAt: now,
@@ -62,6 +62,7 @@
 	s.sendStart(now, w, r)
 }
 
+// sendStart sends the start order of a run, for the first time or once more.
 func (s *State) sendStart(now time.Time, w *workers.Worker, r *jobs.Run) {
 	r.Tries++
 	until := w.Grant(now, startValid)
@@ -75,8 +76,8 @@
 	s.emit(SendStart{To: target(w), Start: order, Timeout: s.orders.Timeout(), Bytes: bytes})
 }
 
-// mayOrder says whether one more order to start may be sent now. That orders are held
-// back is told, once in a while: it is why tasks wait though workers have room.
+// mayOrder reports whether the window of bytes in flight has space for one more start order. If it has
+// none, the log says so at intervals: tasks then wait although workers have capacity.
 func (s *State) mayOrder(now time.Time) bool {
 	if !s.has(OrderWindow) || s.orders.Room() {
 		return true
@@ -85,13 +86,14 @@
 		s.heldNotedAt = now
 		s.note(Note{
 			What: NoteOrdersHeld, AgeMs: -1,
-			Detail: fmt.Sprintf("%d of %d bytes on their way, answers take %s", s.orders.InFlight(), s.orders.Size(), s.orders.AnswerTime().Round(time.Millisecond)),
+			Detail: fmt.Sprintf("%d of %d bytes in flight, answers take %s", s.orders.InFlight(), s.orders.Size(), s.orders.AnswerTime().Round(time.Millisecond)),
 		})
 	}
 	return false
 }
 
-// takeOrderTime takes in what an order's answer, or its lack, tells of the way there.
+// takeOrderTime updates the window of bytes in flight from how long a start order took to be answered, or
+// stayed without an answer.
 func (s *State) takeOrderTime(now time.Time, e Started) {
 	if e.Err != nil {
 		s.orders.Unanswered(now, e.Took, e.Bytes)
@@ -101,6 +103,7 @@
 	s.placeNow = s.placeNow || s.orders.Refilled()
 }
 
+// takeStarted handles the outcome of a start order.
 func (s *State) takeStarted(now time.Time, e Started) {
 	s.takeOrderTime(now, e)
 	w := s.workers[e.Worker]
@@ -124,7 +127,7 @@
 		r.AckedAt = now
 		s.began(now, r)
 	case e.Reply.Refusal == workers.RefusedOld:
-		// A run at least as new was there: the lists tell what became of it.
+		// The worker has had a run with this number or a higher one; its lists tell what became of it.
 		r.State = jobs.Unsure
 		r.ValidUntil = w.ClockAtLeast(now)
 	case r.Tries > 1:
@@ -135,7 +138,7 @@
 	}
 }
 
-// startRefused frees what a start had taken that surely did nothing.
+// startRefused takes back a run whose start order surely had no effect: its task waits for another start.
 func (s *State) startRefused(now time.Time, w *workers.Worker, r *jobs.Run, why string) {
 	t := r.Task
 	w.Remove(r)
@@ -155,14 +158,14 @@
 	s.touch(now, t.Unit.Job)
 }
 
-// startUnanswered sends the same run again: a worker that has begun it says so. One that takes
-// no new work any more is not asked again.
+// startUnanswered handles a start order without an answer: the run may have begun. The order is sent
+// again, unless the worker takes no new work any more; a worker that has begun the run says so.
 func (s *State) startUnanswered(now time.Time, w *workers.Worker, r *jobs.Run, err error) {
 	if r.State == jobs.Sent {
 		r.State = jobs.Unsure
 		s.note(Note{
 			What: NoteStartUnsure, Job: r.Task.Unit.Job.Spec.GetId(), Task: r.Task.Name(), Run: r.Number, Worker: w.ID,
-			Detail: fmt.Sprintf("until the worker's clock shows %s, now at least %s: %s", r.ValidUntil.Round(time.Millisecond), w.ClockAtLeast(now).Round(time.Millisecond), err),
+			Detail: fmt.Sprintf("valid until the worker's clock shows %s, now at least %s: %s", r.ValidUntil.Round(time.Millisecond), w.ClockAtLeast(now).Round(time.Millisecond), err),
 			AgeMs:  now.Sub(r.SentAt).Milliseconds(),
 		})
 	}
@@ -171,6 +174,7 @@
 	}
 }
 
+// takePaceAnswered handles the outcome of a pace order.
 func (s *State) takePaceAnswered(now time.Time, e PaceAnswered) {
 	w := s.workers[e.Worker]
 	t := s.task(e.Task)
--- a/pkg/process/cell/pace.go
+++ b/pkg/process/cell/pace.go
@@ -10,62 +10,62 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// Pace. Fillers disturb the tasks beside them that serve users, by amounts that
-// differ by pair of images; all that is seen of it is the tail that a serving task
-// lists, rough and half a second old. Which pairs press, and how busy each task is
-// by its own load, is learned (package interference), and fillers are placed where
-// they cost less than they earn (harm.go). What is here is for what that misses: a
-// tail that stays over its target makes all fillers of its worker stand still for
-// a while. Levels are those of package interference: 0 at the target, below 0 while
-// there is room.
+// Pacing of fillers. Fillers slow down the serving tasks on their worker, by amounts that depend on the
+// pair of images. The only sign of that is the tail latency that a serving task lists, which is rough and
+// half a second old. Package interference learns from it which pairs interfere, and how much of a serving
+// task's latency is due to its own load; fillers are then placed where they cost less than they earn
+// (harm.go). This file handles what that misses: if a tail latency stays over its target, all fillers of
+// the worker are paused for a while. Levels are those of package interference: 0 at the target, negative
+// below it.
 //
-// (Tried and reverted: shares of work worked out from the levels to expect, those
-// held back first that press most. Serving tasks were over their targets for less
-// time, and more was lost by jobs that waited for one task held back. Moving fillers
-// that stood still to workers that would take them: worth nothing, see
-// docs/design/decisions.md.)
+// Two alternatives were given up. One slowed fillers by predicted levels, those that interfere most first:
+// serving tasks were over their targets for less time, but more was lost by jobs that waited for a single
+// slowed task. The other moved paused fillers to workers that would take them, and gained nothing (see
+// docs/design/decisions.md).
 
 const (
-	// overLong is how long a tail may be over its target before all fillers of
-	// its worker stand still. Users count four seconds without a break as harm; a
-	// break of one reading is enough.
+	// overLong is how long a tail latency may be over its target before all fillers of its worker are
+	// paused. Users count four seconds without a break as harm; one reading below the target is a break.
 	overLong = 2000 * time.Millisecond
-	// overLevel is the level that counts as over the target: readings are rough,
-	// and one a little below it is no break in what the platform sees.
+	// overLevel is the level from which a reading counts as over the target. Readings are rough: one that
+	// is a little below the target may be no break by the platform's own reading.
 	overLevel = -0.1
-	// overJoin is how long it may be before no more fillers come.
+	// overJoin is how long a tail latency may be over its target before no more fillers are placed there.
 	overJoin = 900 * time.Millisecond
-	// cutFor is how long fillers stand still, and cutAgain the least time until the
-	// next cut: who is over its target without fillers is not their matter.
+	// cutFor is how long fillers are paused. cutAgain is the least time between a filler's last change
+	// of pace and its next pause: if a serving task stays over its target while fillers are paused, they
+	// are not the cause.
 	cutFor   = 1300 * time.Millisecond
 	cutAgain = 700 * time.Millisecond
-	// sameFor is for how long an unchanged reading counts as the same one: workers
-	// renew them every half second, and answer more often.
+	// sameFor is how long an unchanged reading counts as the same one. Workers take a new reading every
+	// half second, and answer polls more often.
 	sameFor = 600 * time.Millisecond
-	// tellPressEvery is how often the log says what is believed of images.
+	// tellPressEvery is the interval at which the log lists what the interference model has learned.
 	tellPressEvery = 10 * time.Second
 )
 
+// serving reports whether a run is a running serving task: one with a target for its tail latency.
 func serving(r *jobs.Run) bool {
 	return r.Task.Unit.Spec.GetTailTargetMs() > 0 && r.State == jobs.Running
 }
 
+// filling reports whether a run is a running filler.
 func filling(r *jobs.Run) bool {
 	return r.Task.Unit.Spec.GetFiller() && r.State == jobs.Running
 }
 
-// readingOf is a serving run's last reading.
+// readingOf returns a serving run's last tail latency as a level.
 func readingOf(r *jobs.Run) interference.Reading {
 	return interference.NewReading(r.Tail, time.Duration(r.Task.Unit.Spec.GetTailTargetMs())*time.Millisecond)
 }
 
-// pressure is the share of a worker's processors that a filler asks for.
+// pressure returns the share of a worker's CPU that a filler asks for.
 func pressure(w *workers.Worker, u *jobs.Unit) float64 {
 	return float64(u.Size.Millicores) / float64(max(1, w.Capacity.Millicores))
 }
 
-// learnPress takes in a worker's fresh readings. What a filler has used in the
-// last half second is what its neighbours' tails show.
+// learnPress trains the interference model with a worker's new readings. A reading shows the effect of
+// the CPU that fillers used in the last half second.
 func (s *State) learnPress(now time.Time, w *workers.Worker) {
 	if !w.Serving() {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-// pace decides the share of each filler and sends what has changed.
+// pace decides the pace of each filler, and sends a pace order where it has changed.
 func (s *State) pace(now time.Time) {
 	if now.Sub(s.pressToldAt) >= tellPressEvery {
 		s.pressToldAt = now
@@ -105,8 +105,7 @@
 	}
 }
 
-// setPaces decides which fillers of a worker stand still, once for each of its
-// answers.
+// setPaces decides which fillers of a worker are paused, once for each answer of the worker.
 func (s *State) setPaces(now time.Time, w *workers.Worker) {
 	if !w.AnsweredAt.After(w.PacedAt) {
 		return
@@ -124,7 +123,8 @@
 	}
 }
 
-// watchTails sees to tails that are over their targets.
+// watchTails checks the tail latencies on a worker. While one stays over its target, first no more fillers
+// are placed there (overJoin), then the fillers there are paused (overLong).
 func (s *State) watchTails(now time.Time, w *workers.Worker) {
 	for _, r := range w.Runs {
 		if !serving(r) {
@@ -147,7 +147,7 @@
 	}
 }
 
-// cutAll makes all fillers of a worker stand still for a while.
+// cutAll pauses the fillers of a worker, except those whose pace has just changed (cutAgain).
 func cutAll(now time.Time, w *workers.Worker) {
 	for _, r := range w.Runs {
 		if filling(r) && r.PaceWanted > 0 && now.Sub(r.PacedAt) >= cutAgain {
@@ -156,7 +156,7 @@
 	}
 }
 
-// worstLevel is the highest level among a worker's serving tasks, for the log.
+// worstLevel returns the highest level among a worker's serving tasks, for the log; -Inf without one.
 func worstLevel(w *workers.Worker) float64 {
 	worst := math.Inf(-1)
 	for _, r := range w.Runs {
@@ -167,14 +167,15 @@
 	return worst
 }
 
-// fillerScale is the part of what they ask for that a worker's fillers get, with
-// some more millicores asked for: they share what others leave.
+// fillerScale returns the fraction, 0 to 1, of the CPU that they ask for which a worker's fillers get if
+// more millicores are asked for in addition. Fillers share the CPU that the other tasks leave unused.
 func fillerScale(w *workers.Worker, more int64) float64 {
 	asked := w.FillersAsk() + more
 	left := w.Unused() + w.FillersAsk()
 	return min(1, max(0, float64(left))/float64(max(1, asked)))
 }
 
+// setPace sets the pace in percent that a filler should run at, and logs a change.
 func (s *State) setPace(now time.Time, w *workers.Worker, r *jobs.Run, percent int) {
 	if r.PaceWanted == percent {
 		return
@@ -182,10 +183,11 @@
 	r.PaceWanted = percent
 	s.note(Note{
 		What: NotePace, Job: r.Task.Unit.Job.Spec.GetId(), Task: r.Task.Name(), Run: r.Number, Worker: w.ID,
-		AgeMs: now.Sub(w.AnsweredAt).Milliseconds(), Detail: fmt.Sprintf("%d%%, the worst level beside it was %.2f", percent, worstLevel(w)),
+		AgeMs: now.Sub(w.AnsweredAt).Milliseconds(), Detail: fmt.Sprintf("%d%%, worst level on its worker %.2f", percent, worstLevel(w)),
 	})
 }
 
+// sendPace sends a pace order if a filler does not run at the wanted pace and no order is in flight.
 func (s *State) sendPace(now time.Time, w *workers.Worker, r *jobs.Run) {
 	if r.PaceSending || r.PaceWanted == r.Pace {
 		return
--- a/pkg/process/cell/pace_test.go
+++ b/pkg/process/cell/pace_test.go
@@ -15,7 +15,7 @@
 	fillerID = "00000000000000bb"
 )
 
-// tell sets the readings of what runs at a worker.
+// tell sets the readings of all runs at a worker, and their progress to 100%.
 func (b *busyCell) tell(worker string, reading func(workers.Active) int64) {
 	r := b.reports[worker]
 	for i := range r.Active {
@@ -24,14 +24,15 @@
 	}
 }
 
+// tellAll does the same at all workers.
 func (b *busyCell) tellAll(reading func(workers.Active) int64) {
 	for id := range b.reports {
 		b.tell(id, reading)
 	}
 }
 
-// A tail over its target for two seconds makes the fillers beside it stand still,
-// well before the four seconds that count as harm.
+// A tail latency over its target for two seconds pauses the fillers on its worker, well before the four
+// seconds that count as harm.
 func TestATailThatStaysOverItsTargetCutsTheFillersBesideIt(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -63,8 +64,8 @@
 	must.Between(t, 1500*time.Millisecond, b.now.Sub(begin), 2600*time.Millisecond)
 }
 
-// Fillers that press on one image may leave another alone: workers of one image
-// each leave every filler a place.
+// Fillers may slow down one image and not another. If the serving tasks on each worker are of one image,
+// every filler finds a worker where it does no harm.
 func TestServingTasksOfOneImageGoTogether(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -88,13 +89,12 @@
 	}
 }
 
-// Found in an incident (kadraj inc-aa94): a leader made fillers stand still and handed
-// its cell over; the next one took them for hung, stopped them and put their worker
-// aside.
+// A leader paused fillers and handed its cell over. Its successor took them for stalled, stopped them and
+// quarantined their worker.
 func TestAnAdoptedFillerIsToldItsPace(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	// It fits nowhere, so that only the run which is there can be it.
+	// The task fits nowhere, so its only run is the one that the worker lists.
 	b.accept(fillerID, "offers", &wire.StepSpec{Count: 1, Millicores: 60_000, Filler: true, EstimateMs: 9000, Image: "f", Checkpointing: true})
 	r := b.reports["w03"]
 	r.Active = append(r.Active, workers.Active{Task: fillerID + ".0.0.0", Run: 7, Percent: 40})
--- a/pkg/process/cell/place.go
+++ b/pkg/process/cell/place.go
@@ -11,24 +11,24 @@
 	"github.com/wrenferry/wrenferry/pkg/version/manifest"
 )
 
-// Placement. Units that have tasks to start are taken in the order of what
-// their jobs still earn: first those of a higher priority, among equals those
-// that can still meet their objective (else, under overload, all that is started
-// ends late), the nearest first; jobs that are past all credit last. Each task goes to
-// the usable worker where it leaves the least room (so that large holes stay
-// for large tasks), or, for a filler, where most processors are unused.
+// Placement. Units with waiting tasks are sorted: by priority, then jobs that can still meet their
+// objective before jobs that can't, then by due time. Jobs that earn nothing any more come last of
+// all. Late jobs yield because every job would end late under overload otherwise. A task goes to the
+// usable worker with the least free CPU, which keeps large gaps for large tasks. A filler, a batch
+// task that runs on CPU which other tasks leave unused, goes where the most CPU is unused and its
+// neighbours suffer least.
 
 const (
-	// defaultStretch and defaultSlack stand in for a queue that no manifest
-	// names any more.
+	// defaultStretch and defaultSlack set the objective of jobs whose queue the manifest no longer
+	// names.
 	defaultStretch = 2.0
 	defaultSlack   = time.Second
-	// hopelessAfter times its objective a job earns nothing any more (as users
-	// count it).
+	// hopelessAfter is the multiple of its objective after which a job earns nothing any more, by the
+	// users' rules.
 	hopelessAfter = 3.0
 )
 
-// candidate is a unit with its place in the order.
+// candidate is a unit with the keys by which units are sorted for placement.
 type candidate struct {
 	unit     *jobs.Unit
 	outlook  jobs.Outlook
@@ -36,7 +36,7 @@
 	due      time.Time
 }
 
-// place starts what may start and has room.
+// place runs one placement pass: it starts the waiting tasks for which a usable worker has capacity.
 func (s *State) place(now time.Time) {
 	if !s.placeNow || s.manifest == nil || len(s.workers) == 0 {
 		return
@@ -65,6 +65,7 @@
 	}
 }
 
+// queueOrder returns the units with waiting tasks, in the order in which they are placed.
 func (s *State) queueOrder(now time.Time) []candidate {
 	list := make([]candidate, 0, len(s.waiting))
 	for u := range s.waiting {
@@ -74,6 +75,8 @@
 	return list
 }
 
+// candidate computes a unit's sort keys: the priority of its queue, when its job is due, and whether
+// the job can still meet its objective (its outlook, which is stored in the unit, too).
 func (s *State) candidate(now time.Time, u *jobs.Unit) candidate {
 	j := u.Job
 	s.estimate(now, j)
@@ -95,6 +98,7 @@
 	return c
 }
 
+// before reports whether c is placed before d.
 func (c candidate) before(d candidate) bool {
 	switch {
 	case (c.outlook == jobs.Hopeless) != (d.outlook == jobs.Hopeless):
@@ -109,7 +113,8 @@
 	return c.unit.Name() < d.unit.Name()
 }
 
-// queue is what the manifest says of a job's queue, or stands in for it.
+// queue returns a job's queue from the manifest, or one with default values if the manifest no longer
+// names it.
 func (s *State) queue(j *jobs.Job) manifest.Queue {
 	if q, ok := s.manifest.Queue(j.Spec.GetQueue()); ok {
 		return q
@@ -117,18 +122,19 @@
 	return manifest.Queue{Service: j.Spec.GetService(), Stretch: defaultStretch, Slack: defaultSlack}
 }
 
-// usable says whether a worker takes new work now. Where its life began under this leader, this
-// process must have led the cell after it heard of that: a worker that has just started again
-// would take orders of a leader that was deposed, too, until its successor has been there.
+// usable reports whether a worker may be given new work now. A worker that restarts knows no epoch and
+// obeys a deposed leader, too, until that leader's successor polls it. So a worker that restarted under
+// this leader is usable only after a renewal of the leadership took effect that was sent after SureFrom.
 func (s *State) usable(now time.Time, w *workers.Worker) bool {
 	return !s.confirmed(now).Before(w.SureFrom) && w.Usable(now, heardWithin) && s.roster[w.ID] && !w.Dropped && !w.RunsKnown && !s.aside(now, w)
 }
 
-// aside says whether a worker is left alone for what became of its runs.
+// aside reports whether a worker is quarantined after runs there failed, stalled or were refused.
 func (s *State) aside(now time.Time, w *workers.Worker) bool {
 	return s.has(Quarantine) && w.Health.Aside(now)
 }
 
+// usableWorkers returns the usable workers, sorted by id.
 func (s *State) usableWorkers(now time.Time) []*workers.Worker {
 	list := make([]*workers.Worker, 0, len(s.workers))
 	for _, w := range s.sorted() {
@@ -139,6 +145,7 @@
 	return list
 }
 
+// placeTasks starts the waiting tasks of a unit that is not a gang, as far as they fit.
 func (s *State) placeTasks(now time.Time, u *jobs.Unit, usable []*workers.Worker) {
 	service := s.service(u.Job)
 	for _, t := range u.Waiting(now) {
@@ -148,7 +155,7 @@
 		w := s.choose(now, t, service, usable)
 		if w == nil && t.Choosy() {
 			s.tellWait(now, t, service, usable)
-			continue // the others of its step need no trial
+			continue // the unit's other tasks may run on workers that this one can't take
 		}
 		if w == nil {
 			s.holdFor(now, t, service, usable)
@@ -162,15 +169,14 @@
 	}
 }
 
-// holdAfter is how long a lasting task waits before room is held for it. A worker that is
-// held is lost to short tasks until it has room enough, and those earn more there
-// meanwhile: so first it is seen whether room comes up by itself, for some short tasks'
-// time.
+// holdAfter is how long a lasting task waits before a worker is reserved for it. Short tasks can't use
+// a reserved worker until the lasting task fits there, and they would earn more meanwhile. So capacity
+// gets the time of a few short tasks to become free by itself first.
 const holdAfter = 2500 * time.Millisecond
 
-// holdFor keeps the worker that is nearest to having room for a lasting task
-// free of short ones. Those come and go, and each takes a little of the room
-// that a large task waits for.
+// holdFor reserves a worker for a lasting task, one that runs until its job is cancelled: of the workers
+// where the task fits beside the other lasting tasks, the one with the most free CPU. Without that, short
+// tasks would keep taking the capacity that a large task waits for.
 func (s *State) holdFor(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) {
 	u := t.Unit
 	if !s.has(HeldRoom) || !u.Lasting() || now.Sub(waitsSince(t)) < holdAfter {
@@ -193,7 +199,7 @@
 	}
 }
 
-// choose picks the worker for a task; nil: none has room.
+// choose returns the worker for a task, or nil if the task can't start anywhere now.
 func (s *State) choose(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
 	if s.awaitsRecord(now, t) || (s.tooWideToTry(t.Unit) && s.awaitsWord(now, t)) {
 		return nil
@@ -216,26 +222,26 @@
 	return best
 }
 
-// fits says whether one more task of a unit may go to a worker.
+// fits reports whether one more task of a unit may go to a worker.
 func (s *State) fits(now time.Time, u *jobs.Unit, service string, w *workers.Worker) bool {
 	return s.lacks(now, u, service, w) == lacksNothing
 }
 
 const (
-	// farPenalty weighs a worker away from the data against room left: more
-	// than any room can make up for.
+	// farPenalty is subtracted from the score of a worker outside the rack of the task's data. It
+	// outweighs any difference in free CPU.
 	farPenalty = 10.0
-	// avoidPenalty is for the worker where the task failed last, and hosts that crashed under it.
+	// avoidPenalty is subtracted for the worker where the task failed last, and for hosts that crashed
+	// while they ran the task.
 	avoidPenalty = 20.0
-	// harmWeight weighs what a filler costs its neighbours against unused
-	// processors.
+	// harmWeight weighs the net cost of a filler (fillerHarm) against the share of unused CPU.
 	harmWeight = 1.0
-	// alikeWeight is for serving tasks beside others of their image, against
-	// room left: holes that are too small for the next one cost more.
+	// alikeWeight weighs how alike the serving images of a worker are to the task's against free CPU. It
+	// outweighs free CPU, whose share is at most 1; the price is gaps too small for the next serving task.
 	alikeWeight = 3.0
 )
 
-// score ranks the workers that a task fits on; the highest is taken.
+// score rates a worker that a task fits on; the task goes to the worker with the highest score.
 func (s *State) score(t *jobs.Task, w *workers.Worker) float64 {
 	score := 0.0
 	u := t.Unit
@@ -259,9 +265,10 @@
 	return score
 }
 
-// alikeScore draws a serving task to others that the same fillers press on, else to
-// a worker where nobody serves: fillers that do no harm to one image may harm
-// another, so that workers of one kind each leave every filler a place.
+// alikeScore rates a worker for a serving task by how alike its serving images are to the task's in
+// which fillers slow them down: from -alikeWeight for nothing in common to alikeWeight for the same image,
+// and 0 for a worker without serving tasks. A filler that is harmless to one image may harm another, so
+// with like images grouped together every filler finds a harmless worker.
 func (s *State) alikeScore(u *jobs.Unit, w *workers.Worker) float64 {
 	if !w.Serving() || !s.has(ServingByImage) {
 		return 0
@@ -276,11 +283,12 @@
 	return alikeWeight * (2*sum/float64(all) - 1)
 }
 
-// placeGang starts all tasks of a gang as one run, or none.
+// placeGang starts all tasks of a gang as one run, or none of them. A gang that wants a single rack is
+// tried in the best rack first, then on all usable workers.
 func (s *State) placeGang(now time.Time, u *jobs.Unit, usable []*workers.Worker) {
 	waiting := u.Waiting(now)
 	if len(waiting) < len(u.Tasks) {
-		return // some still run: their ends come first
+		return // some tasks still run; the gang starts again once they have ended
 	}
 	pool := usable
 	if u.Spec.GetSameRack() {
@@ -291,8 +299,8 @@
 	}
 }
 
-// startGang tries the gang on the pool; what it reserves is given back if not
-// all of it fits.
+// startGang starts a gang on workers of the pool if all of its tasks fit there together, and reports
+// whether it did. While it chooses workers it reserves their capacity task by task.
 func (s *State) startGang(now time.Time, u *jobs.Unit, pool []*workers.Worker) bool {
 	if !s.mayTryGang(u) {
 		return false
@@ -326,8 +334,8 @@
 	return true
 }
 
-// gangCheckpoint is the one text that all members bring: any member's is good
-// for all, the greatest is as new as any that can be told apart.
+// gangCheckpoint returns the checkpoint that all members of a gang start from: the first that any of
+// them has. Every member's checkpoint is valid for all, and checkpoints can't be ordered by age.
 func gangCheckpoint(u *jobs.Unit) string {
 	for _, t := range u.Tasks {
 		if t.Checkpoint != "" {
@@ -337,7 +345,11 @@
 	return ""
 }
 
-// bestRack returns the workers of the rack with the most room for a unit.
+// dataRackFactor multiplies the free CPU of the rack that holds the data: the rack is preferred if it has
+// a fair amount of free capacity.
+const dataRackFactor = 4
+
+// bestRack returns the workers that fit a unit in the rack where they have the most free CPU in all.
 func (s *State) bestRack(now time.Time, u *jobs.Unit, usable []*workers.Worker) []*workers.Worker {
 	racks := map[string][]*workers.Worker{}
 	for _, w := range usable {
@@ -354,7 +366,7 @@
 			free += w.Free().Millicores
 		}
 		if rack == u.Spec.GetRack() && rack != "" {
-			free *= 4 // where the data lies, if it has any room to speak of
+			free *= dataRackFactor
 		}
 		if free > bestFree {
 			best, bestFree = list, free
--- a/pkg/process/cell/place_test.go
+++ b/pkg/process/cell/place_test.go
@@ -14,8 +14,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Found by a hunt (kadraj hunt-1972-31, LOST 4): in a cell that was mostly free,
-// a filler waited for a place without harm until the end of the day.
+// A filler in a mostly free cell waited for a harmless worker until the end of the day.
 func TestAFillerDoesNotWaitForeverInACellWithRoom(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -34,8 +33,8 @@
 	must.Between(t, time.Second, first, 3*time.Second)
 }
 
-// waitsInAFullCell plays a cell that is mostly taken by serving tasks which every
-// filler presses on, and tells how long three fillers' starts take.
+// waitsInAFullCell returns how long three fillers wait for their starts, shortest first, in a cell that is
+// mostly full of serving tasks which every filler slows down. others are the loads of other cells.
 func waitsInAFullCell(t *testing.T, others ...cell.OtherLoad) []time.Duration {
 	t.Helper()
 	b := newEmptyCell()
@@ -65,9 +64,8 @@
 	return slices.Sorted(maps.Values(waits))
 }
 
-// Found by a hunt (bcb trouble-3, seed 490979701877, LOST 1 and 7): in a cell whose
-// room was mostly taken by serving tasks, fillers waited for a place without harm
-// until the end of the day, while other cells were empty.
+// Fillers in a cell mostly full of serving tasks waited for a harmless worker until the end of the day,
+// while other cells were empty.
 func TestAFillerInAFullCellDoesNotWaitLongAmongEmptyCells(t *testing.T) {
 	t.Parallel()
 	empty := cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", CapacityMillicores: 2_000_000, FreeMillicores: 1_800_000}}
@@ -76,6 +74,7 @@
 	must.Between(t, time.Second, waits[0], 3*time.Second)
 }
 
+// Without spare capacity in any cell, a filler waits longer for a harmless worker, but not forever.
 func TestAFillerInAFullFleetDoesNotWaitForever(t *testing.T) {
 	t.Parallel()
 	full := cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", CapacityMillicores: 2_000_000, FreeMillicores: 100_000}}
@@ -84,8 +83,7 @@
 	must.Greater(t, 3*time.Second, waits[0])
 }
 
-// Nothing told why fillers waited for 20 s and more in one cell of a quiet day: a wait
-// is a decision too.
+// Fillers waited for 20 s and more in one cell, and the log did not say why.
 func TestTheLogSaysWhatAWaitingTaskLacks(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -99,13 +97,13 @@
 			told = append(told, n)
 		}
 	}
-	must.Len(t, 1, told, must.Sprint("once, after two seconds, not at each decision"))
+	must.Len(t, 1, told, must.Sprint("one line after two seconds, not one for each decision"))
 	must.Eq(t, "00000000000000aa.0.0.0", told[0].Task)
 	must.StrContains(t, told[0].Detail, "16 usable workers lack: map[room:16]")
 }
 
-// On loaded days fillers of jobs past their objectives took places beside serving tasks as
-// dearly as others: tasks over their targets cost four times what such work still earned.
+// Under load, fillers of jobs past their objectives were placed beside serving tasks at the same harm as
+// other fillers. The serving tasks over their targets cost four times what such fillers still earned.
 func TestWorkThatEarnsLittleWaitsForAPlaceThatCostsLittle(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -123,16 +121,15 @@
 	}
 	b.step(50 * time.Millisecond)
 	must.True(t, b.started["00000000000000c1.0.0.0"])
-	must.False(t, b.started["00000000000000c2.0.0.0"], must.Sprint("past all credit"))
+	must.False(t, b.started["00000000000000c2.0.0.0"], must.Sprint("its job earns little any more"))
 	for range 300 {
 		b.step(50 * time.Millisecond)
 	}
-	must.True(t, b.started["00000000000000c2.0.0.0"], must.Sprint("its wait ends, too"))
+	must.True(t, b.started["00000000000000c2.0.0.0"], must.Sprint("it does not wait forever"))
 }
 
-// A job of 200 tasks comes at once, and no order is answered yet: only what the window
-// allows is sent, the rest waits with the cell, and the log says why. With the answers
-// the rest follows.
+// A job of 200 tasks arrives, and no start order is answered yet. Only as many orders as the window allows
+// are sent, and the log says once that orders are held back. After the answers more orders are sent.
 func TestOrdersAreHeldBackWhileNoneIsAnswered(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
--- a/pkg/process/cell/record.go
+++ b/pkg/process/cell/record.go
@@ -15,67 +15,74 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Recording. Progress is written in groups, one transaction at a time for each
-// part of the table. Each transaction demands the cell's fence in that part and
-// the version of each row that it replaces: so neither a forerunner nor a late
-// doubling of an own transaction can undo what came after. Changes are numbered
-// (seq); an end may be acknowledged when all changes up to it are durable in
-// its job's part.
+// Recording. The progress of jobs is written in groups, one transaction at a time for each part of the
+// table. A transaction requires the version of the cell's fence in that part and of each row that it
+// replaces. So neither a predecessor nor a delayed duplicate of this leader's own transaction can undo
+// later changes. Changes are numbered (seq). The end of a run may be acknowledged to its worker when all
+// changes up to the end's are durable in the part of its job.
 
 const (
-	// recordPause is the least time between two transactions of a part, so that
-	// several ends share one; a job's last state does not wait for it.
+	// recordPause is the least time between two transactions of a part, so that several ends share one.
+	// An urgent change, such as a job's last phase, does not wait for it.
 	recordPause = 120 * time.Millisecond
-	// recordAgain is the pause after a transaction that failed.
+	// recordAgain is the delay before the next transaction after one that failed.
 	recordAgain = 150 * time.Millisecond
-	// recordMost bounds the entries of a transaction: the platform takes 100.
+	// recordMost is the most entries that the platform takes in a transaction (100).
 	recordMost = 100
 )
 
-// part is the writing side of one part of the table.
+// part holds what is to be written to one part of the table, and the transaction in flight.
 type part struct {
-	name  string
+	name string
+	// fence is the version of the cell's fence row in this part; 0 until it is known.
 	fence int64
+	// dirty are the jobs with changed progress, by id.
 	dirty map[string]*jobs.Job
-	// expired are jobs whose last state was told for long enough: their rows go.
+	// expired are ended jobs whose retention is over, by id: their rows are removed.
 	expired map[string]*jobs.Job
-	// urgent says that a job's last state is among the dirty.
+	// urgent says that a change of the dirty jobs does not wait for recordPause.
 	urgent bool
-	// sending is the transaction that is out, for the jobs in sent, and covers
-	// the changes up to sentSeq.
+	// sending says that transaction number serial is in flight. It contains the jobs in sent, and once
+	// committed makes all changes up to sentSeq durable.
 	sending bool
 	serial  int64
 	sent    map[string]sentJob
 	sentSeq int64
 	out     table.Transaction
+	// durable is the number up to which all changes are durable in this part.
 	durable int64
 	nextAt  time.Time
+	// failing says that the last transaction failed.
 	failing bool
-	// ends are those that wait for the part to be durable.
+	// ends are ends of runs that are not acknowledged, since their changes are not durable yet.
 	ends []pendingEnd
 }
 
+// sentJob is what the transaction in flight contains of one job.
 type sentJob struct {
-	job   *jobs.Job
+	job *jobs.Job
+	// value is the progress row.
 	value []byte
-	last  bool
-	// expired says that the job's rows were removed.
+	// last says that the progress row holds the job's last phase.
+	last bool
+	// expired says that the job's rows are removed.
 	expired bool
-	// lent is how many specifications for other cells went with it.
+	// lent is the number of specifications of delegated tasks for other cells.
 	lent int
-	// words are for the leaders of other cells, once this is durable.
+	// words are notifications of the leaders of other cells. They are sent when the transaction is durable.
 	words []Tell
-	// trials are tasks of which it says that they may be tried alone.
+	// trials are the tasks for which an isolated run is recorded before it starts.
 	trials []*jobs.Task
 }
 
-// pendingEnd is an end that may be acknowledged when its change is durable.
+// pendingEnd is the end of a run that may be acknowledged to its worker when change seq is durable.
 type pendingEnd struct {
 	worker string
 	number int64
 	seq    int64
 }
 
+// part returns the part with a name, and creates it if needed.
 func (s *State) part(name string) *part {
 	p := s.parts[name]
 	if p == nil {
@@ -85,6 +92,8 @@
 	return p
 }
 
+// markDirty notes that a job's progress has changed and is to be written; an urgent change does not wait
+// for recordPause.
 func (s *State) markDirty(j *jobs.Job, urgent bool) {
 	s.seq++
 	p := s.part(rows.JobPart(j.Spec.GetId()))
@@ -92,13 +101,13 @@
 	p.urgent = p.urgent || urgent
 }
 
-// pendEnd remembers that an end waits to be recorded.
+// pendEnd holds back the acknowledgement of a run's end until the job's latest change is durable.
 func (s *State) pendEnd(w *workers.Worker, number int64, job string) {
 	p := s.part(rows.JobPart(job))
 	p.ends = append(p.ends, pendingEnd{worker: w.ID, number: number, seq: s.seq})
 }
 
-// recordedEnd is the newest end of a worker up to which all are durable.
+// recordedEnd returns the number up to which all ends that a worker listed are durable.
 func (s *State) recordedEnd(w *workers.Worker) int64 {
 	upTo := w.Seen
 	for _, h := range w.HeldEnds {
@@ -114,7 +123,7 @@
 	return max(upTo, w.Recorded)
 }
 
-// recordedUpTo says whether all changes up to a given one are durable.
+// recordedUpTo reports whether all changes up to seq are durable, in all parts.
 func (s *State) recordedUpTo(seq int64) bool {
 	for _, p := range s.parts {
 		if (p.sending || len(p.dirty) > 0) && p.durable < seq {
@@ -124,7 +133,7 @@
 	return true
 }
 
-// record sends what is dirty and due.
+// record sends a transaction for each part that has changes due and no transaction in flight.
 func (s *State) record(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(s.parts)) {
 		p := s.parts[name]
@@ -138,6 +147,7 @@
 	}
 }
 
+// send builds and sends the next transaction of a part. Jobs that do not fit stay for the one after.
 func (s *State) send(now time.Time, p *part) {
 	p.sent = map[string]sentJob{}
 	tx := table.Transaction{Conditions: []table.Condition{{Key: rows.FenceKey(s.name, p.name), Version: p.fence}}}
@@ -159,8 +169,8 @@
 	for _, j := range p.dirty {
 		p.urgent = p.urgent || j.Ended()
 	}
-	// What is left over has changes that this transaction doesn't cover: neither do those
-	// before it that failed.
+	// A job that is left over may have changes older than those in this transaction, also some whose
+	// transaction failed. So a transaction that leaves jobs over covers no new changes.
 	p.sentSeq = p.durable
 	if len(p.dirty) == 0 {
 		p.sentSeq = s.seq
@@ -169,6 +179,9 @@
 	s.post(now, p)
 }
 
+// addRow adds to a transaction what is to be written of a job: its progress, specifications of newly
+// delegated tasks, and the report on a delegated job to its home cell. For an ended job it adds the removal
+// of its specification and cancel, and a cancel for each cell that tasks were delegated to.
 func (s *State) addRow(tx *table.Transaction, j *jobs.Job) sentJob {
 	id := j.Spec.GetId()
 	key := rows.ProgressKey(s.name, id)
@@ -197,9 +210,10 @@
 	return sent
 }
 
-// needlessCancels are the rows of a job's cancel for cells that never had tasks of it. Whoever took the
-// cancel does not know which these are, and puts one for every cell. Only the cell that surely keeps the
-// job takes them away: its own row must stand until it has seen it.
+// needlessCancels returns the rows of a job's cancel for cells that never had tasks of it. The host that
+// takes the cancel does not know which cells have some, and writes a row for every cell. Only a cell that
+// is surely the job's home cell removes these rows: the home cell's own row must stand until its leader
+// has read it.
 func (s *State) needlessCancels(j *jobs.Job) []table.Key {
 	if !j.CancelAsked || j.Guest() || j.Spec.GetCell() != s.name {
 		return nil
@@ -214,18 +228,18 @@
 	return list
 }
 
-// entriesOf is how many entries of a transaction a job takes at most: the condition and
-// the row of its progress, its specification and cancel to remove, a report, two for
-// each cell that borrowed tasks, the cancel's rows for the others, and what is lent.
+// entriesOf returns the most entries that a job takes in a transaction: the condition and the row of its
+// progress, the removal of its specification and of its cancel, a report, two entries for each cell that
+// tasks were delegated to, the cancel's rows for the other cells, and specifications of delegated tasks.
 func (s *State) entriesOf(j *jobs.Job) int {
 	return 5 + len(s.peers) + 2*len(j.Borrowers()) + len(newestByCell(s.lent[j]))
 }
 
-// entriesOfExpired is the same for a job whose rows go.
+// entriesOfExpired is the most entries that an expired job takes in a transaction.
 const entriesOfExpired = 4
 
-// newestByCell leaves the last specification for each cell: it names all tasks that
-// were lent there, and a transaction puts a row once.
+// newestByCell returns the last specification for each cell. It names all tasks that are delegated to the
+// cell, and a transaction can put each row only once.
 func newestByCell(specs []*wire.JobSpec) []*wire.JobSpec {
 	list := make([]*wire.JobSpec, 0, len(specs))
 	for i, spec := range specs {
@@ -237,14 +251,15 @@
 	return list
 }
 
-// removeRows takes away what is left of a job. Its id may then be used anew.
+// removeRows adds the removal of an expired job's remaining rows to a transaction. The job's id may be
+// used again afterwards.
 func (s *State) removeRows(tx *table.Transaction, j *jobs.Job) sentJob {
 	id := j.Spec.GetId()
 	key := rows.ProgressKey(s.name, id)
 	tx.Conditions = append(tx.Conditions, table.Condition{Key: key, Version: j.Recorded})
 	tx.Removes = append(tx.Removes, key)
 	if j.Guest() {
-		// Its home may have cancelled it after it had ended here.
+		// The home cell may have cancelled the job after it had ended here.
 		tx.Removes = append(tx.Removes, rows.CancelKey(s.name, id))
 	} else {
 		tx.Removes = append(tx.Removes, rows.AnchorKey(id))
@@ -252,6 +267,7 @@
 	return sentJob{job: j, expired: true}
 }
 
+// post emits the transaction of a part.
 func (s *State) post(now time.Time, p *part) {
 	p.sending = true
 	p.serial++
@@ -259,6 +275,7 @@
 	s.emit(Record{Part: p.name, Serial: p.serial, Transaction: p.out})
 }
 
+// takeRecorded handles the outcome of a transaction. The outcome of an earlier one is ignored.
 func (s *State) takeRecorded(now time.Time, e RecordAnswered) {
 	p := s.parts[e.Part]
 	if p == nil || !p.sending || e.Serial != p.serial {
@@ -275,8 +292,8 @@
 	}
 }
 
-// recordFailed keeps the same rows for the next try: whether or not the first
-// took effect, its conditions tell the two apart.
+// recordFailed queues the jobs of a failed transaction for another try. The failed one may have taken
+// effect or not; the conditions of the next one show which.
 func (s *State) recordFailed(now time.Time, p *part, err error) {
 	if !p.failing {
 		s.note(Note{What: NoteRecordFailed, Detail: p.name + ": " + err.Error(), Code: fault.CodeOf(err), AgeMs: -1})
@@ -288,7 +305,7 @@
 	}
 }
 
-// again puts a job back among those to be written.
+// again queues a job of a failed transaction for another try.
 func (p *part) again(id string, sent sentJob) {
 	if sent.expired {
 		p.expired[id] = sent.job
@@ -298,35 +315,36 @@
 	p.urgent = p.urgent || sent.last
 }
 
-// recordConflict finds out what the table holds instead. An own transaction
-// whose answer was lost counts as done.
+// recordConflict handles a transaction that was refused because a row's version was not as required. It
+// compares the rows in the table with the sent ones: where they are equal, an earlier try was committed
+// and its answer lost, so the job counts as written.
 func (s *State) recordConflict(now time.Time, p *part, c table.Committed) {
 	found := map[string]table.Row{}
 	for _, r := range c.Found {
 		if r.Table == rows.FenceTable {
 			if r.Version != p.fence {
-				s.emit(StepDown{Why: "the fence of " + p.name + " is another leader's"})
+				s.emit(StepDown{Why: "another leader has set the fence of " + p.name})
 				return
 			}
 			continue
 		}
 		found[r.Key.Key] = r
 	}
-	for _, id := range slices.Sorted(maps.Keys(p.sent)) { // likewise, see recordDone
+	for _, id := range slices.Sorted(maps.Keys(p.sent)) { // in a fixed order, see recordDone
 		sent, r := p.sent[id], found[id]
 		if sent.expired && r.Version == 0 {
-			continue // its rows are gone
+			continue // the rows are removed already
 		}
 		if r.Version != 0 && bytes.Equal(r.Value, sent.value) {
 			s.jobDurable(sent, r.Version)
 			continue
 		}
 		if r.Version != sent.job.Recorded {
-			// An earlier try, whose answer was lost, took effect: nobody else
-			// could have written under our fence.
+			// An earlier try took effect and its answer was lost: under this leader's fence no other
+			// process can have written the row.
 			s.note(Note{
 				What: NoteRecordFailed, Job: id, Code: fault.Conflict, AgeMs: -1,
-				Detail: fmt.Sprintf("found version %d for %d", r.Version, sent.job.Recorded),
+				Detail: fmt.Sprintf("found row version %d, expected %d", r.Version, sent.job.Recorded),
 			})
 			sent.job.Recorded = r.Version
 		}
@@ -339,8 +357,9 @@
 	p.nextAt = now
 }
 
+// recordDone handles a transaction that was committed; version returns the new version of a row.
 func (s *State) recordDone(now time.Time, p *part, version func(table.Key) int64) {
-	for _, id := range slices.Sorted(maps.Keys(p.sent)) { // in order: words go out in it
+	for _, id := range slices.Sorted(maps.Keys(p.sent)) { // notifications are sent in this order
 		sent := p.sent[id]
 		if sent.expired {
 			continue
@@ -351,6 +370,7 @@
 	s.partDurable(now, p)
 }
 
+// jobDurable notes that what a transaction contains of a job is durable, and does what waited for that.
 func (s *State) jobDurable(sent sentJob, version int64) {
 	j := sent.job
 	j.Recorded = version
@@ -374,7 +394,8 @@
 	}
 }
 
-// partDurable lets the ends go that are covered, and their workers' looks.
+// partDurable notes that all changes up to sentSeq are durable in a part. It drops the ends that this
+// covers and polls their workers at once, which acknowledges the ends.
 func (s *State) partDurable(now time.Time, p *part) {
 	p.failing = false
 	p.durable = max(p.durable, p.sentSeq)
--- a/pkg/process/cell/record_test.go
+++ b/pkg/process/cell/record_test.go
@@ -12,7 +12,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// idsOfOnePart are ids of jobs that share a part of the table, in order.
+// idsOfOnePart returns the ids of n jobs whose rows share a part of the table, in order.
 func idsOfOnePart(n int) []string {
 	part := rows.JobPart(fmt.Sprintf("%016x", 1))
 	var ids []string
@@ -24,10 +24,10 @@
 	return ids
 }
 
-// The table is silent for some seconds, and so many jobs of one part change that the first
-// transaction after it doesn't hold all. An end whose job is not among them was
-// acknowledged: a record of it had been sent before, and had failed. The leader's end then
-// lost it, and its task ran again.
+// The table does not answer for some seconds, and so many jobs of one part change that the next transaction
+// can't hold them all. The end of a run was acknowledged although its job was not in that transaction: an
+// earlier transaction with it had been sent, and had failed. When the leader then died, the end was lost and
+// the task ran again.
 func TestAnEndWaitsForItsOwnRecordWhenAPartIsWrittenInPieces(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
--- a/pkg/process/cell/rooms_test.go
+++ b/pkg/process/cell/rooms_test.go
@@ -13,7 +13,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// rooms is a leader with one worker whose room changes.
+// rooms is a leader with one worker whose capacity changes.
 type rooms struct {
 	*lives
 	version int64
@@ -21,12 +21,13 @@
 
 func newRooms() *rooms { return &rooms{lives: newLives()} }
 
-// say brings a row that says how much room there is.
+// say registers the worker with a new capacity, in a new version of its row.
 func (v *rooms) say(millicores int64) {
 	v.version++
 	v.row(millicores, v.version)
 }
 
+// row registers the worker with a capacity, in the given version of its row.
 func (v *rooms) row(millicores, version int64) {
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{{
 		ID: "w", Born: v.born, Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h", Version: version,
@@ -34,8 +35,8 @@
 	}}})
 }
 
-// Room that shrinks takes nothing more until what runs there fits again; nothing is stopped for it, and
-// room that grows is used at once.
+// When the capacity of a worker shrinks, nothing more is started there until its runs fit again, and none of
+// them is stopped. Capacity that grows is used at once.
 func TestARoomThatShrinksTakesNothingMoreAndOneThatGrowsIsUsed(t *testing.T) {
 	t.Parallel()
 	v := newRooms()
@@ -57,8 +58,8 @@
 	must.Eq(t, 1, v.startsOf(third))
 }
 
-// An answer may say more of the room than the row that was read before; the same row, read once more,
-// does not undo that, a newer one does.
+// An answer of a worker may report a newer capacity than its row does. Reading the same version of the row
+// again does not undo that; reading a newer version does.
 func TestTheNewestWordOfARoomCounts(t *testing.T) {
 	t.Parallel()
 	v := newRooms()
@@ -76,8 +77,8 @@
 	must.Eq(t, 1, v.startsOf(task))
 }
 
-// A worker that starts whatever it is told lists a run that nobody knows: how much room it takes is not
-// known either, so nothing is started beside it. One that refuses what does not fit says so itself.
+// A worker that does not refuse starts beyond its capacity lists a run that this cell does not know. The run's
+// size is unknown, so nothing is started beside it. (A worker that does refuse them needs no such caution.)
 func TestNothingStartsBesideAnUnknownRunWhereRoomsAreNotGuarded(t *testing.T) {
 	t.Parallel()
 	v := newRooms()
--- a/pkg/process/cell/times.go
+++ b/pkg/process/cell/times.go
@@ -7,16 +7,16 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// How long jobs take: what their callers declare, corrected by what was seen of the jobs
-// of their queue (package runtimes). When a job is due, whether it can still meet its
-// objective and what can end on a worker that leaves all follow from it.
+// Estimates of run times: what callers declare, corrected by the run times of earlier jobs in the same
+// queue (package runtimes). They decide when a job is due, whether it can still meet its objective, and
+// which runs can end on a leaving worker in time.
 
-// estimatedFor is how long an estimate of a job's chain of work is used: what is known of
-// its queue changes from run to run at first, and slowly then.
+// estimatedFor is how long the estimate of a job's longest chain of steps is used. What is known of its
+// queue changes with each run at first, and slowly later.
 const estimatedFor = 500 * time.Millisecond
 
-// learnTime takes in how long a run took that ended well, if it was one piece of work at
-// full pace.
+// learnTime learns from how long a run took that ended well. It skips runs that do not show the time of a
+// whole task at full pace: resumed or paused ones, lasting tasks and gangs.
 func (s *State) learnTime(now time.Time, u *jobs.Unit, r *jobs.Run) {
 	if r == nil || r.BeganAt.IsZero() || r.Resumed || !r.CutAt.IsZero() || u.Lasting() || u.Spec.GetGang() {
 		return
@@ -24,11 +24,12 @@
 	s.runtimes.Learn(u.Job.Spec.GetQueue(), declared(u.Spec), now.Sub(r.BeganAt), len(u.Tasks))
 }
 
+// declared returns the run time of a task as the caller estimates it in the step.
 func declared(step *wire.StepSpec) time.Duration {
 	return time.Duration(step.GetEstimateMs()) * time.Millisecond
 }
 
-// estimate brings the estimate of a job's chain of work up to date.
+// estimate brings the estimates of a job's longest chains of steps up to date.
 func (s *State) estimate(now time.Time, j *jobs.Job) {
 	if !s.has(LearnedTimes) || (!j.EstimatedAt().IsZero() && now.Sub(j.EstimatedAt()) < estimatedFor) {
 		return
@@ -41,7 +42,7 @@
 	})
 }
 
-// taskTime estimates how long a task of a unit runs in all.
+// taskTime returns the estimated run time of a whole task of a unit.
 func (s *State) taskTime(u *jobs.Unit) time.Duration {
 	if !s.has(LearnedTimes) {
 		return declared(u.Spec)
