--- a/pkg/process/cell/busycell_test.go
+++ b/pkg/process/cell/busycell_test.go
@@ -83,7 +83,7 @@
 		})
 	}
 	for i := range 60 {
-		b.offer(100 + i)
+		b.acceptFillers(100 + i)
 	}
 	for range 100 {
 		b.step(20 * time.Millisecond)
@@ -91,8 +91,8 @@
 	return b
 }
 
-// offer has the cell accept a job of eight fillers with number i.
-func (b *busyCell) offer(i int) {
+// acceptFillers has the cell accept a job of eight fillers with number i.
+func (b *busyCell) acceptFillers(i int) {
 	b.accept(fmt.Sprintf("%016x", i), "offers", &wire.StepSpec{
 		Count: 8, Millicores: 3500, MemoryMb: 6000, Filler: true, EstimateMs: 2700, Image: fmt.Sprintf("f%d", i%9), Checkpointing: true,
 	})
--- a/pkg/process/cell/cancel_test.go
+++ b/pkg/process/cell/cancel_test.go
@@ -13,9 +13,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// removedBy loads a job whose cancel is in the table, and returns the rows that the leader's first transactions
+// rowsRemovedOnLoad loads a job whose cancel is in the table, and returns the rows that the leader's first transactions
 // remove.
-func removedBy(job cell.LoadedJob) []table.Key {
+func rowsRemovedOnLoad(job cell.LoadedJob) []table.Key {
 	now := time.Unix(1000, 0)
 	s := cell.New("hall", cell.Bounds{Retention: time.Minute}, cell.WithPeers([]string{"hall", "lent", "never"}))
 	s.Take(now, cell.Led{Epoch: 1, RosterUntil: now})
@@ -31,12 +31,12 @@
 
 // A cancel is written as one row for every cell. When the leader of the home cell records the job's end, it
 // removes the rows for cells that never had tasks of the job. A cell that had some removes its own row.
-func TestTheHomeCellTakesAwayCancelsThatNobodyNeeds(t *testing.T) {
+func TestHomeCellRemovesUnusedCancels(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
 	steps := []*wire.StepSpec{{Count: 1, Millicores: 1000}}
 	lent := &wire.JobProgress{Id: id, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{LentTo: "lent", Lending: 1}}}}}
-	removed := removedBy(cell.LoadedJob{Spec: &wire.JobSpec{Id: id, Cell: "hall", Queue: "offers", Service: "quotes", Steps: steps}, Progress: lent, Recorded: 2})
+	removed := rowsRemovedOnLoad(cell.LoadedJob{Spec: &wire.JobSpec{Id: id, Cell: "hall", Queue: "offers", Service: "quotes", Steps: steps}, Progress: lent, Recorded: 2})
 	must.True(t, slices.Contains(removed, rows.CancelKey("never", id)))
 	must.True(t, slices.Contains(removed, rows.CancelKey("hall", id)))
 	must.False(t, slices.Contains(removed, rows.CancelKey("lent", id)))
@@ -44,13 +44,13 @@
 
 // A cell that tasks were delegated to removes only its own row of a cancel: the home cell's row must stand until
 // the home cell's leader has read it. The same holds where all that is left of the job is that it has ended here.
-func TestABorrowerLeavesTheOtherCellsCancels(t *testing.T) {
+func TestBorrowerRemovesOnlyItsOwnCancel(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
 	guest := &wire.JobSpec{Id: id, Cell: "hall", Home: "never", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}, Guest: []*wire.TaskRef{{Lending: 1}}}
 	ended := &wire.JobProgress{Id: id, Phase: wire.JobPhase_JOB_PHASE_CANCELLED}
 	for _, job := range []cell.LoadedJob{{Spec: guest}, {Spec: &wire.JobSpec{Id: id}, Progress: ended, Recorded: 2}} {
-		removed := removedBy(job)
+		removed := rowsRemovedOnLoad(job)
 		must.True(t, slices.Contains(removed, rows.CancelKey("hall", id)))
 		must.False(t, slices.Contains(removed, rows.CancelKey("never", id)))
 		must.False(t, slices.Contains(removed, rows.CancelKey("lent", id)))
--- a/pkg/process/cell/ends.go
+++ b/pkg/process/cell/ends.go
@@ -13,7 +13,7 @@
 // acknowledges that it is recorded, so an end whose number is not new is skipped.
 func (s *State) takeEnd(now time.Time, w *workers.Worker, e workers.End) {
 	if e.Number <= w.Seen {
-		s.notePassed(w, e)
+		s.noteSkippedEnd(w, e)
 		return
 	}
 	w.Seen = e.Number
@@ -31,7 +31,7 @@
 	r := t.Run(e.Run, w.ID)
 	s.note(Note{
 		What: NoteEnd, Job: j.Spec.GetId(), Task: e.Task, Run: e.Run, Worker: w.ID,
-		Detail: endDetail(e.How, r), AgeMs: runAge(now, r),
+		Detail: endDetail(e.How, r), AgeMs: runAgeMs(now, r),
 	})
 	if r != nil {
 		w.Remove(r)
@@ -47,19 +47,19 @@
 	}
 	switch e.How {
 	case workers.EndedDone:
-		s.endedDone(now, w, t, r)
+		s.handleSuccess(now, w, t, r)
 	case workers.EndedFailed:
-		s.endedFailed(now, w, t, e.Run)
+		s.handleFailure(now, w, t, e.Run)
 	case workers.EndedStopped, workers.EndedLapsed, workers.EndedBroken, workers.EndedAlone:
 		// The task waits for a new start and resumes from its checkpoint.
 	}
 	s.markDirty(j, false)
-	s.pendEnd(w, e.Number, j.Spec.GetId())
+	s.holdAcknowledgement(w, e.Number, j.Spec.GetId())
 	s.touch(now, j)
 }
 
-// notePassed logs an end that was skipped by its number although its run still counts as running.
-func (s *State) notePassed(w *workers.Worker, e workers.End) {
+// noteSkippedEnd logs an end that was skipped by its number although its run still counts as running.
+func (s *State) noteSkippedEnd(w *workers.Worker, e workers.End) {
 	if t := s.task(e.Task); t != nil && t.Run(e.Run, w.ID) != nil {
 		s.note(Note{
 			What: NoteEndPassed, Job: t.Unit.Job.Spec.GetId(), Task: e.Task, Run: e.Run, Worker: w.ID, AgeMs: -1,
@@ -76,17 +76,17 @@
 	return fmt.Sprintf("%s at %d%%", how, r.Percent)
 }
 
-// runAge returns the milliseconds since a run's start order was first sent, or -1 for an unknown run.
-func runAge(now time.Time, r *jobs.Run) int64 {
+// runAgeMs returns the milliseconds since a run's start order was first sent, or -1 for an unknown run.
+func runAgeMs(now time.Time, r *jobs.Run) int64 {
 	if r == nil {
 		return -1
 	}
 	return now.Sub(r.SentAt).Milliseconds()
 }
 
-// endedDone handles a run that ended well: its task is done, or its whole gang.
-func (s *State) endedDone(now time.Time, w *workers.Worker, t *jobs.Task, r *jobs.Run) {
-	s.learnTime(now, t.Unit, r)
+// handleSuccess handles a run that ended well: its task is done, or its whole gang.
+func (s *State) handleSuccess(now time.Time, w *workers.Worker, t *jobs.Task, r *jobs.Run) {
+	s.learnRunTime(now, t.Unit, r)
 	if w.Health.Worked() {
 		s.note(Note{What: NoteWorkerBack, Worker: w.ID, Detail: "a run ended well", AgeMs: -1})
 	}
@@ -117,10 +117,10 @@
 	}
 }
 
-// endedFailed handles a run that ended in failure. The failure counts against the worker's health while
+// handleFailure handles a run that ended in failure. The failure counts against the worker's health while
 // the unit has failed at no other worker. The job fails once the task has failed as often as its queue
 // allows, unless the task is lasting.
-func (s *State) endedFailed(now time.Time, w *workers.Worker, t *jobs.Task, run int64) {
+func (s *State) handleFailure(now time.Time, w *workers.Worker, t *jobs.Task, run int64) {
 	u := t.Unit
 	if u.FailedAt == nil {
 		u.FailedAt = map[string]bool{}
@@ -140,9 +140,9 @@
 	}
 }
 
-// defaultAttempts is the limit for a queue that the manifest does not name. It is at least what any queue
+// defaultMaxAttempts is the limit for a queue that the manifest does not name. It is at least what any queue
 // allows, so that no job fails too early.
-const defaultAttempts = 4
+const defaultMaxAttempts = 4
 
 // maxAttempts returns after how many failed runs of one task a job fails.
 func (s *State) maxAttempts(j *jobs.Job) int {
@@ -151,7 +151,7 @@
 			return q.MaxAttempts
 		}
 	}
-	return defaultAttempts
+	return defaultMaxAttempts
 }
 
 // service returns the name of the service whose workers run a job: the one that the manifest names for
@@ -177,18 +177,18 @@
 
 // ------------------------------------------------------------------ stops
 
-// stopAgain is how long after a stop order it is sent again if the run has not ended.
-const stopAgain = 500 * time.Millisecond
+// stopRetryAfter is how long after a stop order it is sent again if the run has not ended.
+const stopRetryAfter = 500 * time.Millisecond
 
 // stop orders a worker to end a run. The run counts as running until the worker lists its end.
 func (s *State) stop(now time.Time, w *workers.Worker, r *jobs.Run, why string) {
-	if r.State == jobs.Stopping && now.Sub(r.StopSentAt) < stopAgain {
+	if r.State == jobs.Stopping && now.Sub(r.StopSentAt) < stopRetryAfter {
 		return
 	}
 	if r.State != jobs.Stopping {
 		s.note(Note{
 			What: NoteStop, Job: r.Task.Unit.Job.Spec.GetId(), Task: r.Task.Name(), Run: r.Number, Worker: w.ID,
-			Detail: fmt.Sprintf("%s, at %d%%", why, r.Percent), AgeMs: runAge(now, r),
+			Detail: fmt.Sprintf("%s, at %d%%", why, r.Percent), AgeMs: runAgeMs(now, r),
 		})
 	}
 	if r.AckedAt.IsZero() {
@@ -226,11 +226,11 @@
 	if w == nil || e.Err != nil {
 		return
 	}
-	s.answered(now, w, e.Reply)
+	s.handleReply(now, w, e.Reply)
 }
 
-// answered processes what every reply of a worker carries: a reading of its clock, and a refusal.
-func (s *State) answered(now time.Time, w *workers.Worker, r workers.Reply) {
+// handleReply processes what every reply of a worker carries: a reading of its clock, and a refusal.
+func (s *State) handleReply(now time.Time, w *workers.Worker, r workers.Reply) {
 	if r.Clock > 0 {
 		w.TakeClock(now, r.Clock)
 	}
--- a/pkg/process/cell/fillers.go
+++ b/pkg/process/cell/fillers.go
@@ -12,17 +12,17 @@
 // than it earns (its net cost, harm.go). The longer it waits, the higher its net cost may be.
 
 const (
-	// disturbAfter is how long a filler waits for a harmless worker while the cell, or the cells together,
-	// have spare capacity: there, work that makes no progress for three seconds counts as lost. roomyBelow
+	// harmfulPlaceAfter is how long a filler waits for a harmless worker while the cell, or the cells together,
+	// have spare capacity: there, work that makes no progress for three seconds counts as lost. mostlyFreeBelow
 	// is the share of CPU in use below which capacity counts as spare.
-	disturbAfter = 1500 * time.Millisecond
-	roomyBelow   = 0.6
-	// patience is the wait after which the net cost of a filler may be as high as fullEarns: the wait itself
+	harmfulPlaceAfter = 1500 * time.Millisecond
+	mostlyFreeBelow   = 0.6
+	// harmPatience is the wait after which the net cost of a filler may be as high as fullEarns: the wait itself
 	// costs the filler's job more and more.
-	patience = 8 * time.Second
-	// fillerShare is the least share of the CPU that a filler asks for which must be unused for it to
+	harmPatience = 8 * time.Second
+	// minUnusedShare is the least share of the CPU that a filler asks for which must be unused for it to
 	// start: a few fillers at full speed, one after the other, end sooner than many that share.
-	fillerShare = 0.7
+	minUnusedShare = 0.7
 )
 
 // mayCost returns the highest net cost (fillerHarm) at which a filler may start. It grows with the wait, so
@@ -32,10 +32,10 @@
 	if !s.has(WaitForCheapPlaces) {
 		return math.Inf(1)
 	}
-	if s.roomy && waits >= disturbAfter {
+	if s.roomy && waits >= harmfulPlaceAfter {
 		return math.Inf(1)
 	}
-	return fullEarns(u) * waits.Seconds() / patience.Seconds()
+	return fullEarns(u) * waits.Seconds() / harmPatience.Seconds()
 }
 
 // isRoomy reports whether there is spare capacity: in this cell, or in all cells together of which this
@@ -48,7 +48,7 @@
 			taken += w.Capacity.Millicores - w.Free().Millicores
 		}
 	}
-	if float64(taken) < roomyBelow*float64(all) {
+	if float64(taken) < mostlyFreeBelow*float64(all) {
 		return true
 	}
 	for name, o := range s.others {
@@ -57,11 +57,11 @@
 			taken += o.load.GetCapacityMillicores() - o.load.GetFreeMillicores()
 		}
 	}
-	return float64(taken) < roomyBelow*float64(all)
+	return float64(taken) < mostlyFreeBelow*float64(all)
 }
 
 // fillerFits reports whether a filler would get enough unused CPU at a worker, and whether fillers may
 // join there at all.
 func fillerFits(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
-	return !now.Before(w.NoFillersUntil) && float64(w.Unused()) >= fillerShare*float64(u.Size.Millicores)
+	return !now.Before(w.NoFillersUntil) && float64(w.Unused()) >= minUnusedShare*float64(u.Size.Millicores)
 }
--- a/pkg/process/cell/orders.go
+++ b/pkg/process/cell/orders.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// startValid is how long a start order may be carried out, by the worker's clock. Some orders are
+	// startValidFor is how long a start order may be carried out, by the worker's clock. Some orders are
 	// carried out seconds late.
-	startValid = 2 * time.Second
-	// orderOverhead is the size in bytes of a start order without its body, checkpoint and ticket: the
+	startValidFor = 2 * time.Second
+	// orderOverheadBytes is the size in bytes of a start order without its body, checkpoint and ticket: the
 	// headers, the task's name and the field names, as counted on the wire.
-	orderOverhead = 330
-	// heldNoteEvery is the least time between two log lines about held back start orders.
-	heldNoteEvery = time.Second
-	// startTries is how often a start order without an answer is sent in all. Each try names the same
+	orderOverheadBytes = 330
+	// heldNoteInterval is the least time between two log lines about held back start orders.
+	heldNoteInterval = time.Second
+	// maxStartTries is how often a start order without an answer is sent in all. Each try names the same
 	// run, so that a worker which has begun the run already says so.
-	startTries = 3
-	// refusedPause is how long a task waits after a refused start. The reason for the refusal may pass.
-	refusedPause = 100 * time.Millisecond
+	maxStartTries = 3
+	// refusedStartDelay is how long a task waits after a refused start. The reason for the refusal may pass.
+	refusedStartDelay = 100 * time.Millisecond
 	// runsPerEpoch is the size of an epoch's range of run numbers. Ranges don't overlap because a
 	// successor doesn't know which numbers its predecessor has used.
 	runsPerEpoch = 1_000_000
 )
 
-// nextRun returns a run number above all that were used in this cell.
-func (s *State) nextRun() int64 {
+// nextRunNumber returns a run number above all that were used in this cell.
+func (s *State) nextRunNumber() int64 {
 	s.runs++
 	return s.epoch*runsPerEpoch + s.runs
 }
 
-// start orders a run of a task at a worker, and counts the run as running there from now on.
-func (s *State) start(now time.Time, w *workers.Worker, t *jobs.Task, number int64, ticket string) {
+// startRun orders a run of a task at a worker, and counts the run as running there from now on.
+func (s *State) startRun(now time.Time, w *workers.Worker, t *jobs.Task, number int64, ticket string) {
 	r := &jobs.Run{
 		Task: t, Number: number, Worker: w.ID, State: jobs.Sent, SentAt: now, ProgressAt: now,
 		Pace: 100, PaceWanted: 100, Ticket: ticket, Resumed: t.Checkpoint != "", OnTrial: s.triedAlone(t),
@@ -65,24 +65,24 @@
 // sendStart sends the start order of a run, for the first time or once more.
 func (s *State) sendStart(now time.Time, w *workers.Worker, r *jobs.Run) {
 	r.Tries++
-	until := w.Grant(now, startValid)
+	until := w.Grant(now, startValidFor)
 	r.ValidUntil = max(r.ValidUntil, until)
 	order := workers.Start{
 		Fence: s.epoch, Task: r.Task.Name(), Run: r.Number, Body: r.Task.Unit.Job.Spec.GetBody(),
 		Until: until, Checkpoint: r.Task.Checkpoint, Ticket: r.Ticket,
 	}
-	bytes := orderOverhead + len(order.Body) + len(order.Checkpoint) + len(order.Ticket)
+	bytes := orderOverheadBytes + len(order.Body) + len(order.Checkpoint) + len(order.Ticket)
 	s.orders.Sent(bytes)
 	s.emit(SendStart{To: target(w), Start: order, Timeout: s.orders.Timeout(), Bytes: bytes})
 }
 
-// mayOrder reports whether the window of bytes in flight has space for one more start order. If it has
+// mayOrderStart reports whether the window of bytes in flight has space for one more start order. If it has
 // none, the log says so at intervals: tasks then wait although workers have capacity.
-func (s *State) mayOrder(now time.Time) bool {
+func (s *State) mayOrderStart(now time.Time) bool {
 	if !s.has(OrderWindow) || s.orders.Room() {
 		return true
 	}
-	if now.Sub(s.heldNotedAt) >= heldNoteEvery {
+	if now.Sub(s.heldNotedAt) >= heldNoteInterval {
 		s.heldNotedAt = now
 		s.note(Note{
 			What: NoteOrdersHeld, AgeMs: -1,
@@ -92,9 +92,9 @@
 	return false
 }
 
-// takeOrderTime updates the window of bytes in flight from how long a start order took to be answered, or
+// updateWindow updates the window of bytes in flight from how long a start order took to be answered, or
 // stayed without an answer.
-func (s *State) takeOrderTime(now time.Time, e Started) {
+func (s *State) updateWindow(now time.Time, e Started) {
 	if e.Err != nil {
 		s.orders.Unanswered(now, e.Took, e.Bytes)
 	} else {
@@ -105,14 +105,14 @@
 
 // takeStarted handles the outcome of a start order.
 func (s *State) takeStarted(now time.Time, e Started) {
-	s.takeOrderTime(now, e)
+	s.updateWindow(now, e)
 	w := s.workers[e.Worker]
 	t := s.task(e.Task)
 	if w == nil || t == nil {
 		return
 	}
 	if e.Err == nil {
-		s.answered(now, w, e.Reply)
+		s.handleReply(now, w, e.Reply)
 	}
 	r := t.Run(e.Run, e.Worker)
 	if r == nil || (r.State != jobs.Sent && r.State != jobs.Unsure) {
@@ -120,9 +120,9 @@
 	}
 	switch {
 	case e.Err != nil && fault.CodeOf(e.Err) == fault.NotRun && r.Tries == 1:
-		s.startRefused(now, w, r, e.Err.Error())
+		s.undoRefusedStart(now, w, r, e.Err.Error())
 	case e.Err != nil:
-		s.startUnanswered(now, w, r, e.Err)
+		s.retryStart(now, w, r, e.Err)
 	case e.Reply.Refusal == workers.RefusedNot:
 		r.AckedAt = now
 		s.began(now, r)
@@ -134,16 +134,16 @@
 		// An earlier try may still be carried out.
 		r.State = jobs.Unsure
 	default:
-		s.startRefused(now, w, r, string(e.Reply.Refusal))
+		s.undoRefusedStart(now, w, r, string(e.Reply.Refusal))
 	}
 }
 
-// startRefused takes back a run whose start order surely had no effect: its task waits for another start.
-func (s *State) startRefused(now time.Time, w *workers.Worker, r *jobs.Run, why string) {
+// undoRefusedStart takes back a run whose start order surely had no effect: its task waits for another start.
+func (s *State) undoRefusedStart(now time.Time, w *workers.Worker, r *jobs.Run, why string) {
 	t := r.Task
 	w.Remove(r)
 	t.Drop(r)
-	t.RetryAt = now.Add(refusedPause)
+	t.RetryAt = now.Add(refusedStartDelay)
 	s.note(Note{
 		What: NoteStartRefused, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: w.ID, Detail: why,
 		AgeMs: now.Sub(r.SentAt).Milliseconds(),
@@ -158,9 +158,9 @@
 	s.touch(now, t.Unit.Job)
 }
 
-// startUnanswered handles a start order without an answer: the run may have begun. The order is sent
+// retryStart handles a start order without an answer: the run may have begun. The order is sent
 // again, unless the worker takes no new work any more; a worker that has begun the run says so.
-func (s *State) startUnanswered(now time.Time, w *workers.Worker, r *jobs.Run, err error) {
+func (s *State) retryStart(now time.Time, w *workers.Worker, r *jobs.Run, err error) {
 	if r.State == jobs.Sent {
 		r.State = jobs.Unsure
 		s.note(Note{
@@ -169,7 +169,7 @@
 			AgeMs:  now.Sub(r.SentAt).Milliseconds(),
 		})
 	}
-	if r.Tries < startTries && w.SilentSince.IsZero() && w.Listed && !w.Leaving && !r.Task.Unit.Job.Ended() && s.phase == leading {
+	if r.Tries < maxStartTries && w.SilentSince.IsZero() && w.Listed && !w.Leaving && !r.Task.Unit.Job.Ended() && s.phase == leading {
 		s.sendStart(now, w, r)
 	}
 }
@@ -182,7 +182,7 @@
 		return
 	}
 	if e.Err == nil {
-		s.answered(now, w, e.Reply)
+		s.handleReply(now, w, e.Reply)
 	}
 	r := t.Run(e.Run, e.Worker)
 	if r == nil {
--- a/pkg/process/cell/pace.go
+++ b/pkg/process/cell/pace.go
@@ -24,38 +24,38 @@
 // docs/design/decisions.md).
 
 const (
-	// overLong is how long a tail latency may be over its target before all fillers of its worker are
+	// pauseAfter is how long a tail latency may be over its target before all fillers of its worker are
 	// paused. Users count four seconds without a break as harm; one reading below the target is a break.
-	overLong = 2000 * time.Millisecond
-	// overLevel is the level from which a reading counts as over the target. Readings are rough: one that
+	pauseAfter = 2000 * time.Millisecond
+	// overTargetLevel is the level from which a reading counts as over the target. Readings are rough: one that
 	// is a little below the target may be no break by the platform's own reading.
-	overLevel = -0.1
-	// overJoin is how long a tail latency may be over its target before no more fillers are placed there.
-	overJoin = 900 * time.Millisecond
-	// cutFor is how long fillers are paused. cutAgain is the least time between a filler's last change
+	overTargetLevel = -0.1
+	// noJoinAfter is how long a tail latency may be over its target before no more fillers are placed there.
+	noJoinAfter = 900 * time.Millisecond
+	// pauseFor is how long fillers are paused. pauseAgainAfter is the least time between a filler's last change
 	// of pace and its next pause: if a serving task stays over its target while fillers are paused, they
 	// are not the cause.
-	cutFor   = 1300 * time.Millisecond
-	cutAgain = 700 * time.Millisecond
-	// sameFor is how long an unchanged reading counts as the same one. Workers take a new reading every
+	pauseFor        = 1300 * time.Millisecond
+	pauseAgainAfter = 700 * time.Millisecond
+	// sameReadingFor is how long an unchanged reading counts as the same one. Workers take a new reading every
 	// half second, and answer polls more often.
-	sameFor = 600 * time.Millisecond
-	// tellPressEvery is the interval at which the log lists what the interference model has learned.
-	tellPressEvery = 10 * time.Second
+	sameReadingFor = 600 * time.Millisecond
+	// interferenceNoteInterval is the interval at which the log lists what the interference model has learned.
+	interferenceNoteInterval = 10 * time.Second
 )
 
-// serving reports whether a run is a running serving task: one with a target for its tail latency.
-func serving(r *jobs.Run) bool {
+// isRunningServing reports whether a run is a running serving task: one with a target for its tail latency.
+func isRunningServing(r *jobs.Run) bool {
 	return r.Task.Unit.Spec.GetTailTargetMs() > 0 && r.State == jobs.Running
 }
 
-// filling reports whether a run is a running filler.
-func filling(r *jobs.Run) bool {
+// isRunningFiller reports whether a run is a running filler.
+func isRunningFiller(r *jobs.Run) bool {
 	return r.Task.Unit.Spec.GetFiller() && r.State == jobs.Running
 }
 
-// readingOf returns a serving run's last tail latency as a level.
-func readingOf(r *jobs.Run) interference.Reading {
+// lastReading returns a serving run's last tail latency as a level.
+func lastReading(r *jobs.Run) interference.Reading {
 	return interference.NewReading(r.Tail, time.Duration(r.Task.Unit.Spec.GetTailTargetMs())*time.Millisecond)
 }
 
@@ -70,23 +70,23 @@
 	if !w.Serving() {
 		return
 	}
-	at := map[string]float64{}
+	pressures := map[string]float64{}
 	for _, r := range w.Runs {
-		if filling(r) {
-			at[r.Task.Unit.Image()] += float64(r.UsedMillicores) / float64(max(1, w.Capacity.Millicores))
+		if isRunningFiller(r) {
+			pressures[r.Task.Unit.Image()] += float64(r.UsedMillicores) / float64(max(1, w.Capacity.Millicores))
 		}
 	}
 	for _, r := range w.Runs {
-		if serving(r) && r.Tail > 0 && (r.Tail != r.LearnedTail || now.Sub(r.LearnedAt) > sameFor) {
+		if isRunningServing(r) && r.Tail > 0 && (r.Tail != r.LearnedTail || now.Sub(r.LearnedAt) > sameReadingFor) {
 			r.LearnedTail, r.LearnedAt = r.Tail, now
-			s.press.Learn(now, r.Task.Unit.Image(), readingOf(r), at, &r.OwnLoad)
+			s.press.Learn(now, r.Task.Unit.Image(), lastReading(r), pressures, &r.OwnLoad)
 		}
 	}
 }
 
 // pace decides the pace of each filler, and sends a pace order where it has changed.
 func (s *State) pace(now time.Time) {
-	if now.Sub(s.pressToldAt) >= tellPressEvery {
+	if now.Sub(s.pressToldAt) >= interferenceNoteInterval {
 		s.pressToldAt = now
 		for _, words := range s.press.Words() {
 			s.note(Note{What: NotePress, Detail: words, AgeMs: -1})
@@ -96,26 +96,26 @@
 		if w.Gone || !w.SilentSince.IsZero() || !w.Filling() {
 			continue
 		}
-		s.setPaces(now, w)
+		s.decidePaces(now, w)
 		for _, r := range w.Runs {
-			if filling(r) {
+			if isRunningFiller(r) {
 				s.sendPace(now, w, r)
 			}
 		}
 	}
 }
 
-// setPaces decides which fillers of a worker are paused, once for each answer of the worker.
-func (s *State) setPaces(now time.Time, w *workers.Worker) {
+// decidePaces decides which fillers of a worker are paused, once for each answer of the worker.
+func (s *State) decidePaces(now time.Time, w *workers.Worker) {
 	if !w.AnsweredAt.After(w.PacedAt) {
 		return
 	}
 	w.PacedAt = w.AnsweredAt
-	s.watchTails(now, w)
+	s.checkTails(now, w)
 	for _, r := range w.Runs {
 		switch {
-		case !filling(r):
-		case now.Sub(r.CutAt) < cutFor:
+		case !isRunningFiller(r):
+		case now.Sub(r.CutAt) < pauseFor:
 			s.setPace(now, w, r, 0)
 		default:
 			s.setPace(now, w, r, 100)
@@ -123,14 +123,14 @@
 	}
 }
 
-// watchTails checks the tail latencies on a worker. While one stays over its target, first no more fillers
-// are placed there (overJoin), then the fillers there are paused (overLong).
-func (s *State) watchTails(now time.Time, w *workers.Worker) {
+// checkTails checks the tail latencies on a worker. While one stays over its target, first no more fillers
+// are placed there (noJoinAfter), then the fillers there are paused (pauseAfter).
+func (s *State) checkTails(now time.Time, w *workers.Worker) {
 	for _, r := range w.Runs {
-		if !serving(r) {
+		if !isRunningServing(r) {
 			continue
 		}
-		if r.Tail <= 0 || readingOf(r).Level < overLevel {
+		if r.Tail <= 0 || lastReading(r).Level < overTargetLevel {
 			r.OverSince = time.Time{}
 			continue
 		}
@@ -138,19 +138,19 @@
 			r.OverSince = now
 		}
 		over := now.Sub(r.OverSince)
-		if over > overJoin {
-			w.NoFillersUntil = now.Add(cutFor)
+		if over > noJoinAfter {
+			w.NoFillersUntil = now.Add(pauseFor)
 		}
-		if over > overLong && s.has(CutFillers) {
-			cutAll(now, w)
+		if over > pauseAfter && s.has(CutFillers) {
+			pauseFillers(now, w)
 		}
 	}
 }
 
-// cutAll pauses the fillers of a worker, except those whose pace has just changed (cutAgain).
-func cutAll(now time.Time, w *workers.Worker) {
+// pauseFillers pauses the fillers of a worker, except those whose pace has just changed (pauseAgainAfter).
+func pauseFillers(now time.Time, w *workers.Worker) {
 	for _, r := range w.Runs {
-		if filling(r) && r.PaceWanted > 0 && now.Sub(r.PacedAt) >= cutAgain {
+		if isRunningFiller(r) && r.PaceWanted > 0 && now.Sub(r.PacedAt) >= pauseAgainAfter {
 			r.CutAt = now
 		}
 	}
@@ -160,8 +160,8 @@
 func worstLevel(w *workers.Worker) float64 {
 	worst := math.Inf(-1)
 	for _, r := range w.Runs {
-		if serving(r) && r.Tail > 0 {
-			worst = max(worst, readingOf(r).Level)
+		if isRunningServing(r) && r.Tail > 0 {
+			worst = max(worst, lastReading(r).Level)
 		}
 	}
 	return worst
--- a/pkg/process/cell/pace_test.go
+++ b/pkg/process/cell/pace_test.go
@@ -15,8 +15,8 @@
 	fillerID = "00000000000000bb"
 )
 
-// tell sets the readings of all runs at a worker, and their progress to 100%.
-func (b *busyCell) tell(worker string, reading func(workers.Active) int64) {
+// setReadings sets the readings of all runs at a worker, and their progress to 100%.
+func (b *busyCell) setReadings(worker string, reading func(workers.Active) int64) {
 	r := b.reports[worker]
 	for i := range r.Active {
 		r.Active[i].Reading = reading(r.Active[i])
@@ -24,16 +24,16 @@
 	}
 }
 
-// tellAll does the same at all workers.
-func (b *busyCell) tellAll(reading func(workers.Active) int64) {
+// setAllReadings does the same at all workers.
+func (b *busyCell) setAllReadings(reading func(workers.Active) int64) {
 	for id := range b.reports {
-		b.tell(id, reading)
+		b.setReadings(id, reading)
 	}
 }
 
 // A tail latency over its target for two seconds pauses the fillers on its worker, well before the four
 // seconds that count as harm.
-func TestATailThatStaysOverItsTargetCutsTheFillersBesideIt(t *testing.T) {
+func TestTailOverTargetPausesFillersOnItsWorker(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	for i := range 16 {
@@ -47,8 +47,8 @@
 	must.NotEq(t, "", worker)
 	begin := b.now
 	for range 150 {
-		b.tellAll(func(workers.Active) int64 { return 30 })
-		b.tell(worker, func(a workers.Active) int64 {
+		b.setAllReadings(func(workers.Active) int64 { return 30 })
+		b.setReadings(worker, func(a workers.Active) int64 {
 			if a.Task == fillerID+".0.0.0" {
 				return 4000
 			}
@@ -66,7 +66,7 @@
 
 // Fillers may slow down one image and not another. If the serving tasks on each worker are of one image,
 // every filler finds a worker where it does no harm.
-func TestServingTasksOfOneImageGoTogether(t *testing.T) {
+func TestServingTasksOfOneImageShareWorkers(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	for i := range 8 {
@@ -91,7 +91,7 @@
 
 // A leader paused fillers and handed its cell over. Its successor took them for stalled, stopped them and
 // quarantined their worker.
-func TestAnAdoptedFillerIsToldItsPace(t *testing.T) {
+func TestAdoptedFillerIsSentFullPace(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	// The task fits nowhere, so its only run is the one that the worker lists.
--- a/pkg/process/cell/place.go
+++ b/pkg/process/cell/place.go
@@ -23,13 +23,13 @@
 	// names.
 	defaultStretch = 2.0
 	defaultSlack   = time.Second
-	// hopelessAfter is the multiple of its objective after which a job earns nothing any more, by the
+	// hopelessFactor is the multiple of its objective after which a job earns nothing any more, by the
 	// users' rules.
-	hopelessAfter = 3.0
+	hopelessFactor = 3.0
 )
 
-// candidate is a unit with the keys by which units are sorted for placement.
-type candidate struct {
+// rankedUnit is a unit with the keys by which units are sorted for placement.
+type rankedUnit struct {
 	unit     *jobs.Unit
 	outlook  jobs.Outlook
 	priority int
@@ -49,8 +49,8 @@
 	clear(s.held)
 	s.closeForTrials(now)
 	usable := s.usableWorkers(now)
-	for _, c := range s.queueOrder(now) {
-		if len(usable) == 0 || !s.mayOrder(now) {
+	for _, c := range s.rankedUnits(now) {
+		if len(usable) == 0 || !s.mayOrderStart(now) {
 			return
 		}
 		pool := usable
@@ -65,31 +65,31 @@
 	}
 }
 
-// queueOrder returns the units with waiting tasks, in the order in which they are placed.
-func (s *State) queueOrder(now time.Time) []candidate {
-	list := make([]candidate, 0, len(s.waiting))
+// rankedUnits returns the units with waiting tasks, in the order in which they are placed.
+func (s *State) rankedUnits(now time.Time) []rankedUnit {
+	list := make([]rankedUnit, 0, len(s.waiting))
 	for u := range s.waiting {
-		list = append(list, s.candidate(now, u))
+		list = append(list, s.rankUnit(now, u))
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].before(list[b]) })
 	return list
 }
 
-// candidate computes a unit's sort keys: the priority of its queue, when its job is due, and whether
+// rankUnit computes a unit's sort keys: the priority of its queue, when its job is due, and whether
 // the job can still meet its objective (its outlook, which is stored in the unit, too).
-func (s *State) candidate(now time.Time, u *jobs.Unit) candidate {
+func (s *State) rankUnit(now time.Time, u *jobs.Unit) rankedUnit {
 	j := u.Job
-	s.estimate(now, j)
+	s.refreshEstimate(now, j)
 	q := s.queue(j)
 	objective := time.Duration(float64(j.WholeChain())*q.Stretch) + q.Slack
 	since := j.AcceptedAt
 	if j.Spec.GetRepeats() > 0 {
 		since = now.Add(-s.wall.Sub(j.DueAt(u.Time)))
 	}
-	c := candidate{unit: u, priority: q.Priority, due: since.Add(objective)}
+	c := rankedUnit{unit: u, priority: q.Priority, due: since.Add(objective)}
 	switch {
 	case u.Lasting() || !s.has(OrderByOutlook):
-	case now.Sub(since) > time.Duration(hopelessAfter*float64(objective)):
+	case now.Sub(since) > time.Duration(hopelessFactor*float64(objective)):
 		c.outlook = jobs.Hopeless
 	case now.Add(j.Chain(u.Step)).After(c.due):
 		c.outlook = jobs.Late
@@ -99,7 +99,7 @@
 }
 
 // before reports whether c is placed before d.
-func (c candidate) before(d candidate) bool {
+func (c rankedUnit) before(d rankedUnit) bool {
 	switch {
 	case (c.outlook == jobs.Hopeless) != (d.outlook == jobs.Hopeless):
 		return d.outlook == jobs.Hopeless
@@ -149,20 +149,20 @@
 func (s *State) placeTasks(now time.Time, u *jobs.Unit, usable []*workers.Worker) {
 	service := s.service(u.Job)
 	for _, t := range u.Waiting(now) {
-		if !s.mayOrder(now) {
+		if !s.mayOrderStart(now) {
 			return
 		}
-		w := s.choose(now, t, service, usable)
+		w := s.chooseWorker(now, t, service, usable)
 		if w == nil && t.Choosy() {
 			s.tellWait(now, t, service, usable)
 			continue // the unit's other tasks may run on workers that this one can't take
 		}
 		if w == nil {
-			s.holdFor(now, t, service, usable)
+			s.reserveFor(now, t, service, usable)
 			s.tellWait(now, t, service, usable)
 			return
 		}
-		s.start(now, w, t, s.nextRun(), s.ticket(u, w))
+		s.startRun(now, w, t, s.nextRunNumber(), s.ticket(u, w))
 	}
 	if !wantsStart(u) {
 		delete(s.waiting, u)
@@ -174,10 +174,10 @@
 // gets the time of a few short tasks to become free by itself first.
 const holdAfter = 2500 * time.Millisecond
 
-// holdFor reserves a worker for a lasting task, one that runs until its job is cancelled: of the workers
+// reserveFor reserves a worker for a lasting task, one that runs until its job is cancelled: of the workers
 // where the task fits beside the other lasting tasks, the one with the most free CPU. Without that, short
 // tasks would keep taking the capacity that a large task waits for.
-func (s *State) holdFor(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) {
+func (s *State) reserveFor(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) {
 	u := t.Unit
 	if !s.has(HeldRoom) || !u.Lasting() || now.Sub(waitsSince(t)) < holdAfter {
 		return
@@ -199,8 +199,8 @@
 	}
 }
 
-// choose returns the worker for a task, or nil if the task can't start anywhere now.
-func (s *State) choose(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
+// chooseWorker returns the worker for a task, or nil if the task can't start anywhere now.
+func (s *State) chooseWorker(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
 	if s.awaitsRecord(now, t) || (s.tooWideToTry(t.Unit) && s.awaitsWord(now, t)) {
 		return nil
 	}
@@ -228,17 +228,17 @@
 }
 
 const (
-	// farPenalty is subtracted from the score of a worker outside the rack of the task's data. It
+	// remotePenalty is subtracted from the score of a worker outside the rack of the task's data. It
 	// outweighs any difference in free CPU.
-	farPenalty = 10.0
-	// avoidPenalty is subtracted for the worker where the task failed last, and for hosts that crashed
+	remotePenalty = 10.0
+	// failedTherePenalty is subtracted for the worker where the task failed last, and for hosts that crashed
 	// while they ran the task.
-	avoidPenalty = 20.0
+	failedTherePenalty = 20.0
 	// harmWeight weighs the net cost of a filler (fillerHarm) against the share of unused CPU.
 	harmWeight = 1.0
-	// alikeWeight weighs how alike the serving images of a worker are to the task's against free CPU. It
+	// imageAffinityWeight weighs how alike the serving images of a worker are to the task's against free CPU. It
 	// outweighs free CPU, whose share is at most 1; the price is gaps too small for the next serving task.
-	alikeWeight = 3.0
+	imageAffinityWeight = 3.0
 )
 
 // score rates a worker that a task fits on; the task goes to the worker with the highest score.
@@ -252,24 +252,24 @@
 	case u.Spec.GetFiller():
 		score = float64(w.Unused())/total - harmWeight*s.fillerHarm(u, w)
 	case u.Spec.GetTailTargetMs() > 0:
-		score = -float64(w.Free().Millicores)/total + s.alikeScore(u, w)
+		score = -float64(w.Free().Millicores)/total + s.imageAffinity(u, w)
 	default:
 		score = -float64(w.Free().Millicores) / total
 	}
 	if rack := u.Spec.GetRack(); rack != "" && w.Rack != rack && !w.HasLabel(rack) {
-		score -= farPenalty
+		score -= remotePenalty
 	}
 	if t.AvoidWorker == w.ID || (t.Choosy() && t.CrashedAt(w.Host)) {
-		score -= avoidPenalty
+		score -= failedTherePenalty
 	}
 	return score
 }
 
-// alikeScore rates a worker for a serving task by how alike its serving images are to the task's in
-// which fillers slow them down: from -alikeWeight for nothing in common to alikeWeight for the same image,
+// imageAffinity rates a worker for a serving task by how alike its serving images are to the task's in
+// which fillers slow them down: from -imageAffinityWeight for nothing in common to imageAffinityWeight for the same image,
 // and 0 for a worker without serving tasks. A filler that is harmless to one image may harm another, so
 // with like images grouped together every filler finds a harmless worker.
-func (s *State) alikeScore(u *jobs.Unit, w *workers.Worker) float64 {
+func (s *State) imageAffinity(u *jobs.Unit, w *workers.Worker) float64 {
 	if !w.Serving() || !s.has(ServingByImage) {
 		return 0
 	}
@@ -280,7 +280,7 @@
 			sum += s.press.Alike(r.Task.Unit.Image(), u.Image())
 		}
 	}
-	return alikeWeight * (2*sum/float64(all) - 1)
+	return imageAffinityWeight * (2*sum/float64(all) - 1)
 }
 
 // placeGang starts all tasks of a gang as one run, or none of them. A gang that wants a single rack is
@@ -307,28 +307,28 @@
 	}
 	service := s.service(u.Job)
 	chosen := make([]*workers.Worker, 0, len(u.Tasks))
-	held := make([]*jobs.Run, 0, len(u.Tasks))
+	reserved := make([]*jobs.Run, 0, len(u.Tasks))
 	release := func() {
-		for i, r := range held {
+		for i, r := range reserved {
 			chosen[i].Remove(r)
 		}
 	}
 	for _, t := range u.Tasks {
-		w := s.choose(now, t, service, pool)
+		w := s.chooseWorker(now, t, service, pool)
 		if w == nil {
 			release()
 			return false
 		}
 		r := &jobs.Run{Task: t, Worker: w.ID}
 		w.Add(r)
-		chosen, held = append(chosen, w), append(held, r)
+		chosen, reserved = append(chosen, w), append(reserved, r)
 	}
 	release()
-	number := s.nextRun()
+	number := s.nextRunNumber()
 	checkpoint := gangCheckpoint(u)
 	for i, t := range u.Tasks {
 		t.Checkpoint = checkpoint
-		s.start(now, chosen[i], t, number, s.ticket(u, chosen[i]))
+		s.startRun(now, chosen[i], t, number, s.ticket(u, chosen[i]))
 	}
 	delete(s.waiting, u)
 	return true
--- a/pkg/process/cell/place_test.go
+++ b/pkg/process/cell/place_test.go
@@ -15,7 +15,7 @@
 )
 
 // A filler in a mostly free cell waited for a harmless worker until the end of the day.
-func TestAFillerDoesNotWaitForeverInACellWithRoom(t *testing.T) {
+func TestFillerStartsSoonInMostlyFreeCell(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	for i := range 18 {
@@ -33,16 +33,16 @@
 	must.Between(t, time.Second, first, 3*time.Second)
 }
 
-// waitsInAFullCell returns how long three fillers wait for their starts, shortest first, in a cell that is
+// fillerWaitsInFullCell returns how long three fillers wait for their starts, shortest first, in a cell that is
 // mostly full of serving tasks which every filler slows down. others are the loads of other cells.
-func waitsInAFullCell(t *testing.T, others ...cell.OtherLoad) []time.Duration {
+func fillerWaitsInFullCell(t *testing.T, others ...cell.OtherLoad) []time.Duration {
 	t.Helper()
 	b := newEmptyCell()
 	for i := range 16 {
 		b.accept(fmt.Sprintf("%016x", i), "watches", &wire.StepSpec{Count: 31, Millicores: 1000, Spread: 31, Lasting: true, TailTargetMs: 100, Image: "s"})
 	}
 	for range 40 {
-		b.tellAll(func(workers.Active) int64 { return 90 })
+		b.setAllReadings(func(workers.Active) int64 { return 90 })
 		b.step(100 * time.Millisecond)
 	}
 	b.accept("00000000000000ff", "offers", &wire.StepSpec{Count: 3, Millicores: 15000, Filler: true, EstimateMs: 2000, Image: "f"})
@@ -52,7 +52,7 @@
 		for _, o := range others {
 			b.state.Take(b.now, o)
 		}
-		b.tellAll(func(workers.Active) int64 { return 90 })
+		b.setAllReadings(func(workers.Active) int64 { return 90 })
 		b.step(100 * time.Millisecond)
 		for i := range 3 {
 			task := fmt.Sprintf("00000000000000ff.0.0.%d", i)
@@ -66,25 +66,25 @@
 
 // Fillers in a cell mostly full of serving tasks waited for a harmless worker until the end of the day,
 // while other cells were empty.
-func TestAFillerInAFullCellDoesNotWaitLongAmongEmptyCells(t *testing.T) {
+func TestFillerInFullCellStartsSoonWhenOtherCellsAreEmpty(t *testing.T) {
 	t.Parallel()
 	empty := cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", CapacityMillicores: 2_000_000, FreeMillicores: 1_800_000}}
-	waits := waitsInAFullCell(t, empty)
+	waits := fillerWaitsInFullCell(t, empty)
 	must.Len(t, 3, waits)
 	must.Between(t, time.Second, waits[0], 3*time.Second)
 }
 
 // Without spare capacity in any cell, a filler waits longer for a harmless worker, but not forever.
-func TestAFillerInAFullFleetDoesNotWaitForever(t *testing.T) {
+func TestFillerInFullFleetStartsEventually(t *testing.T) {
 	t.Parallel()
 	full := cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", CapacityMillicores: 2_000_000, FreeMillicores: 100_000}}
-	waits := waitsInAFullCell(t, full)
+	waits := fillerWaitsInFullCell(t, full)
 	must.Len(t, 3, waits)
 	must.Greater(t, 3*time.Second, waits[0])
 }
 
 // Fillers waited for 20 s and more in one cell, and the log did not say why.
-func TestTheLogSaysWhatAWaitingTaskLacks(t *testing.T) {
+func TestLogSaysWhyTaskWaits(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.accept("00000000000000aa", "offers", &wire.StepSpec{Count: 1, Millicores: 33000})
@@ -104,7 +104,7 @@
 
 // Under load, fillers of jobs past their objectives were placed beside serving tasks at the same harm as
 // other fillers. The serving tasks over their targets cost four times what such fillers still earned.
-func TestWorkThatEarnsLittleWaitsForAPlaceThatCostsLittle(t *testing.T) {
+func TestFillerOfHopelessJobWaitsForLessHarmfulWorker(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	for i := range 16 {
@@ -130,7 +130,7 @@
 
 // A job of 200 tasks arrives, and no start order is answered yet. Only as many orders as the window allows
 // are sent, and the log says once that orders are held back. After the answers more orders are sent.
-func TestOrdersAreHeldBackWhileNoneIsAnswered(t *testing.T) {
+func TestStartOrdersAreHeldBackUntilAnswered(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.accept("00000000000000f0", "offers", &wire.StepSpec{Count: 200, Millicores: 100, MemoryMb: 10})
--- a/pkg/process/cell/record_test.go
+++ b/pkg/process/cell/record_test.go
@@ -12,8 +12,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// idsOfOnePart returns the ids of n jobs whose rows share a part of the table, in order.
-func idsOfOnePart(n int) []string {
+// idsInOnePart returns the ids of n jobs whose rows share a part of the table, in order.
+func idsInOnePart(n int) []string {
 	part := rows.JobPart(fmt.Sprintf("%016x", 1))
 	var ids []string
 	for i := 1; len(ids) < n; i++ {
@@ -28,10 +28,10 @@
 // can't hold them all. The end of a run was acknowledged although its job was not in that transaction: an
 // earlier transaction with it had been sent, and had failed. When the leader then died, the end was lost and
 // the task ran again.
-func TestAnEndWaitsForItsOwnRecordWhenAPartIsWrittenInPieces(t *testing.T) {
+func TestEndIsAcknowledgedOnlyAfterItsOwnRecord(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	ids := idsOfOnePart(60)
+	ids := idsInOnePart(60)
 	last := ids[len(ids)-1]
 	for _, id := range ids {
 		b.accept(id, "offers", &wire.StepSpec{Count: 2, Millicores: 100, MemoryMb: 10})
--- a/pkg/process/cell/rooms_test.go
+++ b/pkg/process/cell/rooms_test.go
@@ -13,22 +13,22 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// rooms is a leader with one worker whose capacity changes.
-type rooms struct {
+// resizableWorker is a leader with one worker whose capacity changes.
+type resizableWorker struct {
 	*lives
 	version int64
 }
 
-func newRooms() *rooms { return &rooms{lives: newLives()} }
+func newResizableWorker() *resizableWorker { return &resizableWorker{lives: newLives()} }
 
-// say registers the worker with a new capacity, in a new version of its row.
-func (v *rooms) say(millicores int64) {
+// setCapacity registers the worker with a new capacity, in a new version of its row.
+func (v *resizableWorker) setCapacity(millicores int64) {
 	v.version++
-	v.row(millicores, v.version)
+	v.registerCapacity(millicores, v.version)
 }
 
-// row registers the worker with a capacity, in the given version of its row.
-func (v *rooms) row(millicores, version int64) {
+// registerCapacity registers the worker with a capacity, in the given version of its row.
+func (v *resizableWorker) registerCapacity(millicores, version int64) {
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{{
 		ID: "w", Born: v.born, Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h", Version: version,
 		Capacity: ledger.Size{Millicores: millicores, MemoryMB: 128000},
@@ -37,51 +37,51 @@
 
 // When the capacity of a worker shrinks, nothing more is started there until its runs fit again, and none of
 // them is stopped. Capacity that grows is used at once.
-func TestARoomThatShrinksTakesNothingMoreAndOneThatGrowsIsUsed(t *testing.T) {
+func TestShrunkCapacityTakesNoMoreAndGrownCapacityIsUsed(t *testing.T) {
 	t.Parallel()
-	v := newRooms()
-	v.say(2000)
+	v := newResizableWorker()
+	v.setCapacity(2000)
 	v.run(200 * time.Millisecond)
 	first, second := v.accept(1), v.accept(2)
 	v.run(200 * time.Millisecond)
 	must.Eq(t, 1, v.startsOf(first))
 	must.Eq(t, 1, v.startsOf(second))
-	v.say(1000)
+	v.setCapacity(1000)
 	third := v.accept(3)
 	v.run(600 * time.Millisecond)
-	v.say(0)
+	v.setCapacity(0)
 	v.run(400 * time.Millisecond)
 	must.Eq(t, 0, v.startsOf(third))
 	must.SliceEmpty(t, v.stops)
-	v.say(3000)
+	v.setCapacity(3000)
 	v.run(200 * time.Millisecond)
 	must.Eq(t, 1, v.startsOf(third))
 }
 
 // An answer of a worker may report a newer capacity than its row does. Reading the same version of the row
 // again does not undo that; reading a newer version does.
-func TestTheNewestWordOfARoomCounts(t *testing.T) {
+func TestNewestReportedCapacityCounts(t *testing.T) {
 	t.Parallel()
-	v := newRooms()
-	v.say(2000)
+	v := newResizableWorker()
+	v.setCapacity(2000)
 	room := ledger.Size{Millicores: 500, MemoryMB: 128000}
 	v.room = &room
 	v.run(time.Second)
 	v.room = nil
 	task := v.accept(1)
-	v.row(2000, v.version)
+	v.registerCapacity(2000, v.version)
 	v.run(time.Second)
 	must.Eq(t, 0, v.startsOf(task))
-	v.say(2000)
+	v.setCapacity(2000)
 	v.run(200 * time.Millisecond)
 	must.Eq(t, 1, v.startsOf(task))
 }
 
 // A worker that does not refuse starts beyond its capacity lists a run that this cell does not know. The run's
 // size is unknown, so nothing is started beside it. (A worker that does refuse them needs no such caution.)
-func TestNothingStartsBesideAnUnknownRunWhereRoomsAreNotGuarded(t *testing.T) {
+func TestNothingStartsBesideUnknownRunWhereCapacityIsNotEnforced(t *testing.T) {
 	t.Parallel()
-	v := newRooms()
+	v := newResizableWorker()
 	v.state.Take(v.now, cell.ManifestChanged{Manifest: manifest.New(2, []manifest.Queue{
 		{Name: "offers", Service: "quotes", MaxAttempts: 3, Stretch: 2, Slack: time.Second},
 	}, []manifest.Service{{Name: "quotes"}}, manifest.Limits{})})
--- a/pkg/process/cell/times.go
+++ b/pkg/process/cell/times.go
@@ -11,41 +11,41 @@
 // queue (package runtimes). They decide when a job is due, whether it can still meet its objective, and
 // which runs can end on a leaving worker in time.
 
-// estimatedFor is how long the estimate of a job's longest chain of steps is used. What is known of its
+// estimateValidFor is how long the estimate of a job's longest chain of steps is used. What is known of its
 // queue changes with each run at first, and slowly later.
-const estimatedFor = 500 * time.Millisecond
+const estimateValidFor = 500 * time.Millisecond
 
-// learnTime learns from how long a run took that ended well. It skips runs that do not show the time of a
+// learnRunTime learns from how long a run took that ended well. It skips runs that do not show the time of a
 // whole task at full pace: resumed or paused ones, lasting tasks and gangs.
-func (s *State) learnTime(now time.Time, u *jobs.Unit, r *jobs.Run) {
+func (s *State) learnRunTime(now time.Time, u *jobs.Unit, r *jobs.Run) {
 	if r == nil || r.BeganAt.IsZero() || r.Resumed || !r.CutAt.IsZero() || u.Lasting() || u.Spec.GetGang() {
 		return
 	}
-	s.runtimes.Learn(u.Job.Spec.GetQueue(), declared(u.Spec), now.Sub(r.BeganAt), len(u.Tasks))
+	s.runtimes.Learn(u.Job.Spec.GetQueue(), declaredTime(u.Spec), now.Sub(r.BeganAt), len(u.Tasks))
 }
 
-// declared returns the run time of a task as the caller estimates it in the step.
-func declared(step *wire.StepSpec) time.Duration {
+// declaredTime returns the run time of a task as the caller estimates it in the step.
+func declaredTime(step *wire.StepSpec) time.Duration {
 	return time.Duration(step.GetEstimateMs()) * time.Millisecond
 }
 
-// estimate brings the estimates of a job's longest chains of steps up to date.
-func (s *State) estimate(now time.Time, j *jobs.Job) {
-	if !s.has(LearnedTimes) || (!j.EstimatedAt().IsZero() && now.Sub(j.EstimatedAt()) < estimatedFor) {
+// refreshEstimate brings the estimates of a job's longest chains of steps up to date.
+func (s *State) refreshEstimate(now time.Time, j *jobs.Job) {
+	if !s.has(LearnedTimes) || (!j.EstimatedAt().IsZero() && now.Sub(j.EstimatedAt()) < estimateValidFor) {
 		return
 	}
 	j.Estimate(now, func(step *wire.StepSpec) time.Duration {
 		if step.GetLasting() {
 			return 0
 		}
-		return s.runtimes.Step(j.Spec.GetQueue(), declared(step), int(step.GetCount()))
+		return s.runtimes.Step(j.Spec.GetQueue(), declaredTime(step), int(step.GetCount()))
 	})
 }
 
 // taskTime returns the estimated run time of a whole task of a unit.
 func (s *State) taskTime(u *jobs.Unit) time.Duration {
 	if !s.has(LearnedTimes) {
-		return declared(u.Spec)
+		return declaredTime(u.Spec)
 	}
-	return s.runtimes.Task(u.Job.Spec.GetQueue(), declared(u.Spec))
+	return s.runtimes.Task(u.Job.Spec.GetQueue(), declaredTime(u.Spec))
 }
