--- a/pkg/process/cell/place.go
+++ b/pkg/process/cell/place.go
@@ -266,9 +266,9 @@
 }
 
 // imageAffinity rates a worker for a serving task by how alike its serving images are to the task's in
-// which fillers slow them down: from -imageAffinityWeight for nothing in common to imageAffinityWeight for the same image,
-// and 0 for a worker without serving tasks. A filler that is harmless to one image may harm another, so
-// with like images grouped together every filler finds a harmless worker.
+// which fillers slow them down: from -imageAffinityWeight for nothing in common to imageAffinityWeight for
+// the same image, and 0 for a worker without serving tasks. A filler that is harmless to one image may harm
+// another, so with like images grouped together every filler finds a harmless worker.
 func (s *State) imageAffinity(u *jobs.Unit, w *workers.Worker) float64 {
 	if !w.Serving() || !s.has(ServingByImage) {
 		return 0
--- a/pkg/process/cell/record.go
+++ b/pkg/process/cell/record.go
@@ -69,7 +69,7 @@
 	expired bool
 	// delegations is the number of specifications of delegated tasks for other cells.
 	delegations int
-	// notifications are notifications of the leaders of other cells. They are sent when the transaction is durable.
+	// notifications go to the leaders of other cells once the transaction is durable.
 	notifications []Tell
 	// isolated are the tasks for which an isolated run is recorded before it starts.
 	isolated []*jobs.Task
