--- a/pkg/process/cell/busycell_test.go
+++ b/pkg/process/cell/busycell_test.go
@@ -43,6 +43,8 @@
 	silent map[string]bool
 }
 
+// theManifest has a queue of batch work (offers) and one of serving tasks (watches), both of a service whose
+// workers refuse starts beyond their capacity.
 var theManifest = manifest.New(1, []manifest.Queue{
 	{Name: "offers", Service: "quotes", Priority: 2, MaxAttempts: 3, Stretch: 2, Slack: time.Second},
 	{Name: "watches", Service: "quotes", MaxAttempts: 3, Stretch: 2, Slack: time.Second},
@@ -98,6 +100,7 @@
 	})
 }
 
+// accept has the cell accept a job with the given steps.
 func (b *busyCell) accept(id, queue string, steps ...*wire.StepSpec) {
 	b.state.Take(b.now, cell.Accepted{Spec: &wire.JobSpec{Id: id, Queue: queue, Service: "quotes", Cell: "hall", Steps: steps}})
 }
@@ -149,6 +152,7 @@
 	}
 }
 
+// answerLook answers a poll with the worker's report, or with an error if the worker is silent.
 func (b *busyCell) answerLook(l cell.SendLook) {
 	looked := cell.Looked{Worker: l.To.ID, SentAt: b.now}
 	if b.silent[l.To.ID] {
@@ -159,6 +163,7 @@
 	b.state.Take(b.now, looked)
 }
 
+// report returns a worker's report as of now.
 func (b *busyCell) report(id string) workers.Report {
 	r := *b.reports[id]
 	r.Clock = b.clock
--- a/pkg/process/cell/events.go
+++ b/pkg/process/cell/events.go
@@ -239,7 +239,7 @@
 	Worker string
 	// Detail gives more facts as text.
 	Detail string
-	// AgeMs is the age of the information or of what the line is about, in ms; -1: none.
+	// AgeMs is in ms the age of the information, or another time that Notes names for this kind; -1: none.
 	AgeMs int64
 	Code  fault.Code
 	// Reason is why a lasting task waits. FitsHere and FitsElsewhere are how often it fits into the
--- a/pkg/process/cell/pace.go
+++ b/pkg/process/cell/pace.go
@@ -40,7 +40,7 @@
 	// sameReadingFor is how long an unchanged reading counts as the same one. Workers take a new reading every
 	// half second, and answer polls more often.
 	sameReadingFor = 600 * time.Millisecond
-	// interferenceNoteInterval is the interval at which the log lists what the interference model has learned.
+	// interferenceNoteInterval is the interval at which the log lists the coefficients of the interference model.
 	interferenceNoteInterval = 10 * time.Second
 )
 
--- a/pkg/process/cell/place.go
+++ b/pkg/process/cell/place.go
@@ -155,7 +155,7 @@
 		w := s.chooseWorker(now, t, service, usable)
 		if w == nil && t.Choosy() {
 			s.tellWait(now, t, service, usable)
-			continue // the unit's other tasks may run on workers that this one can't take
+			continue // the unit's other tasks may not need a specific worker
 		}
 		if w == nil {
 			s.reserveFor(now, t, service, usable)
--- a/pkg/process/cell/place_test.go
+++ b/pkg/process/cell/place_test.go
@@ -103,7 +103,8 @@
 }
 
 // Under load, fillers of jobs past their objectives were placed beside serving tasks at the same harm as
-// other fillers. The serving tasks over their targets cost four times what such fillers still earned.
+// other fillers. The serving tasks that this put over their targets cost four times what such fillers still
+// earned.
 func TestFillerOfHopelessJobWaitsForLessHarmfulWorker(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
--- a/pkg/process/cell/record.go
+++ b/pkg/process/cell/record.go
@@ -31,7 +31,7 @@
 	maxTransactionEntries = 100
 )
 
-// part holds what is to be written to one part of the table, and the transaction in flight.
+// part holds the unwritten changes of one part of the table, and the transaction in flight.
 type part struct {
 	name string
 	// fence is the version of the cell's fence row in this part; 0 until it is known.
@@ -58,7 +58,7 @@
 	ends []pendingEnd
 }
 
-// sentJob is what the transaction in flight contains of one job.
+// sentJob is a job's share of the transaction in flight.
 type sentJob struct {
 	job *jobs.Job
 	// value is the progress row.
@@ -179,9 +179,9 @@
 	s.emitTransaction(now, p)
 }
 
-// addProgress adds to a transaction what is to be written of a job: its progress, specifications of newly
-// delegated tasks, and the report on a delegated job to its home cell. For an ended job it adds the removal
-// of its specification and cancel, and a cancel for each cell that tasks were delegated to.
+// addProgress adds a job's changes to a transaction: its progress, specifications of newly delegated tasks,
+// and the report on a delegated job to its home cell. For an ended job it adds the removal of its
+// specification and cancel, and a cancel for each cell that tasks were delegated to.
 func (s *State) addProgress(tx *table.Transaction, j *jobs.Job) sentJob {
 	id := j.Spec.GetId()
 	key := rows.ProgressKey(s.name, id)
@@ -228,11 +228,18 @@
 	return list
 }
 
-// maxEntries returns the most entries that a job takes in a transaction: the condition and the row of its
-// progress, the removal of its specification and of its cancel, a report, two entries for each cell that
+const (
+	// entriesPerJob are the condition and the row of a job's progress, the removal of its specification and
+	// of its cancel, and a report.
+	entriesPerJob = 5
+	// entriesPerTargetCell are the removal of a cell's report on delegated tasks, and a cancel for the cell.
+	entriesPerTargetCell = 2
+)
+
+// maxEntries returns the most entries that a job takes in a transaction: its own, those of each cell that
 // tasks were delegated to, the cancel's rows for the other cells, and specifications of delegated tasks.
 func (s *State) maxEntries(j *jobs.Job) int {
-	return 5 + len(s.peers) + 2*len(j.Borrowers()) + len(latestByCell(s.lent[j]))
+	return entriesPerJob + len(s.peers) + entriesPerTargetCell*len(j.Borrowers()) + len(latestByCell(s.lent[j]))
 }
 
 // maxEntriesExpired is the most entries that an expired job takes in a transaction.
@@ -267,7 +274,7 @@
 	return sentJob{job: j, expired: true}
 }
 
-// emitTransaction emits the transaction of a part.
+// emitTransaction emits a part's transaction under a new serial number.
 func (s *State) emitTransaction(now time.Time, p *part) {
 	p.sending = true
 	p.serial++
@@ -370,7 +377,8 @@
 	s.markPartDurable(now, p)
 }
 
-// markJobDurable notes that what a transaction contains of a job is durable, and does what waited for that.
+// markJobDurable notes that a job's share of a transaction is durable: it sends the notifications, and allows
+// the isolated runs that were recorded.
 func (s *State) markJobDurable(sent sentJob, version int64) {
 	j := sent.job
 	j.Recorded = version
--- a/pkg/process/cell/rooms_test.go
+++ b/pkg/process/cell/rooms_test.go
@@ -19,6 +19,7 @@
 	version int64
 }
 
+// newResizableWorker returns a leader that has polled its worker, of 32 cores.
 func newResizableWorker() *resizableWorker { return &resizableWorker{lives: newLives()} }
 
 // setCapacity registers the worker with a new capacity, in a new version of its row.
