--- a/pkg/process/cell/place.go
+++ b/pkg/process/cell/place.go
@@ -209,9 +209,9 @@
 	}
 	var best *workers.Worker
 	bestScore := 0.0
-	accused := t.Choosy()
+	needsSpecific := t.Choosy()
 	for _, w := range usable {
-		if !s.fits(now, t.Unit, service, w) || (accused && awaitsHost(now, t, w, usable)) {
+		if !s.fits(now, t.Unit, service, w) || (needsSpecific && awaitsHost(now, t, w, usable)) {
 			continue
 		}
 		score := s.score(t, w)
--- a/pkg/process/cell/record.go
+++ b/pkg/process/cell/record.go
@@ -218,10 +218,10 @@
 	if !j.CancelAsked || j.Guest() || j.Spec.GetCell() != s.name {
 		return nil
 	}
-	borrowers := j.Borrowers()
+	targetCells := j.Borrowers()
 	var list []table.Key
 	for _, name := range s.peers {
-		if !slices.Contains(borrowers, name) {
+		if !slices.Contains(targetCells, name) {
 			list = append(list, rows.CancelKey(name, j.Spec.GetId()))
 		}
 	}
