--- a/pkg/process/cell/cancel_test.go
+++ b/pkg/process/cell/cancel_test.go
@@ -13,9 +13,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// removedBy loads a job whose cancel stands in the table, and returns the rows that the leader's first records
-// take away.
-func removedBy(job cell.LoadedJob) []table.Key {
+// rowsRemovedOnLoad loads a job whose cancel is in the table, and returns the rows that the leader's first transactions
+// remove.
+func rowsRemovedOnLoad(job cell.LoadedJob) []table.Key {
 	now := time.Unix(1000, 0)
 	s := cell.New("hall", cell.Bounds{Retention: time.Minute}, cell.WithPeers([]string{"hall", "lent", "never"}))
 	s.Take(now, cell.Led{Epoch: 1, RosterUntil: now})
@@ -29,28 +29,28 @@
 	return list
 }
 
-// A cancel has a row for every cell. The leader of the cell that keeps the job takes away, with the record
-// of its end, those of cells that never had tasks of it; a cell that has had some takes its own.
-func TestTheHomeCellTakesAwayCancelsThatNobodyNeeds(t *testing.T) {
+// A cancel is written as one row for every cell. When the leader of the home cell records the job's end, it
+// removes the rows for cells that never had tasks of the job. A cell that had some removes its own row.
+func TestHomeCellRemovesUnusedCancels(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
 	steps := []*wire.StepSpec{{Count: 1, Millicores: 1000}}
 	lent := &wire.JobProgress{Id: id, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{LentTo: "lent", Lending: 1}}}}}
-	removed := removedBy(cell.LoadedJob{Spec: &wire.JobSpec{Id: id, Cell: "hall", Queue: "offers", Service: "quotes", Steps: steps}, Progress: lent, Recorded: 2})
+	removed := rowsRemovedOnLoad(cell.LoadedJob{Spec: &wire.JobSpec{Id: id, Cell: "hall", Queue: "offers", Service: "quotes", Steps: steps}, Progress: lent, Recorded: 2})
 	must.True(t, slices.Contains(removed, rows.CancelKey("never", id)))
 	must.True(t, slices.Contains(removed, rows.CancelKey("hall", id)))
 	must.False(t, slices.Contains(removed, rows.CancelKey("lent", id)))
 }
 
-// A cell that was lent tasks takes away its own row alone: that of the cell which keeps the job must stand until
-// that has seen it. That is so, too, where nothing is known any more but that the job has ended here.
-func TestABorrowerLeavesTheOtherCellsCancels(t *testing.T) {
+// A cell that tasks were delegated to removes only its own row of a cancel: the home cell's row must stand until
+// the home cell's leader has read it. The same holds where all that is left of the job is that it has ended here.
+func TestBorrowerRemovesOnlyItsOwnCancel(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
 	guest := &wire.JobSpec{Id: id, Cell: "hall", Home: "never", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}, Guest: []*wire.TaskRef{{Lending: 1}}}
 	ended := &wire.JobProgress{Id: id, Phase: wire.JobPhase_JOB_PHASE_CANCELLED}
 	for _, job := range []cell.LoadedJob{{Spec: guest}, {Spec: &wire.JobSpec{Id: id}, Progress: ended, Recorded: 2}} {
-		removed := removedBy(job)
+		removed := rowsRemovedOnLoad(job)
 		must.True(t, slices.Contains(removed, rows.CancelKey("hall", id)))
 		must.False(t, slices.Contains(removed, rows.CancelKey("never", id)))
 		must.False(t, slices.Contains(removed, rows.CancelKey("lent", id)))
