--- a/pkg/process/cell/advice.go
+++ b/pkg/process/cell/advice.go
@@ -16,14 +16,14 @@
 // tasks of the step, on that incarnation of the worker, for a limited time.
 
 const (
-	// adviceNames is how many workers a call names for each waiting task, so that some of the approved workers still
-	// have capacity. adviceMost is the most workers that a call names.
-	adviceNames = 3
-	adviceMost  = 30
-	// adviceAgain is the pause after a call that failed or approved no worker.
-	adviceAgain = 300 * time.Millisecond
-	// adviceMargin is taken off a ticket's validity, for the time that a start order takes to reach its worker.
-	adviceMargin = 300 * time.Millisecond
+	// namedWorkersPerTask is how many workers a call names for each waiting task, so that some of the approved workers
+	// still have capacity. maxNamedWorkers is the most workers that a call names.
+	namedWorkersPerTask = 3
+	maxNamedWorkers     = 30
+	// adviceRetryPause is the pause after a call that failed or approved no worker.
+	adviceRetryPause = 300 * time.Millisecond
+	// ticketMargin is taken off a ticket's validity, for the time that a start order takes to reach its worker.
+	ticketMargin = 300 * time.Millisecond
 )
 
 // SendAdvice asks the advice service which of the named workers may run a unit; Advised answers.
@@ -47,10 +47,10 @@
 type advice struct {
 	// tickets are by worker.
 	tickets map[string]string
-	// until is when the tickets expire.
-	until time.Time
-	// again is the earliest time for the unit's next call of the advice service.
-	again time.Time
+	// validUntil is when the tickets expire.
+	validUntil time.Time
+	// retryAt is the earliest time for the unit's next call of the advice service.
+	retryAt time.Time
 }
 
 // advised returns whether starts of a unit need a ticket, and for how long a ticket is valid.
@@ -66,28 +66,28 @@
 // its tasks, it asks the advice service for more tickets.
 func (s *State) ticketed(now time.Time, u *jobs.Unit, usable []*workers.Worker) []*workers.Worker {
 	a := s.advices[u.Name()]
-	var good []*workers.Worker
+	var approved []*workers.Worker
 	room := false
 	for _, w := range usable {
-		if a == nil || a.tickets[w.ID] == "" || now.After(a.until) {
+		if a == nil || a.tickets[w.ID] == "" || now.After(a.validUntil) {
 			continue
 		}
-		good = append(good, w)
+		approved = append(approved, w)
 		room = room || s.fits(now, u, s.service(u.Job), w)
 	}
-	if !room && (a == nil || !now.Before(a.again)) {
-		s.askAdvice(now, u, usable)
+	if !room && (a == nil || !now.Before(a.retryAt)) {
+		s.requestAdvice(now, u, usable)
 	}
-	return good
+	return approved
 }
 
-// askAdvice calls the advice service for a unit, unless a call is in flight. The call names the first usable workers
-// that the unit fits on.
-func (s *State) askAdvice(now time.Time, u *jobs.Unit, usable []*workers.Worker) {
+// requestAdvice calls the advice service for a unit, unless a call is in flight. The call names the first usable
+// workers that the unit fits on.
+func (s *State) requestAdvice(now time.Time, u *jobs.Unit, usable []*workers.Worker) {
 	if s.adviceOut != "" {
 		return
 	}
-	most := min(adviceMost, adviceNames*len(u.Waiting(now)))
+	most := min(maxNamedWorkers, namedWorkersPerTask*len(u.Waiting(now)))
 	var names []string
 	for _, w := range usable {
 		if len(names) < most && s.fits(now, u, s.service(u.Job), w) {
@@ -108,7 +108,7 @@
 	}
 	s.adviceOut = ""
 	s.placeNow = true
-	a := &advice{tickets: e.Tickets, again: now.Add(adviceAgain)}
+	a := &advice{tickets: e.Tickets, retryAt: now.Add(adviceRetryPause)}
 	s.advices[e.Unit] = a
 	if e.Err != nil {
 		s.note(Note{What: NoteAdvice, Task: e.Unit, Detail: e.Err.Error(), Code: fault.CodeOf(e.Err), AgeMs: -1})
@@ -118,7 +118,7 @@
 	if j := s.jobs[id.Job]; ok && j != nil {
 		if t := j.Task(id.Time, id.Step, 0); t != nil {
 			valid, _ := s.advised(t.Unit)
-			a.until = now.Add(max(0, valid-adviceMargin))
+			a.validUntil = now.Add(max(0, valid-ticketMargin))
 		}
 	}
 	s.note(Note{What: NoteAdvice, Job: id.Job, Task: e.Unit, Detail: fmt.Sprintf("%d workers approved", len(e.Tickets)), AgeMs: -1})
--- a/pkg/process/cell/harm.go
+++ b/pkg/process/cell/harm.go
@@ -14,67 +14,67 @@
 // package interference: above 0, a serving task is over its target.
 
 const (
-	// overCost is what a serving task over its target costs per second. workEarns is what a filler earns per core
-	// and second. Both are multiples of what a serving task earns per second. On the platform's sites, a serving
+	// overTargetCost is what a serving task over its target costs per second. fillerCoreValue is what a filler earns per
+	// core and second. Both are multiples of what a serving task earns per second. On the platform's sites, a serving
 	// job of 6 tasks earns 0.5 every 2 s, which is 0.042 per task and second. A filler job of 150 core-seconds earns
-	// 2.65, which is 0.018 per core and second, or 0.42 of the former. workEarns is half of that ratio, because jobs
-	// have some slack, and because half earns most: at 0.42, serving tasks lose more than fillers gain; at 0.1,
-	// fillers lose more than serving tasks gain (docs/MEASUREMENTS.md).
-	overCost  = 4.0
-	workEarns = 0.2
-	// placeAhead is how far ahead the levels of serving tasks are predicted when a place is weighed: half of a
-	// filler's run. placeSD is the standard deviation of a level from that prediction.
-	placeAhead = 1500 * time.Millisecond
-	placeSD    = 0.8
-	// usualSD is the standard deviation of a serving task's level over a whole wave of its load.
-	usualSD = 1.0
+	// 2.65, which is 0.018 per core and second, or 0.42 of the former. fillerCoreValue is half of that ratio,
+	// because jobs have some slack, and because half earns most: at 0.42, serving tasks lose more than fillers
+	// gain; at 0.1, fillers lose more than serving tasks gain (docs/MEASUREMENTS.md).
+	overTargetCost  = 4.0
+	fillerCoreValue = 0.2
+	// predictionHorizon is how far ahead the levels of serving tasks are predicted when a place is weighed: half of a
+	// filler's run. predictionSD is the standard deviation of a level from that prediction.
+	predictionHorizon = 1500 * time.Millisecond
+	predictionSD      = 0.8
+	// usualLevelSD is the standard deviation of a serving task's level over a whole wave of its load.
+	usualLevelSD = 1.0
 )
 
-// overChance returns the probability that a level is over its target, given the expected level and the standard
-// deviation.
-func overChance(expected, deviation float64) float64 {
+// overTargetProbability returns the probability that a level is over its target, given the expected level and the
+// standard deviation.
+func overTargetProbability(expected, deviation float64) float64 {
 	return 0.5 * math.Erfc(-expected/deviation/math.Sqrt2)
 }
 
-// riseCost returns the rise in the probability of being over the target, summed over the serving tasks, when fillers of
-// an image use more of the worker's processors. more is that share of the worker; deviation is the standard deviation
-// of the tasks' levels.
-func (s *State) riseCost(serving []neighbour, filler string, more, deviation float64) float64 {
+// overTargetRise returns the rise in the probability of being over the target, summed over the serving tasks, when
+// fillers of an image use more of the worker's processors. more is that share of the worker; deviation is the standard
+// deviation of the tasks' levels.
+func (s *State) overTargetRise(serving []servingNeighbour, filler string, more, deviation float64) float64 {
 	cost := 0.0
 	for _, t := range serving {
 		rise := s.press.Coefficient(t.image, filler) * more
-		cost += overChance(t.level+rise, deviation) - overChance(t.level, deviation)
+		cost += overTargetProbability(t.level+rise, deviation) - overTargetProbability(t.level, deviation)
 	}
 	return cost
 }
 
 // neighbours are the runs beside which a filler would run on a worker.
 type neighbours struct {
-	// there is the share of the worker's processors that its fillers use at full pace, by image.
-	there map[string]float64
+	// fillerPressures is the share of the worker's processors that its fillers use at full pace, by image.
+	fillerPressures map[string]float64
 	// serving are the serving tasks, with the levels that are predicted for them beside these fillers.
-	serving []neighbour
+	serving []servingNeighbour
 }
 
-// neighbour is a serving task that a filler would run beside.
-type neighbour struct {
+// servingNeighbour is a serving task that a filler would run beside.
+type servingNeighbour struct {
 	image string
 	level float64
 }
 
 // neighboursOf returns the neighbours that a filler would have on a worker.
 func (s *State) neighboursOf(w *workers.Worker) neighbours {
-	n := neighbours{there: map[string]float64{}}
+	n := neighbours{fillerPressures: map[string]float64{}}
 	scale := fillerScale(w, 0)
 	for _, r := range w.Runs {
 		if r.Task.Unit.Spec.GetFiller() {
-			n.there[r.Task.Unit.Image()] += pressure(w, r.Task.Unit) * scale
+			n.fillerPressures[r.Task.Unit.Image()] += pressure(w, r.Task.Unit) * scale
 		}
 	}
 	for _, r := range w.Runs {
 		if r.Task.Unit.Spec.GetTailTargetMs() > 0 {
 			image := r.Task.Unit.Image()
-			n.serving = append(n.serving, neighbour{image, s.press.Predict(image, n.there) + r.OwnLoad.Expect(placeAhead)})
+			n.serving = append(n.serving, servingNeighbour{image, s.press.Predict(image, n.fillerPressures) + r.OwnLoad.Expect(predictionHorizon)})
 		}
 	}
 	return n
@@ -91,7 +91,7 @@
 // until the next round of placement, or until a task starts on the worker.
 func (s *State) fillerHarm(u *jobs.Unit, w *workers.Worker) float64 {
 	if !s.has(WeighedPlaces) {
-		return -earns(u)
+		return -valueRate(u)
 	}
 	if harm, ok := s.harms[place{w, u}]; ok {
 		return harm
@@ -102,16 +102,16 @@
 		s.neighbours[w] = n
 	}
 	more := pressure(w, u) * fillerScale(w, u.Size.Millicores)
-	harm := overCost*s.riseCost(n.serving, u.Image(), more, placeSD) - earns(u)
+	harm := overTargetCost*s.overTargetRise(n.serving, u.Image(), more, predictionSD) - valueRate(u)
 	s.harms[place{w, u}] = harm
 	return harm
 }
 
-// typicalFiller is the size, in millicores, of the filler for which a cell counts its capacity. harmlessPart is the
-// largest part of its earnings that such a filler may cost its neighbours and still count as harmless.
+// typicalFillerMillicores is the size of the filler for which a cell counts its capacity. harmlessShare is the largest
+// part of its earnings that such a filler may cost its neighbours and still count as harmless.
 const (
-	typicalFiller = 4000
-	harmlessPart  = 0.5
+	typicalFillerMillicores = 4000
+	harmlessShare           = 0.5
 )
 
 // fillerRoom returns, for each known filler image, the millicores that tasks other than fillers leave unused on the
@@ -120,7 +120,7 @@
 	room := map[string]int64{}
 	for _, image := range s.press.Fillers() {
 		for _, w := range s.sorted() {
-			if unused := w.Unused(); w.Listed && !w.Leaving && !w.Gone && s.harmless(image, w) {
+			if unused := w.Unused(); w.Listed && !w.Leaving && !w.Gone && s.fillerHarmless(image, w) {
 				room[image] += max(0, unused+w.FillersAsk())
 			}
 		}
@@ -128,8 +128,8 @@
 	return room
 }
 
-// fillerFreeMost is the most fillers that fillerFree counts for one worker.
-const fillerFreeMost = 4
+// maxFillersCounted is the most fillers that fillerFree counts for one worker.
+const maxFillersCounted = 4
 
 // fillerFree returns, for each known filler image, the millicores of fillers that could start in this cell at once
 // without costing their neighbours more than they earn, less the fillers that already wait here.
@@ -142,7 +142,7 @@
 		}
 		n := s.neighboursOf(w)
 		for _, image := range images {
-			free[image] += typicalFiller * s.fillersThatFit(w, n, image)
+			free[image] += typicalFillerMillicores * s.fillersThatFit(w, n, image)
 		}
 	}
 	for u := range s.waiting {
@@ -158,14 +158,14 @@
 	return free
 }
 
-// fillersThatFit returns how many more fillers of typicalFiller millicores a worker takes without costing its
-// neighbours more than they earn, at most fillerFreeMost.
+// fillersThatFit returns how many more fillers of typicalFillerMillicores a worker takes without costing its
+// neighbours more than they earn, at most maxFillersCounted.
 func (s *State) fillersThatFit(w *workers.Worker, n neighbours, image string) int64 {
 	fit := int64(0)
-	for fit < fillerFreeMost && w.Unused() >= (fit+1)*typicalFiller {
-		asks := (fit + 1) * typicalFiller
+	for fit < maxFillersCounted && w.Unused() >= (fit+1)*typicalFillerMillicores {
+		asks := (fit + 1) * typicalFillerMillicores
 		more := float64(asks) / float64(max(1, w.Capacity.Millicores)) * fillerScale(w, asks)
-		if overCost*s.riseCost(n.serving, image, more, placeSD) > workEarns*float64(asks)/1000 {
+		if overTargetCost*s.overTargetRise(n.serving, image, more, predictionSD) > fillerCoreValue*float64(asks)/1000 {
 			break
 		}
 		fit++
@@ -173,38 +173,38 @@
 	return fit
 }
 
-// harmless returns whether a filler of typicalFiller millicores costs a worker's serving tasks at most harmlessPart of
-// its earnings, at their usual load.
-func (s *State) harmless(image string, w *workers.Worker) bool {
-	more := float64(typicalFiller) / float64(max(1, w.Capacity.Millicores))
-	var usual []neighbour
+// fillerHarmless returns whether a filler of typicalFillerMillicores costs a worker's serving tasks at most
+// harmlessShare of its earnings, at their usual load.
+func (s *State) fillerHarmless(image string, w *workers.Worker) bool {
+	more := float64(typicalFillerMillicores) / float64(max(1, w.Capacity.Millicores))
+	var usual []servingNeighbour
 	for _, r := range w.Runs {
 		if serving := r.Task.Unit; serving.Spec.GetTailTargetMs() > 0 {
-			usual = append(usual, neighbour{serving.Image(), s.press.Alone(serving.Image())})
+			usual = append(usual, servingNeighbour{serving.Image(), s.press.Alone(serving.Image())})
 		}
 	}
-	return overCost*s.riseCost(usual, image, more, usualSD) <= harmlessPart*workEarns*typicalFiller/1000
+	return overTargetCost*s.overTargetRise(usual, image, more, usualLevelSD) <= harmlessShare*fillerCoreValue*typicalFillerMillicores/1000
 }
 
-// lateEarns and hopelessEarns are the parts of its full earnings that a filler is credited with when its job can no
-// longer meet its objective (late), or is so late that it earns nothing (hopeless). Users pay 15% for late jobs. The
-// parts are larger than that because 0.4 for late jobs takes more from those jobs than it gives to their neighbours.
+// lateValueShare and hopelessValueShare are the parts of its full earnings that a filler is credited with when its job
+// can no longer meet its objective (late), or is so late that it earns nothing (hopeless). Users pay 15% for late jobs.
+// The parts are larger than that because 0.4 for late jobs takes more from those jobs than it gives to their neighbours.
 const (
-	lateEarns     = 0.7
-	hopelessEarns = 0.2
+	lateValueShare     = 0.7
+	hopelessValueShare = 0.2
 )
 
 // fullEarns returns what a filler earns per second at full pace while its job can still meet its objective.
-func fullEarns(u *jobs.Unit) float64 { return workEarns * float64(u.Size.Millicores) / 1000 }
+func fullEarns(u *jobs.Unit) float64 { return fillerCoreValue * float64(u.Size.Millicores) / 1000 }
 
-// earns returns what a filler earns per second at full pace, by its job's outlook.
-func earns(u *jobs.Unit) float64 {
+// valueRate returns what a filler earns per second at full pace, by its job's outlook.
+func valueRate(u *jobs.Unit) float64 {
 	full := fullEarns(u)
 	switch u.Outlook {
 	case jobs.Late:
-		return full * lateEarns
+		return full * lateValueShare
 	case jobs.Hopeless:
-		return full * hopelessEarns
+		return full * hopelessValueShare
 	default:
 		return full
 	}
--- a/pkg/process/cell/lacks.go
+++ b/pkg/process/cell/lacks.go
@@ -10,73 +10,74 @@
 
 // The conditions that block the placement of a task on a worker, and the log lines about them while the task waits.
 
-// lack is a condition that blocks the placement of a task on a worker.
-type lack string
+// blocker is a condition that blocks the placement of a task on a worker.
+type blocker string
 
 const (
-	lacksNothing lack = ""
-	lacksLabel   lack = "label"
-	lacksRoom    lack = "room"
-	lacksMemory  lack = "memory"
-	lacksHold    lack = "held for lasting tasks"
-	lacksUnused  lack = "unused processors"
-	lacksHarm    lack = "harm to neighbours"
-	lacksSpread  lack = "spread"
-	lacksHealth  lack = "in quarantine"
-	lacksTrial   lack = "reserved for an isolated run"
+	lacksNothing            blocker = ""
+	blockedByLabel          blocker = "label"
+	blockedByCapacity       blocker = "room"
+	blockedByMemory         blocker = "memory"
+	blockedByReservation    blocker = "held for lasting tasks"
+	blockedByBusyProcessors blocker = "unused processors"
+	blockedByFillerCost     blocker = "harm to neighbours"
+	blockedBySpread         blocker = "spread"
+	blockedByQuarantine     blocker = "in quarantine"
+	blockedByIsolatedRun    blocker = "reserved for an isolated run"
 )
 
 // lacks returns the first condition that blocks the placement of one more task of a unit on a worker, or lacksNothing.
-func (s *State) lacks(now time.Time, u *jobs.Unit, service string, w *workers.Worker) lack {
+func (s *State) lacks(now time.Time, u *jobs.Unit, service string, w *workers.Worker) blocker {
 	switch {
 	case w.Service != service || !w.HasLabel(u.Spec.GetLabel()):
-		return lacksLabel
+		return blockedByLabel
 	case !workers.Reserved(u).Fits(w.Free()):
-		return lacksWhich(u, w)
+		return capacityBlocker(u, w)
 	case len(s.closed) > 0 && s.closed[w] && !s.mayJoinIsolated(now, u, w):
-		return lacksTrial
+		return blockedByIsolatedRun
 	case len(w.Strays) > 0 && !s.guards(service) && !s.unsafe.NoStrayRoom:
-		return lacksRoom // it is unknown how much capacity the orphaned runs there take
+		return blockedByCapacity // it is unknown how much capacity the orphaned runs there take
 	case s.held[w] && !u.Lasting():
-		return lacksHold
+		return blockedByReservation
 	case u.Spec.GetFiller() && !fillerFits(now, u, w):
-		return lacksUnused
+		return blockedByBusyProcessors
 	case u.Spec.GetFiller() && s.fillerHarm(u, w) > s.mayCost(now, u):
-		return lacksHarm
+		return blockedByFillerCost
 	case u.Spec.GetSpread() > 0 && w.CountOf(u) >= int(u.Spec.GetSpread()):
-		return lacksSpread
+		return blockedBySpread
 	case s.aside(now, w): // after its time in quarantine, a worker gets a single run as a trial
-		return lacksHealth
+		return blockedByQuarantine
 	}
 	return lacksNothing
 }
 
-// lacksWhich returns lacksMemory for a worker on which a task would fit but for its memory, else lacksRoom.
-func lacksWhich(u *jobs.Unit, w *workers.Worker) lack {
-	but := workers.Reserved(u)
-	but.MemoryMB = 0
-	if but.Fits(w.Free()) {
-		return lacksMemory
+// capacityBlocker returns blockedByMemory for a worker on which a task would fit but for its memory, else
+// blockedByCapacity.
+func capacityBlocker(u *jobs.Unit, w *workers.Worker) blocker {
+	withoutMemory := workers.Reserved(u)
+	withoutMemory.MemoryMB = 0
+	if withoutMemory.Fits(w.Free()) {
+		return blockedByMemory
 	}
-	return lacksRoom
+	return blockedByCapacity
 }
 
 const (
-	// waitTold is the wait after which the log gives the reason why a task waits. waitToldAgain is the interval at
+	// waitLogAfter is the wait after which the log gives the reason why a task waits. waitLogInterval is the interval at
 	// which the log repeats it.
-	waitTold      = 2 * time.Second
-	waitToldAgain = 5 * time.Second
+	waitLogAfter    = 2 * time.Second
+	waitLogInterval = 5 * time.Second
 )
 
 // tellWait logs, for a task that has waited for long, on how many usable workers each condition blocks its placement.
 func (s *State) tellWait(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) {
 	u := t.Unit
 	waited := now.Sub(u.ReadyAt)
-	if waited < waitTold || now.Sub(u.WaitToldAt) < waitToldAgain {
+	if waited < waitLogAfter || now.Sub(u.WaitToldAt) < waitLogInterval {
 		return
 	}
 	u.WaitToldAt = now
-	counts := map[lack]int{}
+	counts := map[blocker]int{}
 	for _, w := range usable {
 		counts[s.lacks(now, u, service, w)]++
 	}
--- a/pkg/process/cell/lend.go
+++ b/pkg/process/cell/lend.go
@@ -12,7 +12,7 @@
 )
 
 // Delegation of tasks to other cells. A lasting task for which its own cell, the home cell, has no free capacity is
-// delegated to another cell. lendShort and lendGang are the rules for short tasks and gangs.
+// delegated to another cell. delegateShort and delegateGang have the rules for short tasks and gangs.
 //
 // All rows of a job are in one part of the table. So one transaction records in the home cell that the task is
 // delegated, and writes a specification with only that task for the target cell. The job stays in its home cell.
@@ -26,34 +26,34 @@
 // have no effect.
 
 const (
-	// lendAfter is how long a lasting task waits before it is delegated. By the platform's rules it is late after
+	// delegateAfter is how long a lasting task waits before it is delegated. By the platform's rules it is late after
 	// six seconds without a run. In the first two seconds, capacity often becomes free in its own cell.
-	lendAfter = 2 * time.Second
-	// ownCellFirst is the least time that a task waits in its own cell before it is delegated, even if it has
-	// already waited for longer than lendAfter in other cells.
-	ownCellFirst = 300 * time.Millisecond
-	// fitsToLend is how many times a lasting task must fit into the free capacity of all other cells together
+	delegateAfter = 2 * time.Second
+	// ownCellGrace is the least time that a task waits in its own cell before it is delegated, even if it has
+	// already waited for longer than delegateAfter in other cells.
+	ownCellGrace = 300 * time.Millisecond
+	// minFitsElsewhere is how many times a lasting task must fit into the free capacity of all other cells together
 	// before it is delegated. By the platform's rules the task has to run where it fits twice. The last place is
 	// left to short tasks, which earn more there.
-	fitsToLend = 2
+	minFitsElsewhere = 2
 	// returnAfter is how long a delegated task waits in the target cell before it is returned.
 	returnAfter = 1500 * time.Millisecond
-	// refusedFor is how long a task is not delegated again to a cell that returned it. The free capacity there
-	// was in fragments that were too small, and one or two tasks have to end before that changes. refusedFor is
-	// less than the three seconds within which free capacity has to be used.
-	refusedFor = 2200 * time.Millisecond
-	// giveShare divides the free capacity that another cell reports: only one part in giveShare may be filled per
-	// load message, because other cells delegate there too and the capacity is fragmented.
-	giveShare = 2
-	// lendToHoldAfter is how long a lasting task waits before it is delegated to a cell that first has to make room
-	// for it. That cell keeps short tasks off a worker until the task fits, which a cell full of lasting tasks
+	// returnBackoff is how long a task is not delegated again to a cell that returned it. The free capacity there
+	// was in fragments that were too small, and one or two tasks have to end before that changes. returnBackoff
+	// is less than the three seconds within which free capacity has to be used.
+	returnBackoff = 2200 * time.Millisecond
+	// peerFreeDivisor divides the free capacity that another cell reports: only one part in peerFreeDivisor may be
+	// filled per load message, because other cells delegate there too and the capacity is fragmented.
+	peerFreeDivisor = 2
+	// delegateToMakeRoomAfter is how long a lasting task waits before it is delegated to a cell that first has to make
+	// room for it. That cell keeps short tasks off a worker until the task fits, which a cell full of lasting tasks
 	// can't do. It costs short tasks their capacity, so it is only for a wait that would not end otherwise.
-	lendToHoldAfter = 10 * time.Second
+	delegateToMakeRoomAfter = 10 * time.Second
 	// othersFresh is the greatest age at which another cell's load message is used.
 	othersFresh = 3 * time.Second
-	// lendConfirmed is the greatest age of the last leadership renewal at which the table counts as available.
+	// tableConfirmedWithin is the greatest age of the last leadership renewal at which the table counts as available.
 	// Renewals come every 0.4 s.
-	lendConfirmed = time.Second
+	tableConfirmedWithin = time.Second
 )
 
 // otherLoad is the last load message from the leader of another cell.
@@ -61,20 +61,21 @@
 	load *wire.CellLoad
 	// at is when the message was received.
 	at time.Time
-	// given, givenFillers and givenShort are the millicores of lasting tasks, fillers and other short tasks that
-	// were delegated to the cell since the message.
-	given, givenFillers, givenShort int64
+	// delegatedLasting, delegatedFillers and delegatedShort are the millicores of lasting tasks, fillers and other
+	// short tasks that were delegated to the cell since the message.
+	delegatedLasting, delegatedFillers, delegatedShort int64
 }
 
 // tableAnswers returns whether a write to the table is likely to succeed soon: no part of the table failed its last
-// write, and the leadership was renewed within lendConfirmed.
+// write, and the leadership was renewed within
+// tableConfirmedWithin.
 func (s *State) tableAnswers(now time.Time) bool {
 	for _, p := range s.parts {
 		if p.failing {
 			return false
 		}
 	}
-	return now.Sub(s.confirmedAt) <= lendConfirmed
+	return now.Sub(s.confirmedAt) <= tableConfirmedWithin
 }
 
 // lend delegates tasks that have waited long enough to cells with free capacity. Lasting tasks and gangs that were
@@ -85,7 +86,7 @@
 	}
 	var units []*jobs.Unit
 	for u := range s.waiting {
-		if (u.Lasting() && s.has(LendLasting)) || s.mayLendShort(u) || s.mayLendGang(u) {
+		if (u.Lasting() && s.has(LendLasting)) || s.mayDelegateShort(u) || s.mayDelegateGang(u) {
 			units = append(units, u)
 		}
 	}
@@ -96,23 +97,23 @@
 		return 1
 	})
 	for _, u := range units {
-		if s.mayLendGang(u) {
-			s.lendGang(now, u)
+		if s.mayDelegateGang(u) {
+			s.delegateGang(now, u)
 			continue
 		}
 		if !u.Lasting() {
-			s.lendShort(now, u)
+			s.delegateShort(now, u)
 			continue
 		}
 		for _, t := range u.Waiting(now) {
 			waited := now.Sub(waitsSince(t))
 			switch {
-			case u.Job.Guest() && now.Sub(hereSince(t)) >= returnAfter:
-				s.giveBack(now, t)
+			case u.Job.Guest() && now.Sub(waitingHereSince(t)) >= returnAfter:
+				s.returnTask(now, t)
 			case s.awaitsWord(now, t) && t.Level() >= blame.OnTrial:
 				// The task may be given up once it is known whether its silent worker crashed.
-			case !u.Job.Guest() && waited >= lendAfter && now.Sub(hereSince(t)) >= ownCellFirst:
-				s.lendTask(now, t)
+			case !u.Job.Guest() && waited >= delegateAfter && now.Sub(waitingHereSince(t)) >= ownCellGrace:
+				s.delegateTask(now, t)
 			}
 		}
 	}
@@ -127,27 +128,27 @@
 	return t.WaitsSince
 }
 
-// hereSince returns since when a task has waited in this cell. Where that is not known, it is the time at which this
-// leader found the task's unit ready.
-func hereSince(t *jobs.Task) time.Time {
+// waitingHereSince returns since when a task has waited in this cell. Where that is not known, it is the time at which
+// this leader found the task's unit ready.
+func waitingHereSince(t *jobs.Task) time.Time {
 	if t.HereSince.IsZero() {
 		return t.Unit.ReadyAt
 	}
 	return t.HereSince
 }
 
-// lendTask delegates a lasting task to another cell, if one can take it.
-func (s *State) lendTask(now time.Time, t *jobs.Task) {
+// delegateTask delegates a lasting task to another cell, if one can take it.
+func (s *State) delegateTask(now time.Time, t *jobs.Task) {
 	size := t.Unit.Size.Millicores
-	name := s.borrower(now, t.Unit, t.RefusedAt)
-	if name == "" && now.Sub(waitsSince(t)) >= lendToHoldAfter {
-		name = s.holder(now, t.Unit, t.RefusedAt)
+	name := s.peerForTask(now, t.Unit, t.RefusedAt)
+	if name == "" && now.Sub(waitsSince(t)) >= delegateToMakeRoomAfter {
+		name = s.peerToMakeRoom(now, t.Unit, t.RefusedAt)
 	}
 	if name == "" {
 		return
 	}
 	o := s.others[name]
-	o.given += size
+	o.delegatedLasting += size
 	s.others[name] = o
 	j := t.Unit.Job
 	t.Waited = now.Sub(waitsSince(t))
@@ -158,15 +159,15 @@
 		What: NoteLent, Job: j.Spec.GetId(), Task: t.Name(), AgeMs: now.Sub(o.at).Milliseconds(),
 		Detail: fmt.Sprintf(
 			"to %s with %d millicores free, %d delegated since that report, waited %s",
-			name, o.load.GetFreeMillicores(), o.given, now.Sub(waitsSince(t)).Round(time.Millisecond),
+			name, o.load.GetFreeMillicores(), o.delegatedLasting, now.Sub(waitsSince(t)).Round(time.Millisecond),
 		),
 	})
 }
 
-// giveBack returns a delegated task to its home cell, if another cell reports capacity for it.
-func (s *State) giveBack(now time.Time, t *jobs.Task) {
+// returnTask returns a delegated task to its home cell, if another cell reports capacity for it.
+func (s *State) returnTask(now time.Time, t *jobs.Task) {
 	j := t.Unit.Job
-	name := s.borrower(now, t.Unit, nil)
+	name := s.peerForTask(now, t.Unit, nil)
 	if name == "" || j.Spec.GetHome() == "" || len(t.Runs) > 0 {
 		return
 	}
@@ -211,20 +212,20 @@
 	s.completeIfDone(now, j)
 }
 
-// fresh returns whether a task may be delegated on the load message: it is recent, and its cell has settled, so that
-// a delegated task may start there at once.
-func (o otherLoad) fresh(now time.Time) bool {
+// mayReceive returns whether a task may be delegated on the load message: it is recent, and its cell has settled, so
+// that a delegated task may start there at once.
+func (o otherLoad) mayReceive(now time.Time) bool {
 	return now.Sub(o.at) <= othersFresh && o.load.GetSettlesInMs() == 0
 }
 
-// carries returns whether the cell has workers with the label that the unit requires, if it requires one.
-func (o otherLoad) carries(u *jobs.Unit) bool {
+// hasLabelFor returns whether the cell has workers with the label that the unit requires, if it requires one.
+func (o otherLoad) hasLabelFor(u *jobs.Unit) bool {
 	return u.Spec.GetLabel() == "" || slices.Contains(o.load.GetLabels(), u.Spec.GetLabel())
 }
 
-// freeFor returns the free millicores of each worker of the cell that may take tasks of the unit. Lasting tasks may
+// freeEachFor returns the free millicores of each worker of the cell that may take tasks of the unit. Lasting tasks may
 // also take workers that they would share with an isolated run.
-func (o otherLoad) freeFor(u *jobs.Unit) []int64 {
+func (o otherLoad) freeEachFor(u *jobs.Unit) []int64 {
 	if each := o.load.GetLastingFreeEach(); u.Lasting() && len(each) > 0 {
 		return each
 	}
@@ -237,36 +238,36 @@
 	size := max(1, u.Size.Millicores)
 	fits := int64(0)
 	for name, o := range s.others {
-		if name == s.name || !o.fresh(now) || !o.carries(u) {
+		if name == s.name || !o.mayReceive(now) || !o.hasLabelFor(u) {
 			continue
 		}
-		for _, free := range o.freeFor(u) {
+		for _, free := range o.freeEachFor(u) {
 			fits += free / size
 		}
-		fits -= o.given / size
+		fits -= o.delegatedLasting / size
 	}
 	return fits
 }
 
-// borrower returns the cell with the most free capacity for a task of a unit. Cells that returned the task within
-// refusedFor are skipped. It returns "" if no cell has capacity, or if the task fits fewer than fitsToLend times into
-// all other cells together.
-func (s *State) borrower(now time.Time, u *jobs.Unit, refused map[string]time.Time) string {
-	if s.fitsElsewhere(now, u) < fitsToLend {
+// peerForTask returns the cell with the most free capacity left, among the cells that have a worker on which a task of
+// the unit fits. Cells that returned the task within returnBackoff are skipped. It returns "" if there is no such cell,
+// or if the task fits fewer than minFitsElsewhere times into all other cells together.
+func (s *State) peerForTask(now time.Time, u *jobs.Unit, returnedAt map[string]time.Time) string {
+	if s.fitsElsewhere(now, u) < minFitsElsewhere {
 		return ""
 	}
 	size := u.Size.Millicores
 	best, most := "", int64(-1)
 	for _, name := range slices.Sorted(maps.Keys(s.others)) {
 		o := s.others[name]
-		if name == s.name || now.Sub(refused[name]) < refusedFor || !o.fresh(now) || !o.carries(u) {
+		if name == s.name || now.Sub(returnedAt[name]) < returnBackoff || !o.mayReceive(now) || !o.hasLabelFor(u) {
 			continue
 		}
 		if o.load.GetLargestFreeMillicores() < size {
 			continue
 		}
-		left := o.load.GetFreeMillicores()/giveShare - o.given
-		if o.given > 0 && left < size {
+		left := o.load.GetFreeMillicores()/peerFreeDivisor - o.delegatedLasting
+		if o.delegatedLasting > 0 && left < size {
 			continue
 		}
 		if left > most {
@@ -276,14 +277,15 @@
 	return best
 }
 
-// holder returns the cell whose best worker would have the most capacity for a lasting task of a unit once the short
-// tasks there have ended, or "". Cells that returned the task within refusedFor are skipped. So are cells to which a
-// lasting task was delegated since their last load message: one task is delegated per message.
-func (s *State) holder(now time.Time, u *jobs.Unit, refused map[string]time.Time) string {
+// peerToMakeRoom returns the cell whose best worker would have the most capacity for a lasting task of a unit once the
+// short tasks there have ended, or "" if the task would fit nowhere. Cells that returned the task within returnBackoff
+// are skipped. So are cells to which a lasting task was delegated since their last load message: one task is delegated
+// per message.
+func (s *State) peerToMakeRoom(now time.Time, u *jobs.Unit, returnedAt map[string]time.Time) string {
 	best, most := "", u.Size.Millicores-1
 	for _, name := range slices.Sorted(maps.Keys(s.others)) {
 		o := s.others[name]
-		if name == s.name || o.given > 0 || !o.carries(u) || now.Sub(refused[name]) < refusedFor || !o.fresh(now) {
+		if name == s.name || o.delegatedLasting > 0 || !o.hasLabelFor(u) || now.Sub(returnedAt[name]) < returnBackoff || !o.mayReceive(now) {
 			continue
 		}
 		if room := o.load.GetLargestLastingMillicores(); room > most {
--- a/pkg/process/cell/lend_gang.go
+++ b/pkg/process/cell/lend_gang.go
@@ -14,27 +14,27 @@
 // crash evidence and checkpoint go with it. A gang that has run here, or may have, waits longer before that, because
 // this cell may still learn that it ended well. A target cell without free capacity returns the gang as a whole.
 
-// lendTriedAfter is how long a gang that may have run here waits before it is delegated. After the longest lease, no
-// run of it can still go on.
-const lendTriedAfter = LongestLease
+// delegateRanGangAfter is how long a gang that may have run here waits before it is delegated. After the longest lease,
+// no run of it can still go on.
+const delegateRanGangAfter = LongestLease
 
-// mayLendGang returns whether a unit is a gang that another cell may run. Gangs of fillers, lasting gangs and gangs
+// mayDelegateGang returns whether a unit is a gang that another cell may run. Gangs of fillers, lasting gangs and gangs
 // whose starts need an advice ticket stay in their cell.
-func (s *State) mayLendGang(u *jobs.Unit) bool {
+func (s *State) mayDelegateGang(u *jobs.Unit) bool {
 	_, advised := s.advised(u)
 	return u.Spec.GetGang() && !u.Spec.GetFiller() && !u.Lasting() && !advised && s.has(LendPlain)
 }
 
-// lendGang delegates a gang that has waited long enough to a cell with capacity for all of its tasks. A gang that was
-// delegated to this cell is returned after returnAfter.
-func (s *State) lendGang(now time.Time, u *jobs.Unit) {
+// delegateGang delegates a gang that has waited long enough to a cell with capacity for all of its tasks. A gang that
+// was delegated to this cell is returned after returnAfter.
+func (s *State) delegateGang(now time.Time, u *jobs.Unit) {
 	if len(u.Waiting(now)) < len(u.Tasks) {
 		return
 	}
 	first := u.Tasks[0]
-	waited, after := now.Sub(u.ReadyAt), lendAfter
-	if slices.ContainsFunc(u.Tasks, hasRun) {
-		after = lendTriedAfter
+	waited, after := now.Sub(u.ReadyAt), delegateAfter
+	if slices.ContainsFunc(u.Tasks, mayHaveRunBefore) {
+		after = delegateRanGangAfter
 	}
 	if slices.ContainsFunc(u.Tasks, s.triedAlone) {
 		after = otherHostFor // another cell would have to run it isolated, too
@@ -45,7 +45,7 @@
 	if u.Job.Guest() {
 		if now.Sub(waitsSince(first)) >= returnAfter {
 			for _, t := range u.Tasks {
-				s.giveBack(now, t)
+				s.returnTask(now, t)
 			}
 		}
 		return
@@ -53,11 +53,11 @@
 	if waited < after {
 		return
 	}
-	name, room := s.gangBorrower(now, u, first.RefusedAt)
+	name, room := s.peerForGang(now, u, first.RefusedAt)
 	if name == "" {
 		return
 	}
-	s.countGiven(name, u, len(u.Tasks))
+	s.countDelegated(name, u, len(u.Tasks))
 	j := u.Job
 	s.lent[j] = append(s.lent[j], j.Lend(name, u.Tasks...))
 	s.markDirty(j, true)
@@ -68,22 +68,23 @@
 	})
 }
 
-// hasRun returns whether a task has run, or may have: it was started here, or a crash, a failed run or a checkpoint
-// of it is known.
-func hasRun(t *jobs.Task) bool {
+// mayHaveRunBefore returns whether a task has run, or may have: it may have been started here, or a crash, a failed run
+// or a checkpoint of it is known.
+func mayHaveRunBefore(t *jobs.Task) bool {
 	return t.Tried || len(t.Crashes) > 0 || len(t.FailedRuns) > 0 || t.Checkpoint != ""
 }
 
-// gangBorrower returns the cell with capacity for the most tasks of a gang, and for how many. It returns "" if no cell
-// has capacity for the whole gang. Cells that returned the gang within refusedFor are skipped.
-func (s *State) gangBorrower(now time.Time, u *jobs.Unit, refused map[string]time.Time) (best string, most int64) {
+// peerForGang returns the cell with capacity for the most tasks of a gang, and for how many. It returns "" if no cell
+// has capacity for the whole gang. Cells that returned the gang within returnBackoff
+// are skipped.
+func (s *State) peerForGang(now time.Time, u *jobs.Unit, returnedAt map[string]time.Time) (best string, most int64) {
 	size := max(1, u.Size.Millicores)
 	for _, name := range slices.Sorted(maps.Keys(s.others)) {
 		o := s.others[name]
-		if name == s.name || now.Sub(refused[name]) < refusedFor || !o.fresh(now) || !o.carries(u) {
+		if name == s.name || now.Sub(returnedAt[name]) < returnBackoff || !o.mayReceive(now) || !o.hasLabelFor(u) {
 			continue
 		}
-		room := -o.givenShort / size
+		room := -o.delegatedShort / size
 		for _, free := range o.load.GetFreeEach() {
 			fit := free / size
 			if spread := int64(u.Spec.GetSpread()); spread > 0 {
--- a/pkg/process/cell/lend_short.go
+++ b/pkg/process/cell/lend_short.go
@@ -14,17 +14,17 @@
 // cells that have free capacity.
 
 const (
-	// lendFillerAfter is how long a filler waits before it is delegated. That is some polls of the workers, between
+	// delegateFillerAfter is how long a filler waits before it is delegated. That is some polls of the workers, between
 	// which the load of its neighbours may fall. A delegation takes about 50 ms.
-	lendFillerAfter = 400 * time.Millisecond
-	// lendPlainAfter is how long other short tasks wait before they are delegated. It is less than lendFillerAfter
-	// because their objectives are the tightest.
-	lendPlainAfter = 100 * time.Millisecond
+	delegateFillerAfter = 400 * time.Millisecond
+	// delegatePlainAfter is how long other short tasks wait before they are delegated. It is less than
+	// delegateFillerAfter because their objectives are the tightest.
+	delegatePlainAfter = 100 * time.Millisecond
 )
 
-// mayLendShort returns whether each task of a unit may run by itself in any cell. Lasting tasks, gangs, tasks that
+// mayDelegateShort returns whether each task of a unit may run by itself in any cell. Lasting tasks, gangs, tasks that
 // require a label or rack, tasks whose starts need an advice ticket, and tasks delegated to this cell may not.
-func (s *State) mayLendShort(u *jobs.Unit) bool {
+func (s *State) mayDelegateShort(u *jobs.Unit) bool {
 	if (u.Spec.GetFiller() && !s.has(LendFillers)) || (!u.Spec.GetFiller() && !s.has(LendPlain)) {
 		return false
 	}
@@ -33,76 +33,76 @@
 	return !u.Lasting() && !bound && !advised && !u.Job.Guest()
 }
 
-// lendShort delegates waiting tasks of a unit to the cell where most of them could start at once. Only tasks that have
-// never run are delegated. A task that has failed stays, so that one cell counts all its failures. A task with a
+// delegateShort delegates waiting tasks of a unit to the cell where most of them could start at once. Only tasks that
+// have never run are delegated. A task that has failed stays, so that one cell counts all its failures. A task with a
 // checkpoint resumes in the cell that knows the checkpoint. If a task's worker fell silent, this cell may still learn
 // that the run there ended well.
-func (s *State) lendShort(now time.Time, u *jobs.Unit) {
-	after := lendPlainAfter
+func (s *State) delegateShort(now time.Time, u *jobs.Unit) {
+	after := delegatePlainAfter
 	if u.Spec.GetFiller() {
-		after = lendFillerAfter
+		after = delegateFillerAfter
 	}
 	waited := now.Sub(u.ReadyAt)
 	if waited < after {
 		return
 	}
-	var fresh []*jobs.Task
+	var neverRun []*jobs.Task
 	for _, t := range u.Waiting(now) {
-		if !hasRun(t) {
-			fresh = append(fresh, t)
+		if !mayHaveRunBefore(t) {
+			neverRun = append(neverRun, t)
 		}
 	}
-	name, room := s.shortBorrower(now, u)
-	n := min(len(fresh), room)
+	name, room := s.peerForShort(now, u)
+	n := min(len(neverRun), room)
 	if n <= 0 {
 		return
 	}
-	s.countGiven(name, u, n)
+	s.countDelegated(name, u, n)
 	j := u.Job
-	s.lent[j] = append(s.lent[j], j.Lend(name, fresh[:n]...))
+	s.lent[j] = append(s.lent[j], j.Lend(name, neverRun[:n]...))
 	s.markDirty(j, true)
 	s.touch(now, j)
 	s.note(Note{
-		What: NoteLent, Job: j.Spec.GetId(), Task: fresh[0].Name(), AgeMs: now.Sub(s.others[name].at).Milliseconds(),
-		Detail: fmt.Sprintf("%d of %d waiting tasks to %s with capacity for %d, waited %s", n, len(fresh), name, room, waited.Round(time.Millisecond)),
+		What: NoteLent, Job: j.Spec.GetId(), Task: neverRun[0].Name(), AgeMs: now.Sub(s.others[name].at).Milliseconds(),
+		Detail: fmt.Sprintf("%d of %d waiting tasks to %s with capacity for %d, waited %s", n, len(neverRun), name, room, waited.Round(time.Millisecond)),
 	})
 }
 
-// countGiven adds n short tasks of a unit to what was delegated to a cell since its last load message.
-func (s *State) countGiven(name string, u *jobs.Unit, n int) {
+// countDelegated adds n short tasks of a unit to what was delegated to a cell since its last load message.
+func (s *State) countDelegated(name string, u *jobs.Unit, n int) {
 	o := s.others[name]
 	if u.Spec.GetFiller() {
-		o.givenFillers += int64(n) * u.Size.Millicores
+		o.delegatedFillers += int64(n) * u.Size.Millicores
 	} else {
-		o.givenShort += int64(n) * u.Size.Millicores
+		o.delegatedShort += int64(n) * u.Size.Millicores
 	}
 	s.others[name] = o
 }
 
-// shortBorrower returns the cell where most tasks of a unit could start at once, and how many may be delegated to it
+// peerForShort returns the cell where most tasks of a unit could start at once, and how many may be delegated to it
 // on its last load message; "" and 0 if there is none.
-func (s *State) shortBorrower(now time.Time, u *jobs.Unit) (best string, most int) {
+func (s *State) peerForShort(now time.Time, u *jobs.Unit) (best string, most int) {
 	for _, name := range slices.Sorted(maps.Keys(s.others)) {
 		o := s.others[name]
-		if name == s.name || !o.fresh(now) {
+		if name == s.name || !o.mayReceive(now) {
 			continue
 		}
-		if room := o.roomFor(u); room > most {
+		if room := o.delegableTasks(u); room > most {
 			best, most = name, room
 		}
 	}
 	return best, most
 }
 
-// roomFor returns how many more tasks of a unit may be delegated to the cell on its last load message.
-func (o otherLoad) roomFor(u *jobs.Unit) int {
+// delegableTasks returns how many more tasks of a unit may be delegated to the cell on its last load message.
+func (o otherLoad) delegableTasks(u *jobs.Unit) int {
 	size := max(1, u.Size.Millicores)
 	if u.Spec.GetFiller() {
-		return int((o.load.GetFillerFreeMillicores()[u.Image()] - o.givenFillers) / size)
+		return int((o.load.GetFillerFreeMillicores()[u.Image()] - o.delegatedFillers) / size)
 	}
 	fit := int64(0)
 	for _, free := range o.load.GetFreeEach() {
 		fit += free / size
 	}
-	return int(fit/giveShare - o.givenShort/size)
+	return int(fit/peerFreeDivisor - o.delegatedShort/size)
 }
--- a/pkg/process/cell/lend_short_test.go
+++ b/pkg/process/cell/lend_short_test.go
@@ -13,8 +13,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// freeFor returns a load message in which the named cell has free millicores for fillers of an image.
-func freeFor(name, image string, millicores int64) cell.OtherLoad {
+// loadWithFillerCapacity returns a load message in which the named cell has free millicores for fillers of an image.
+func loadWithFillerCapacity(name, image string, millicores int64) cell.OtherLoad {
 	return cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: name, FillerFreeMillicores: map[string]int64{image: millicores}}}
 }
 
@@ -43,30 +43,30 @@
 	b.fillWorkers()
 	b.accept(lentJob, "offers", twoFillerSteps()...)
 	for range 20 {
-		b.state.Take(b.now, freeFor("other", "f1", 8000))
+		b.state.Take(b.now, loadWithFillerCapacity("other", "f1", 8000))
 		b.step(50 * time.Millisecond)
 	}
-	lent := &wire.JobSpec{}
-	b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, lent)) })
-	must.Eq(t, "hall", lent.GetHome())
-	must.Len(t, 3, lent.GetGuest(), must.Sprint("two on one load message, the third on a later one; the second step isn't ready"))
+	delegated := &wire.JobSpec{}
+	b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, delegated)) })
+	must.Eq(t, "hall", delegated.GetHome())
+	must.Len(t, 3, delegated.GetGuest(), must.Sprint("two on one load message, the third on a later one; the second step isn't ready"))
 	must.False(t, b.started[lentJob+".0.0.0"])
-	var told int
+	var notified int
 	for _, w := range b.words {
 		if w.Lent != nil {
-			told++
+			notified++
 			must.Eq(t, "other", w.Cell)
 		}
 	}
-	must.Positive(t, told, must.Sprint("the other cell's leader is notified at once"))
+	must.Positive(t, notified, must.Sprint("the other cell's leader is notified at once"))
 
 	// Tasks that the other cell reports as done count as done here, and the next step follows.
-	done := &wire.ReturnedTasks{Id: lentJob, From: "other", Home: "hall", Done: lent.GetGuest()}
+	done := &wire.ReturnedTasks{Id: lentJob, From: "other", Home: "hall", Done: delegated.GetGuest()}
 	b.state.Take(b.now, cell.Returned{Tasks: done})
 	b.state.Take(b.now, cell.Returned{Tasks: done})
 	var second *wire.JobSpec
 	for range 20 {
-		b.state.Take(b.now, freeFor("other", "f2", 8000))
+		b.state.Take(b.now, loadWithFillerCapacity("other", "f2", 8000))
 		b.step(50 * time.Millisecond)
 		b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) {
 			second = &wire.JobSpec{}
@@ -86,8 +86,8 @@
 	must.True(t, cancelled, must.Sprint("the other cell is told to drop the job"))
 }
 
-// guestSpec is the specification that cell "home" writes when it delegates two tasks to cell "hall".
-func guestSpec() *wire.JobSpec {
+// delegatedSpec is the specification that cell "home" writes when it delegates two tasks to cell "hall".
+func delegatedSpec() *wire.JobSpec {
 	return &wire.JobSpec{
 		Id: lentJob, Queue: "offers", Service: "quotes", Cell: "hall", Home: "home", Steps: twoFillerSteps(),
 		Guest: []*wire.TaskRef{{Step: 1, Lending: 1}, {Step: 1, Index: 1, Lending: 1}},
@@ -98,7 +98,7 @@
 func TestTargetCellReportsDoneTasks(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.state.Take(b.now, cell.Accepted{Spec: guestSpec()})
+	b.state.Take(b.now, cell.Accepted{Spec: delegatedSpec()})
 	b.step(50 * time.Millisecond)
 	must.True(t, b.started[lentJob+".0.1.0"], must.Sprint("its step was ready when the task was delegated"))
 	must.False(t, b.started[lentJob+".0.0.0"])
@@ -112,15 +112,15 @@
 	must.Eq(t, "home", report.GetHome())
 	must.Len(t, 2, report.GetDone())
 	must.Len(t, 0, report.GetTasks())
-	var told *wire.ReturnedTasks
+	var notified *wire.ReturnedTasks
 	for _, w := range b.words {
 		if w.Returned != nil {
 			must.Eq(t, "home", w.Cell)
-			told = w.Returned
+			notified = w.Returned
 		}
 	}
-	must.NotNil(t, told)
-	must.Len(t, 2, told.GetDone())
+	must.NotNil(t, notified)
+	must.Len(t, 2, notified.GetDone())
 	progress := &wire.JobProgress{}
 	b.putsOf(t, rows.ProgressKey("hall", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, progress)) })
 	must.NotEq(t, wire.JobPhase_JOB_PHASE_COMPLETED, progress.GetPhase(), must.Sprint("only the home cell ends the job"))
@@ -130,7 +130,7 @@
 func TestFinalFailureInTargetCellFailsJob(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.state.Take(b.now, cell.Accepted{Spec: guestSpec()})
+	b.state.Take(b.now, cell.Accepted{Spec: delegatedSpec()})
 	for range 3 { // the queue's MaxAttempts
 		b.step(50 * time.Millisecond)
 		b.finish(lentJob+".0.1.0", workers.EndedFailed)
@@ -162,7 +162,7 @@
 	b.fillWorkers()
 	b.finish(lentJob+".0.0.0", workers.EndedFailed)
 	for range 40 {
-		b.state.Take(b.now, freeFor("other", "f1", 100_000))
+		b.state.Take(b.now, loadWithFillerCapacity("other", "f1", 100_000))
 		b.step(50 * time.Millisecond)
 	}
 	for _, w := range b.words {
@@ -181,10 +181,10 @@
 		b.state.Take(b.now, cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{7000, 2900, 6100, 500}}})
 		b.step(50 * time.Millisecond)
 	}
-	lent := &wire.JobSpec{}
-	b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, lent)) })
-	must.Positive(t, len(lent.GetGuest()))
-	must.Eq(t, "hall", lent.GetHome())
+	delegated := &wire.JobSpec{}
+	b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, delegated)) })
+	must.Positive(t, len(delegated.GetGuest()))
+	must.Eq(t, "hall", delegated.GetHome())
 
 	bound := newEmptyCell()
 	bound.fillWorkers()
--- a/pkg/process/cell/lend_test.go
+++ b/pkg/process/cell/lend_test.go
@@ -18,7 +18,7 @@
 	t.Parallel()
 	b := newBusyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
-	var lent *wire.JobSpec
+	var delegated *wire.JobSpec
 	var note *wire.TaskNote
 	for range 200 {
 		b.state.Take(b.now, cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", LargestFreeMillicores: 32000, FreeEach: []int64{32000, 30000}}})
@@ -26,9 +26,9 @@
 		for _, r := range b.records {
 			for _, put := range r.Transaction.Puts {
 				if put.Table == rows.SpecTable("other") {
-					lent = &wire.JobSpec{}
-					must.NoError(t, rows.Read(put, lent))
-					must.Eq(t, rows.JobPart(lent.GetId()), put.Part)
+					delegated = &wire.JobSpec{}
+					must.NoError(t, rows.Read(put, delegated))
+					must.Eq(t, rows.JobPart(delegated.GetId()), put.Part)
 				}
 				if put.Key == rows.ProgressKey("hall", "00000000000000ff") {
 					p := &wire.JobProgress{}
@@ -38,9 +38,9 @@
 			}
 		}
 	}
-	must.NotNil(t, lent)
-	must.Eq(t, "00000000000000ff", lent.GetId())
-	must.Len(t, 1, lent.GetGuest())
+	must.NotNil(t, delegated)
+	must.Eq(t, "00000000000000ff", delegated.GetId())
+	must.Len(t, 1, delegated.GetGuest())
 	must.NotNil(t, note)
 	must.Eq(t, "other", note.GetLentTo())
 }
@@ -59,9 +59,9 @@
 		for _, r := range b.records {
 			for _, put := range r.Transaction.Puts {
 				if put.Table == rows.SpecTable("other") {
-					lent := &wire.JobSpec{}
-					must.NoError(t, rows.Read(put, lent))
-					most = max(most, len(lent.GetGuest()))
+					delegated := &wire.JobSpec{}
+					must.NoError(t, rows.Read(put, delegated))
+					most = max(most, len(delegated.GetGuest()))
 				}
 			}
 		}
@@ -124,7 +124,7 @@
 	t.Parallel()
 	b := newBusyCell()
 	b.accept(lentJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
-	lentTo := func(name string) bool {
+	delegatedTo := func(name string) bool {
 		found := false
 		b.putsOf(t, rows.SpecKey(name, lentJob), func(table.Row) { found = true })
 		return found
@@ -133,7 +133,7 @@
 		b.state.Take(b.now, roomAt("full"))
 		b.step(50 * time.Millisecond)
 	}
-	must.True(t, lentTo("full"))
+	must.True(t, delegatedTo("full"))
 	back := &wire.ReturnedTasks{Id: lentJob, From: "full", Tasks: []*wire.TaskRef{{Lending: 1}}}
 	b.state.Take(b.now, cell.Returned{Tasks: back})
 	b.records = nil
@@ -141,13 +141,13 @@
 		b.state.Take(b.now, roomAt("full"))
 		b.step(50 * time.Millisecond)
 	}
-	must.False(t, lentTo("full"), must.Sprint("the cell has just returned the task"))
+	must.False(t, delegatedTo("full"), must.Sprint("the cell has just returned the task"))
 	for range 60 {
 		b.state.Take(b.now, roomAt("third"))
 		b.state.Take(b.now, cell.Returned{Tasks: back}) // the row is read repeatedly
 		b.step(50 * time.Millisecond)
 	}
-	must.True(t, lentTo("third"))
+	must.True(t, delegatedTo("third"))
 
 	// The end of the job is reported to each cell that has had its task, and the row that returned the task is removed.
 	b.records = nil
@@ -161,9 +161,9 @@
 	}
 	must.True(t, removed)
 	for _, name := range []string{"full", "third"} {
-		told := false
-		b.putsOf(t, rows.CancelKey(name, lentJob), func(table.Row) { told = true })
-		must.True(t, told, must.Sprint(name))
+		notified := false
+		b.putsOf(t, rows.CancelKey(name, lentJob), func(table.Row) { notified = true })
+		must.True(t, notified, must.Sprint(name))
 	}
 }
 
@@ -273,20 +273,20 @@
 	t.Parallel()
 	b := newBusyCell()
 	b.accept(lentJob, "watches", &wire.StepSpec{Count: 2, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
-	lent := &wire.JobSpec{}
+	delegated := &wire.JobSpec{}
 	for i := range 100 {
 		b.state.Take(b.now, cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", LargestFreeMillicores: 2000, LargestLastingMillicores: 31000}})
 		b.step(100 * time.Millisecond)
-		b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, lent)) })
+		b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, delegated)) })
 		if i < 90 {
-			must.Len(t, 0, lent.GetGuest(), must.Sprint("the task first waits for free capacity"))
+			must.Len(t, 0, delegated.GetGuest(), must.Sprint("the task first waits for free capacity"))
 		}
 	}
 	for range 50 {
 		b.step(20 * time.Millisecond)
-		b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, lent)) })
+		b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, delegated)) })
 	}
-	must.Len(t, 1, lent.GetGuest(), must.Sprint("one task per load message"))
+	must.Len(t, 1, delegated.GetGuest(), must.Sprint("one task per load message"))
 }
 
 // Each cell is nearly full of lasting tasks (examples/lab/full.jsonc). A lasting task without capacity in its own cell
@@ -295,19 +295,19 @@
 	t.Parallel()
 	b := newBusyCell()
 	b.accept(lentJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
-	lentAfter := func(each map[string][]int64, most time.Duration) bool {
+	delegatedWithin := func(each map[string][]int64, most time.Duration) bool {
 		for begin := b.now; b.now.Sub(begin) < most; {
 			for name, free := range each {
 				b.state.Take(b.now, cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: name, LargestFreeMillicores: free[0], FreeMillicores: 40_000, FreeEach: free}})
 			}
 			b.step(100 * time.Millisecond)
 		}
-		lent := false
+		delegated := false
 		for name := range each {
-			b.putsOf(t, rows.SpecKey(name, lentJob), func(table.Row) { lent = true })
+			b.putsOf(t, rows.SpecKey(name, lentJob), func(table.Row) { delegated = true })
 		}
-		return lent
+		return delegated
 	}
-	must.False(t, lentAfter(map[string][]int64{"other": {32000, 8000}}, 6*time.Second), must.Sprint("it fits once"))
-	must.True(t, lentAfter(map[string][]int64{"other": {32000, 8000}, "third": {31000}}, time.Second), must.Sprint("it fits twice"))
+	must.False(t, delegatedWithin(map[string][]int64{"other": {32000, 8000}}, 6*time.Second), must.Sprint("it fits once"))
+	must.True(t, delegatedWithin(map[string][]int64{"other": {32000, 8000}, "third": {31000}}, time.Second), must.Sprint("it fits twice"))
 }
--- a/pkg/process/cell/lend_wait_test.go
+++ b/pkg/process/cell/lend_wait_test.go
@@ -17,7 +17,7 @@
 	t.Parallel()
 	b := newBusyCell()
 	b.accept(lentJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
-	lent := func() bool {
+	delegated := func() bool {
 		found := false
 		b.putsOf(t, rows.SpecKey("other", lentJob), func(table.Row) { found = true })
 		return found
@@ -28,10 +28,10 @@
 		b.state.Take(b.now, load)
 		b.step(50 * time.Millisecond)
 	}
-	must.False(t, lent())
+	must.False(t, delegated())
 	b.state.Take(b.now, roomAt("other"))
 	b.step(100 * time.Millisecond)
-	must.True(t, lent())
+	must.True(t, delegated())
 }
 
 // While a leader waits for the first answer of a worker, its load message reports how long that may still take.
@@ -104,13 +104,13 @@
 	must.MapLen(t, 16, b.started)
 	b.silent["w03"] = true
 	b.records = nil
-	lent := false
+	delegated := false
 	for range 55 {
 		b.state.Take(b.now, roomAt("other"))
 		b.step(100 * time.Millisecond)
-		b.putsOf(t, rows.SpecKey("other", lentJob), func(table.Row) { lent = true })
+		b.putsOf(t, rows.SpecKey("other", lentJob), func(table.Row) { delegated = true })
 	}
-	must.True(t, lent)
+	must.True(t, delegated)
 }
 
 // A task that has to run isolated is handed over before it is known whether its silent worker crashed. If the wait for
--- a/pkg/process/cell/waits.go
+++ b/pkg/process/cell/waits.go
@@ -14,7 +14,7 @@
 // WaitReason is what keeps a lasting task from its next run.
 type WaitReason string
 
-// The reasons. Where several hold, whyWaits returns the first one that it checks.
+// The reasons. Where several hold, waitReason returns the first one that it checks.
 const (
 	// WaitUnsettled: the task may still run on a worker that has not answered this leader yet.
 	WaitUnsettled WaitReason = "unsettled"
@@ -43,34 +43,34 @@
 )
 
 const (
-	// lastingWaitNoted is the wait after which the log gives the reason why a lasting task waits, and the interval
-	// at which the log repeats it.
-	lastingWaitNoted = time.Second
-	// lastingWaitsMost is the most log lines per interval.
-	lastingWaitsMost = 6
+	// lastingWaitLogInterval is the wait after which the log gives the reason why a lasting task waits, and the
+	// interval at which the log repeats it.
+	lastingWaitLogInterval = time.Second
+	// lastingWaitLogLines is the most log lines per interval.
+	lastingWaitLogLines = 6
 )
 
 // noteLastingWaits logs why lasting tasks wait.
 func (s *State) noteLastingWaits(now time.Time) {
-	if now.Sub(s.waitsNotedAt) < lastingWaitNoted {
+	if now.Sub(s.waitsNotedAt) < lastingWaitLogInterval {
 		return
 	}
 	s.waitsNotedAt = now
 	lines := 0
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
-		if j.Ended() || !hasLasting(j) {
+		if j.Ended() || !hasLastingStep(j) {
 			continue
 		}
-		for _, t := range lastingWaits(j) {
+		for _, t := range waitingLastingTasks(j) {
 			waited := now.Sub(waitsSince(t))
-			if waited < lastingWaitNoted {
+			if waited < lastingWaitLogInterval {
 				continue
 			}
-			if lines++; lines > lastingWaitsMost {
+			if lines++; lines > lastingWaitLogLines {
 				return
 			}
-			reason, here := s.whyWaits(now, t)
+			reason, here := s.waitReason(now, t)
 			s.note(Note{
 				What: NoteLastingWaits, Job: id, Task: t.Name(), AgeMs: waited.Milliseconds(), Reason: reason,
 				FitsHere: here, FitsElsewhere: max(0, s.fitsElsewhere(now, t.Unit)),
@@ -79,13 +79,13 @@
 	}
 }
 
-// hasLasting returns whether a job has a step of lasting tasks.
-func hasLasting(j *jobs.Job) bool {
+// hasLastingStep returns whether a job has a step of lasting tasks.
+func hasLastingStep(j *jobs.Job) bool {
 	return slices.ContainsFunc(j.Spec.GetSteps(), func(step *wire.StepSpec) bool { return step.GetLasting() })
 }
 
-// lastingWaits returns the lasting tasks of a job that this cell has to run and that have no run.
-func lastingWaits(j *jobs.Job) []*jobs.Task {
+// waitingLastingTasks returns the lasting tasks of a job that this cell has to run and that have no run.
+func waitingLastingTasks(j *jobs.Job) []*jobs.Task {
 	var list []*jobs.Task
 	for _, u := range j.Units {
 		if !u.Lasting() || !u.Ready() {
@@ -100,8 +100,8 @@
 	return list
 }
 
-// whyWaits returns why a lasting task waits, and how many times it fits into the free capacity of this cell's workers.
-func (s *State) whyWaits(now time.Time, t *jobs.Task) (reason WaitReason, here int64) {
+// waitReason returns why a lasting task waits, and how many times it fits into the free capacity of this cell's workers.
+func (s *State) waitReason(now time.Time, t *jobs.Task) (reason WaitReason, here int64) {
 	fits := s.fitsHere(now, t)
 	switch {
 	case !t.Settled:
@@ -116,35 +116,35 @@
 		return WaitIsolated, fits.free
 	case fits.usable > 0 && s.has(OrderWindow) && !s.orders.Room():
 		return WaitOrders, fits.free
-	case fits.kept > 0 && fits.usable == 0:
+	case fits.reserved > 0 && fits.usable == 0:
 		return WaitKept, fits.free
 	case fits.free > 0 && fits.usable == 0:
 		return WaitWorkers, fits.free
 	}
-	return s.whyNotElsewhere(now, t), fits.free
+	return s.undelegatedReason(now, t), fits.free
 }
 
-// whyNotElsewhere returns why a task for which this cell has no capacity is not delegated to another cell.
-func (s *State) whyNotElsewhere(now time.Time, t *jobs.Task) WaitReason {
+// undelegatedReason returns why a task for which this cell has no capacity is not delegated to another cell.
+func (s *State) undelegatedReason(now time.Time, t *jobs.Task) WaitReason {
 	switch {
-	case s.fitsElsewhere(now, t.Unit) < fitsToLend:
+	case s.fitsElsewhere(now, t.Unit) < minFitsElsewhere:
 		return WaitCapacity
 	case !s.tableAnswers(now):
 		return WaitTable
-	case s.borrower(now, t.Unit, t.RefusedAt) == "" && s.borrower(now, t.Unit, nil) != "":
+	case s.peerForTask(now, t.Unit, t.RefusedAt) == "" && s.peerForTask(now, t.Unit, nil) != "":
 		return WaitReturned
 	}
 	return WaitDelegation
 }
 
-// capacityHere counts how many tasks of one size fit into the free capacity of this cell's workers: of all listed
-// workers (free), of those usable for new work, and of those reserved for isolated runs (kept).
-type capacityHere struct{ free, usable, kept int64 }
+// localFits counts how many tasks of one size fit into the free capacity of this cell's workers: of all listed
+// workers (free), of those usable for new work, and of those reserved for isolated runs (reserved).
+type localFits struct{ free, usable, reserved int64 }
 
 // fitsHere counts how many times a task fits into the free capacity of the workers that belong to its service and have
 // its label.
-func (s *State) fitsHere(now time.Time, t *jobs.Task) capacityHere {
-	c := capacityHere{}
+func (s *State) fitsHere(now time.Time, t *jobs.Task) localFits {
+	c := localFits{}
 	u, service := t.Unit, s.service(t.Unit.Job)
 	size := workers.Reserved(u)
 	for _, w := range s.sorted() {
@@ -155,7 +155,7 @@
 		c.free += n
 		switch {
 		case s.closed[w]:
-			c.kept += n
+			c.reserved += n
 		case s.usable(now, w):
 			c.usable += n
 		}
