--- a/pkg/process/cell/advice.go
+++ b/pkg/process/cell/advice.go
@@ -67,15 +67,15 @@
 func (s *State) ticketed(now time.Time, u *jobs.Unit, usable []*workers.Worker) []*workers.Worker {
 	a := s.advices[u.Name()]
 	var approved []*workers.Worker
-	room := false
+	hasCapacity := false
 	for _, w := range usable {
 		if a == nil || a.tickets[w.ID] == "" || now.After(a.validUntil) {
 			continue
 		}
 		approved = append(approved, w)
-		room = room || s.fits(now, u, s.service(u.Job), w)
+		hasCapacity = hasCapacity || s.fits(now, u, s.service(u.Job), w)
 	}
-	if !room && (a == nil || !now.Before(a.retryAt)) {
+	if !hasCapacity && (a == nil || !now.Before(a.retryAt)) {
 		s.requestAdvice(now, u, usable)
 	}
 	return approved
--- a/pkg/process/cell/advice_test.go
+++ b/pkg/process/cell/advice_test.go
@@ -22,6 +22,7 @@
 	sent  []cell.SendStart
 }
 
+// newAdvisedCell returns an advisedCell that is led, with both workers in its membership.
 func newAdvisedCell() *advisedCell {
 	a := &advisedCell{now: time.Unix(1000, 0), state: cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})}
 	a.state.Take(a.now, cell.ManifestChanged{Manifest: manifest.New(1, []manifest.Queue{{
@@ -40,6 +41,7 @@
 	return a
 }
 
+// step lets 50 ms pass, answers polls of workers, and collects calls for advice and starts without answering them.
 func (a *advisedCell) step() {
 	a.now = a.now.Add(50 * time.Millisecond)
 	a.state.Take(a.now, cell.Tick{})
--- a/pkg/process/cell/harm.go
+++ b/pkg/process/cell/harm.go
@@ -117,15 +117,15 @@
 // fillerRoom returns, for each known filler image, the millicores that tasks other than fillers leave unused on the
 // workers where a filler of the image is harmless at the usual load of its neighbours.
 func (s *State) fillerRoom() map[string]int64 {
-	room := map[string]int64{}
+	millicores := map[string]int64{}
 	for _, image := range s.press.Fillers() {
 		for _, w := range s.sorted() {
 			if unused := w.Unused(); w.Listed && !w.Leaving && !w.Gone && s.fillerHarmless(image, w) {
-				room[image] += max(0, unused+w.FillersAsk())
+				millicores[image] += max(0, unused+w.FillersAsk())
 			}
 		}
 	}
-	return room
+	return millicores
 }
 
 // maxFillersCounted is the most fillers that fillerFree counts for one worker.
--- a/pkg/process/cell/lend.go
+++ b/pkg/process/cell/lend.go
@@ -288,8 +288,8 @@
 		if name == s.name || o.delegatedLasting > 0 || !o.hasLabelFor(u) || now.Sub(returnedAt[name]) < returnBackoff || !o.mayReceive(now) {
 			continue
 		}
-		if room := o.load.GetLargestLastingMillicores(); room > most {
-			best, most = name, room
+		if largest := o.load.GetLargestLastingMillicores(); largest > most {
+			best, most = name, largest
 		}
 	}
 	return best
--- a/pkg/process/cell/lend_gang.go
+++ b/pkg/process/cell/lend_gang.go
@@ -53,7 +53,7 @@
 	if waited < after {
 		return
 	}
-	name, room := s.peerForGang(now, u, first.RefusedAt)
+	name, fits := s.peerForGang(now, u, first.RefusedAt)
 	if name == "" {
 		return
 	}
@@ -64,7 +64,7 @@
 	s.touch(now, j)
 	s.note(Note{
 		What: NoteLent, Job: j.Spec.GetId(), Task: first.Name(), AgeMs: now.Sub(s.others[name].at).Milliseconds(),
-		Detail: fmt.Sprintf("gang of %d to %s with capacity for %d, waited %s", len(u.Tasks), name, room, waited.Round(time.Millisecond)),
+		Detail: fmt.Sprintf("gang of %d to %s with capacity for %d, waited %s", len(u.Tasks), name, fits, waited.Round(time.Millisecond)),
 	})
 }
 
@@ -84,16 +84,16 @@
 		if name == s.name || now.Sub(returnedAt[name]) < returnBackoff || !o.mayReceive(now) || !o.hasLabelFor(u) {
 			continue
 		}
-		room := -o.delegatedShort / size
+		fits := -o.delegatedShort / size
 		for _, free := range o.load.GetFreeEach() {
-			fit := free / size
+			fitsWorker := free / size
 			if spread := int64(u.Spec.GetSpread()); spread > 0 {
-				fit = min(fit, spread)
+				fitsWorker = min(fitsWorker, spread)
 			}
-			room += fit
+			fits += fitsWorker
 		}
-		if room >= int64(len(u.Tasks)) && room > most {
-			best, most = name, room
+		if fits >= int64(len(u.Tasks)) && fits > most {
+			best, most = name, fits
 		}
 	}
 	return best, most
--- a/pkg/process/cell/lend_short.go
+++ b/pkg/process/cell/lend_short.go
@@ -52,8 +52,8 @@
 			neverRun = append(neverRun, t)
 		}
 	}
-	name, room := s.peerForShort(now, u)
-	n := min(len(neverRun), room)
+	name, delegable := s.peerForShort(now, u)
+	n := min(len(neverRun), delegable)
 	if n <= 0 {
 		return
 	}
@@ -64,7 +64,7 @@
 	s.touch(now, j)
 	s.note(Note{
 		What: NoteLent, Job: j.Spec.GetId(), Task: neverRun[0].Name(), AgeMs: now.Sub(s.others[name].at).Milliseconds(),
-		Detail: fmt.Sprintf("%d of %d waiting tasks to %s with capacity for %d, waited %s", n, len(neverRun), name, room, waited.Round(time.Millisecond)),
+		Detail: fmt.Sprintf("%d of %d waiting tasks to %s with capacity for %d, waited %s", n, len(neverRun), name, delegable, waited.Round(time.Millisecond)),
 	})
 }
 
@@ -87,8 +87,8 @@
 		if name == s.name || !o.mayReceive(now) {
 			continue
 		}
-		if room := o.delegableTasks(u); room > most {
-			best, most = name, room
+		if delegable := o.delegableTasks(u); delegable > most {
+			best, most = name, delegable
 		}
 	}
 	return best, most
--- a/pkg/process/cell/lend_short_test.go
+++ b/pkg/process/cell/lend_short_test.go
@@ -200,7 +200,7 @@
 
 // A worker is cut off, and the task that ran there is presumed over when its lease ends. If the task were then delegated,
 // this cell could still learn that the run ended well, and the other cell would do the work again.
-func TestTaskOfSilentWorkerIsNotDelegated(t *testing.T) {
+func TestShortTaskOfSilentWorkerIsNotDelegated(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.accept(lentJob, "offers", &wire.StepSpec{Count: 1, Millicores: 3000, EstimateMs: 60_000})
@@ -228,9 +228,9 @@
 		b.step(50 * time.Millisecond)
 	}
 	b.accept(lentJob, "offers", &wire.StepSpec{Count: 2, Millicores: 3000, EstimateMs: 500})
-	room := cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{32000, 32000}}}
+	load := cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{32000, 32000}}}
 	for range 16 {
-		b.state.Take(b.now, room)
+		b.state.Take(b.now, load)
 		b.step(50 * time.Millisecond)
 	}
 	b.finish("00000000000000aa.0.0.0", workers.EndedLapsed)
--- a/pkg/process/cell/waits.go
+++ b/pkg/process/cell/waits.go
@@ -28,7 +28,7 @@
 	WaitIsolated WaitReason = "isolated-run"
 	// WaitKept: the workers with capacity are reserved for isolated runs of other tasks.
 	WaitKept WaitReason = "worker-kept"
-	// WaitOrders: start orders are held back because too many are unanswered.
+	// WaitOrders: start orders are held back because unanswered orders fill the order window.
 	WaitOrders WaitReason = "orders-held"
 	// WaitWorkers: the workers with capacity are not usable for new work yet.
 	WaitWorkers WaitReason = "worker-not-usable"
