--- a/pkg/process/cell/advice_test.go
+++ b/pkg/process/cell/advice_test.go
@@ -14,7 +14,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// advisedCell is a cell of two workers whose queue needs advice.
+// advisedCell is a cell of two workers with a queue whose starts need a ticket of the advice service.
 type advisedCell struct {
 	state *cell.State
 	now   time.Time
@@ -22,6 +22,7 @@
 	sent  []cell.SendStart
 }
 
+// newAdvisedCell returns an advisedCell that is led, with both workers in its membership.
 func newAdvisedCell() *advisedCell {
 	a := &advisedCell{now: time.Unix(1000, 0), state: cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})}
 	a.state.Take(a.now, cell.ManifestChanged{Manifest: manifest.New(1, []manifest.Queue{{
@@ -40,6 +41,7 @@
 	return a
 }
 
+// step lets 50 ms pass, answers polls of workers, and collects calls for advice and starts without answering them.
 func (a *advisedCell) step() {
 	a.now = a.now.Add(50 * time.Millisecond)
 	a.state.Take(a.now, cell.Tick{})
@@ -55,7 +57,8 @@
 	}
 }
 
-func TestAStartOfAnAdvisedQueueBringsTheTicketOfItsWorker(t *testing.T) {
+// A start waits for the answer of the advice service, and carries the ticket of its worker.
+func TestStartCarriesTicketOfItsWorker(t *testing.T) {
 	t.Parallel()
 	a := newAdvisedCell()
 	a.state.Take(a.now, cell.Accepted{Spec: &wire.JobSpec{
@@ -75,7 +78,8 @@
 	}
 }
 
-func TestAdviceThatFailsIsAskedForAgain(t *testing.T) {
+// A call of the advice service that failed is repeated.
+func TestFailedAdviceCallIsRepeated(t *testing.T) {
 	t.Parallel()
 	a := newAdvisedCell()
 	a.state.Take(a.now, cell.Accepted{Spec: &wire.JobSpec{
@@ -93,7 +97,8 @@
 	must.SliceEmpty(t, a.sent)
 }
 
-func TestATicketEndsWithItsTime(t *testing.T) {
+// A ticket that has expired is not used, and a new one is requested.
+func TestExpiredTicketIsNotUsed(t *testing.T) {
 	t.Parallel()
 	a := newAdvisedCell()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "queue", Service: "pool", Cell: "hall", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
--- a/pkg/process/cell/harm.go
+++ b/pkg/process/cell/harm.go
@@ -8,89 +8,90 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// What a filler costs its neighbours. A serving task over its target loses what
-// it earns four times over, so a place for a filler is weighed: the rise, over
-// all serving tasks there, of the chance to be over the target, against what
-// the filler earns by its work meanwhile.
+// The cost of a filler to its neighbours. A serving task that is over its tail latency target loses four times what it
+// earns. So each place for a filler is weighed: the cost is the rise, summed over the serving tasks there, of the
+// probability of being over the target; the gain is what the filler's work earns meanwhile. Levels are those of
+// package interference: above 0, a serving task is over its target.
 
 const (
-	// overCost is what a serving task over its target costs a second, and
-	// workEarns what a filler's core earns a second, both as shares of what a
-	// serving task earns. On the platform's sites: 0.5 a job of 6 tasks and 2 s
-	// makes 0.042 a task and second; 2.65 a job of 150 core-seconds makes 0.018
-	// a core and second, 0.42 of that. Half of it is used: a job has some slack, and
-	// played days earned most with it (0.42: serving tasks lose more than fillers
-	// gain; 0.1: the other way round; see MEASUREMENTS).
-	overCost  = 4.0
-	workEarns = 0.2
-	// placeAhead is how far ahead levels are looked at for a place, and placeSD
-	// how far they stray from what is expected then: half of a filler's run.
-	placeAhead = 1500 * time.Millisecond
-	placeSD    = 0.8
-	// usualSD is how far the level of a serving task strays over a whole wave.
-	usualSD = 1.0
+	// overTargetCost is what a serving task over its target costs per second. fillerCoreValue is what a filler earns per
+	// core and second. Both are multiples of what a serving task earns per second. On the platform's sites, a serving
+	// job of 6 tasks earns 0.5 every 2 s, which is 0.042 per task and second. A filler job of 150 core-seconds earns
+	// 2.65, which is 0.018 per core and second, or 0.42 of the former. fillerCoreValue is half of that ratio,
+	// because jobs have some slack, and because half earns most: at 0.42, serving tasks lose more than fillers
+	// gain; at 0.1, fillers lose more than serving tasks gain (docs/MEASUREMENTS.md).
+	overTargetCost  = 4.0
+	fillerCoreValue = 0.2
+	// predictionHorizon is how far ahead the levels of serving tasks are predicted when a place is weighed: half of a
+	// filler's run. predictionSD is the standard deviation of a level from that prediction.
+	predictionHorizon = 1500 * time.Millisecond
+	predictionSD      = 0.8
+	// usualLevelSD is the standard deviation of a serving task's level over a whole wave of its load.
+	usualLevelSD = 1.0
 )
 
-// overChance is how likely a level is over its target, given what is expected
-// and how far it strays from that.
-func overChance(expected, deviation float64) float64 {
+// overTargetProbability returns the probability that a level is over its target, given the expected level and the
+// standard deviation.
+func overTargetProbability(expected, deviation float64) float64 {
 	return 0.5 * math.Erfc(-expected/deviation/math.Sqrt2)
 }
 
-// riseCost is how much likelier it makes the serving tasks of some levels to be over
-// their targets, summed up, that so much more of a filler image is used beside them.
-func (s *State) riseCost(serving []neighbour, filler string, more, deviation float64) float64 {
+// overTargetRise returns the rise in the probability of being over the target, summed over the serving tasks, when
+// fillers of an image use more of the worker's processors. more is that share of the worker; deviation is the standard
+// deviation of the tasks' levels.
+func (s *State) overTargetRise(serving []servingNeighbour, filler string, more, deviation float64) float64 {
 	cost := 0.0
 	for _, t := range serving {
 		rise := s.press.Coefficient(t.image, filler) * more
-		cost += overChance(t.level+rise, deviation) - overChance(t.level, deviation)
+		cost += overTargetProbability(t.level+rise, deviation) - overTargetProbability(t.level, deviation)
 	}
 	return cost
 }
 
-// neighbours is what a filler would meet at a worker.
+// neighbours are the runs beside which a filler would run on a worker.
 type neighbours struct {
-	// there are the pressures at full share, by image.
-	there map[string]float64
-	// serving are the tasks that serve users, with their levels as expected
-	// beside what is there.
-	serving []neighbour
+	// fillerPressures is the share of the worker's processors that its fillers use at full pace, by image.
+	fillerPressures map[string]float64
+	// serving are the serving tasks, with the levels that are predicted for them beside these fillers.
+	serving []servingNeighbour
 }
 
-type neighbour struct {
+// servingNeighbour is a serving task that a filler would run beside.
+type servingNeighbour struct {
 	image string
 	level float64
 }
 
+// neighboursOf returns the neighbours that a filler would have on a worker.
 func (s *State) neighboursOf(w *workers.Worker) neighbours {
-	n := neighbours{there: map[string]float64{}}
+	n := neighbours{fillerPressures: map[string]float64{}}
 	scale := fillerScale(w, 0)
 	for _, r := range w.Runs {
 		if r.Task.Unit.Spec.GetFiller() {
-			n.there[r.Task.Unit.Image()] += pressure(w, r.Task.Unit) * scale
+			n.fillerPressures[r.Task.Unit.Image()] += pressure(w, r.Task.Unit) * scale
 		}
 	}
 	for _, r := range w.Runs {
 		if r.Task.Unit.Spec.GetTailTargetMs() > 0 {
 			image := r.Task.Unit.Image()
-			n.serving = append(n.serving, neighbour{image, s.press.Predict(image, n.there) + r.OwnLoad.Expect(placeAhead)})
+			n.serving = append(n.serving, servingNeighbour{image, s.press.Predict(image, n.fillerPressures) + r.OwnLoad.Expect(predictionHorizon)})
 		}
 	}
 	return n
 }
 
-// place is a unit at a worker.
+// place is a unit on a worker, the key under which its net cost is cached.
 type place struct {
 	worker *workers.Worker
 	unit   *jobs.Unit
 }
 
-// fillerHarm is what a filler costs its neighbours a second, less what it
-// earns: above 0 it is better not there. It is worked out once for a unit and a
-// worker, until something starts there.
+// fillerHarm returns the net cost per second of starting a filler of a unit on a worker: what it costs its neighbours,
+// less what it earns. Above 0, the start loses more than it gains. The result is cached for the unit and the worker
+// until the next round of placement, or until a task starts on the worker.
 func (s *State) fillerHarm(u *jobs.Unit, w *workers.Worker) float64 {
 	if !s.has(WeighedPlaces) {
-		return -earns(u)
+		return -valueRate(u)
 	}
 	if harm, ok := s.harms[place{w, u}]; ok {
 		return harm
@@ -101,37 +102,37 @@
 		s.neighbours[w] = n
 	}
 	more := pressure(w, u) * fillerScale(w, u.Size.Millicores)
-	harm := overCost*s.riseCost(n.serving, u.Image(), more, placeSD) - earns(u)
+	harm := overTargetCost*s.overTargetRise(n.serving, u.Image(), more, predictionSD) - valueRate(u)
 	s.harms[place{w, u}] = harm
 	return harm
 }
 
-// typicalFiller is the size in millicores that room for fillers is counted for, and
-// harmlessPart the most of what it earns that it may cost its neighbours there.
+// typicalFillerMillicores is the size of the filler for which a cell counts its capacity. harmlessShare is the largest
+// part of its earnings that such a filler may cost its neighbours and still count as harmless.
 const (
-	typicalFiller = 4000
-	harmlessPart  = 0.5
+	typicalFillerMillicores = 4000
+	harmlessShare           = 0.5
 )
 
-// fillerRoom sums up, for each filler image that was seen, what is unused at the
-// workers where it does little harm at their neighbours' usual load.
+// fillerRoom returns, for each known filler image, the millicores that tasks other than fillers leave unused on the
+// workers where a filler of the image is harmless at the usual load of its neighbours.
 func (s *State) fillerRoom() map[string]int64 {
-	room := map[string]int64{}
+	millicores := map[string]int64{}
 	for _, image := range s.press.Fillers() {
 		for _, w := range s.sorted() {
-			if unused := w.Unused(); w.Listed && !w.Leaving && !w.Gone && s.harmless(image, w) {
-				room[image] += max(0, unused+w.FillersAsk())
+			if unused := w.Unused(); w.Listed && !w.Leaving && !w.Gone && s.fillerHarmless(image, w) {
+				millicores[image] += max(0, unused+w.FillersAsk())
 			}
 		}
 	}
-	return room
+	return millicores
 }
 
-// fillerFreeMost bounds the fillers of one worker that fillerFree counts.
-const fillerFreeMost = 4
+// maxFillersCounted is the most fillers that fillerFree counts for one worker.
+const maxFillersCounted = 4
 
-// fillerFree sums up, for each filler image that was seen, what could start at once
-// without costing more than it earns, less what waits here already.
+// fillerFree returns, for each known filler image, the millicores of fillers that could start in this cell at once
+// without costing their neighbours more than they earn, less the fillers that already wait here.
 func (s *State) fillerFree() map[string]int64 {
 	free := map[string]int64{}
 	images := s.press.Fillers()
@@ -141,7 +142,7 @@
 		}
 		n := s.neighboursOf(w)
 		for _, image := range images {
-			free[image] += typicalFiller * s.fillersThatFit(w, n, image)
+			free[image] += typicalFillerMillicores * s.fillersThatFit(w, n, image)
 		}
 	}
 	for u := range s.waiting {
@@ -157,13 +158,14 @@
 	return free
 }
 
-// fillersThatFit is how many more fillers of usual size a worker takes.
+// fillersThatFit returns how many more fillers of typicalFillerMillicores a worker takes without costing its
+// neighbours more than they earn, at most maxFillersCounted.
 func (s *State) fillersThatFit(w *workers.Worker, n neighbours, image string) int64 {
 	fit := int64(0)
-	for fit < fillerFreeMost && w.Unused() >= (fit+1)*typicalFiller {
-		asks := (fit + 1) * typicalFiller
+	for fit < maxFillersCounted && w.Unused() >= (fit+1)*typicalFillerMillicores {
+		asks := (fit + 1) * typicalFillerMillicores
 		more := float64(asks) / float64(max(1, w.Capacity.Millicores)) * fillerScale(w, asks)
-		if overCost*s.riseCost(n.serving, image, more, placeSD) > workEarns*float64(asks)/1000 {
+		if overTargetCost*s.overTargetRise(n.serving, image, more, predictionSD) > fillerCoreValue*float64(asks)/1000 {
 			break
 		}
 		fit++
@@ -171,40 +173,38 @@
 	return fit
 }
 
-// harmless says whether a filler of usual size may run beside a worker's serving
-// tasks at their usual load.
-func (s *State) harmless(image string, w *workers.Worker) bool {
-	more := float64(typicalFiller) / float64(max(1, w.Capacity.Millicores))
-	var usual []neighbour
+// fillerHarmless returns whether a filler of typicalFillerMillicores costs a worker's serving tasks at most
+// harmlessShare of its earnings, at their usual load.
+func (s *State) fillerHarmless(image string, w *workers.Worker) bool {
+	more := float64(typicalFillerMillicores) / float64(max(1, w.Capacity.Millicores))
+	var usual []servingNeighbour
 	for _, r := range w.Runs {
 		if serving := r.Task.Unit; serving.Spec.GetTailTargetMs() > 0 {
-			usual = append(usual, neighbour{serving.Image(), s.press.Alone(serving.Image())})
+			usual = append(usual, servingNeighbour{serving.Image(), s.press.Alone(serving.Image())})
 		}
 	}
-	return overCost*s.riseCost(usual, image, more, usualSD) <= harmlessPart*workEarns*typicalFiller/1000
+	return overTargetCost*s.overTargetRise(usual, image, more, usualLevelSD) <= harmlessShare*fillerCoreValue*typicalFillerMillicores/1000
 }
 
-// lateEarns and hopelessEarns are the parts of it that work still earns whose job can't
-// meet its objective any more, or is past all credit: the users pay 15% for late jobs.
-// They are more than that: 0.4 for late ones took more from them than it gave to their
-// neighbours.
+// lateValueShare and hopelessValueShare are the parts of its full earnings that a filler is credited with when its job
+// can no longer meet its objective (late), or is so late that it earns nothing (hopeless). Users pay 15% for late jobs.
+// The parts are larger than that because 0.4 for late jobs takes more from those jobs than it gives to their neighbours.
 const (
-	lateEarns     = 0.7
-	hopelessEarns = 0.2
+	lateValueShare     = 0.7
+	hopelessValueShare = 0.2
 )
 
-// fullEarns is what a filler's work earns a second at full pace, while its job can meet
-// its objective.
-func fullEarns(u *jobs.Unit) float64 { return workEarns * float64(u.Size.Millicores) / 1000 }
+// fullEarns returns what a filler earns per second at full pace while its job can still meet its objective.
+func fullEarns(u *jobs.Unit) float64 { return fillerCoreValue * float64(u.Size.Millicores) / 1000 }
 
-// earns is what a filler's work still earns a second at full pace.
-func earns(u *jobs.Unit) float64 {
+// valueRate returns what a filler earns per second at full pace, by its job's outlook.
+func valueRate(u *jobs.Unit) float64 {
 	full := fullEarns(u)
 	switch u.Outlook {
 	case jobs.Late:
-		return full * lateEarns
+		return full * lateValueShare
 	case jobs.Hopeless:
-		return full * hopelessEarns
+		return full * hopelessValueShare
 	default:
 		return full
 	}
--- a/pkg/process/cell/lend.go
+++ b/pkg/process/cell/lend.go
@@ -11,80 +11,82 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Lending. A lasting task that finds no room in its cell is left to another one, and so
-// are short ones (lend_short.go) and gangs (lend_gang.go). All rows of a job share one part of the table, so one
-// transaction records here that the task is lent and gives the other cell a
-// specification with just that task. The job stays here: its state is told, and its
-// cancel is carried out, by this cell, which passes the cancel on in the transaction that
-// records it. The other cell reports what is done, or has failed for good, in a row among
-// the cancels here. While the table does not answer nothing is lent: it would start
-// neither there nor here.
+// Delegation of tasks to other cells. A lasting task for which its own cell, the home cell, has no free capacity is
+// delegated to another cell. delegateShort and delegateGang have the rules for short tasks and gangs.
 //
-// A cell that has filled up meanwhile gives a lent task back, once another cell tells
-// of room, in a row that the keeping cell's leader follows: from then on that one
-// alone may start it, or lend it again, elsewhere first. Lendings are numbered, so that
-// what is said of an earlier one counts no more.
+// All rows of a job are in one part of the table. So one transaction records in the home cell that the task is
+// delegated, and writes a specification with only that task for the target cell. The job stays in its home cell.
+// The home cell reports the job's state, carries out its cancel, and passes the cancel on in the transaction that
+// records it. The target cell reports done tasks and a final failure in a row among the home cell's cancels.
+// While the table is unavailable nothing is delegated, because the task could start in neither cell.
+//
+// A target cell without free capacity returns a delegated task once another cell reports capacity for it. The
+// return is a row that the home cell's leader follows. From then on only the home cell may start the task or delegate
+// it again, to other cells first. The delegations of a task are numbered, so that reports on an earlier delegation
+// have no effect.
 
 const (
-	// lendAfter is how long a lasting task waits before it is lent. After six
-	// seconds without a run it is late by the platform's rules; in the first two, room
-	// often comes up in its own cell.
-	lendAfter = 2 * time.Second
-	// ownCellFirst is how long a task that comes to wait is left to its own cell, whatever its wait
-	// before.
-	ownCellFirst = 300 * time.Millisecond
-	// fitsToLend is how often a lasting task must fit into the free room of the other
-	// cells together, for it to be lent: the platform's rules want it to run where there
-	// is room for it twice over. The last place is left to short tasks, which earn more there.
-	fitsToLend = 2
-	// returnAfter is how long a lent task waits before it is given back.
+	// delegateAfter is how long a lasting task waits before it is delegated. By the platform's rules it is late after
+	// six seconds without a run. In the first two seconds, capacity often becomes free in its own cell.
+	delegateAfter = 2 * time.Second
+	// ownCellGrace is the least time that a task waits in its own cell before it is delegated, even if it has
+	// already waited for longer than delegateAfter in other cells.
+	ownCellGrace = 300 * time.Millisecond
+	// minFitsElsewhere is how many times a lasting task must fit into the free capacity of all other cells together
+	// before it is delegated. By the platform's rules the task has to run where it fits twice. The last place is
+	// left to short tasks, which earn more there.
+	minFitsElsewhere = 2
+	// returnAfter is how long a delegated task waits in the target cell before it is returned.
 	returnAfter = 1500 * time.Millisecond
-	// refusedFor is how long a cell that gave a task back is not lent it again: its
-	// room was in pieces too small, and it takes a task or two to end to change that. It
-	// is less than the three seconds in which capacity has to be used.
-	refusedFor = 2200 * time.Millisecond
-	// giveShare is the part of another cell's free room that may be filled on one
-	// word of it: others lend to it too, and its room is in pieces.
-	giveShare = 2
-	// lendToHoldAfter is how long a lasting task waits before it is lent to a cell where
-	// room is yet to be made for it: there, short tasks are kept off a worker until it
-	// has room, which a cell full of lasting tasks can't do.
-	// That takes from short ones, so it is for a wait that would have no end otherwise.
-	lendToHoldAfter = 10 * time.Second
-	// othersFresh is how old another cell's load may be.
+	// returnBackoff is how long a task is not delegated again to a cell that returned it. The free capacity there
+	// was in fragments that were too small, and one or two tasks have to end before that changes. returnBackoff
+	// is less than the three seconds within which free capacity has to be used.
+	returnBackoff = 2200 * time.Millisecond
+	// peerFreeDivisor divides the free capacity that another cell reports: only one part in peerFreeDivisor may be
+	// filled per load message, because other cells delegate there too and the capacity is fragmented.
+	peerFreeDivisor = 2
+	// delegateToMakeRoomAfter is how long a lasting task waits before it is delegated to a cell that first has to make
+	// room for it. That cell keeps short tasks off a worker until the task fits, which a cell full of lasting tasks
+	// can't do. It costs short tasks their capacity, so it is only for a wait that would not end otherwise.
+	delegateToMakeRoomAfter = 10 * time.Second
+	// othersFresh is the greatest age at which another cell's load message is used.
 	othersFresh = 3 * time.Second
-	// lendConfirmed is how old the last renewal of the leadership may be, for the table to
-	// count as answering: renewals come every 0.4 s.
-	lendConfirmed = time.Second
+	// tableConfirmedWithin is the greatest age of the last leadership renewal at which the table counts as available.
+	// Renewals come every 0.4 s.
+	tableConfirmedWithin = time.Second
 )
 
-// otherLoad is what the leader of another cell told, and when.
+// otherLoad is the last load message from the leader of another cell.
 type otherLoad struct {
 	load *wire.CellLoad
-	at   time.Time
-	// given is what was lent to it since, in millicores; givenFillers and givenShort
-	// the same of fillers and of other short tasks.
-	given, givenFillers, givenShort int64
+	// at is when the message was received.
+	at time.Time
+	// delegatedLasting, delegatedFillers and delegatedShort are the millicores of lasting tasks, fillers and other
+	// short tasks that were delegated to the cell since the message.
+	delegatedLasting, delegatedFillers, delegatedShort int64
 }
 
-// tableAnswers says whether what is lent now is likely to be recorded soon.
+// tableAnswers returns whether a write to the table is likely to succeed soon: no part of the table failed its last
+// write, and the leadership was renewed within
+// tableConfirmedWithin.
 func (s *State) tableAnswers(now time.Time) bool {
 	for _, p := range s.parts {
 		if p.failing {
 			return false
 		}
 	}
-	return now.Sub(s.confirmedAt) <= lendConfirmed
+	return now.Sub(s.confirmedAt) <= tableConfirmedWithin
 }
 
-// lend leaves tasks that have waited for long to cells with room.
+// lend delegates tasks that have waited long enough to cells with free capacity. Lasting tasks and gangs that were
+// delegated to this cell and wait too long are returned.
 func (s *State) lend(now time.Time) {
 	if !s.tableAnswers(now) {
 		return
 	}
 	var units []*jobs.Unit
 	for u := range s.waiting {
-		if (u.Lasting() && s.has(LendLasting)) || s.mayLendShort(u) || s.mayLendGang(u) {
+		if (u.Lasting() && s.has(LendLasting)) || s.mayDelegateShort(u) || s.mayDelegateGang(u) {
 			units = append(units, u)
 		}
 	}
@@ -95,29 +97,30 @@
 		return 1
 	})
 	for _, u := range units {
-		if s.mayLendGang(u) {
-			s.lendGang(now, u)
+		if s.mayDelegateGang(u) {
+			s.delegateGang(now, u)
 			continue
 		}
 		if !u.Lasting() {
-			s.lendShort(now, u)
+			s.delegateShort(now, u)
 			continue
 		}
 		for _, t := range u.Waiting(now) {
 			waited := now.Sub(waitsSince(t))
 			switch {
-			case u.Job.Guest() && now.Sub(hereSince(t)) >= returnAfter:
-				s.giveBack(now, t)
+			case u.Job.Guest() && now.Sub(waitingHereSince(t)) >= returnAfter:
+				s.returnTask(now, t)
 			case s.awaitsWord(now, t) && t.Level() >= blame.OnTrial:
-				// It may be given up in a moment.
-			case !u.Job.Guest() && waited >= lendAfter && now.Sub(hereSince(t)) >= ownCellFirst:
-				s.lendTask(now, t)
+				// The task may be given up once it is known whether its silent worker crashed.
+			case !u.Job.Guest() && waited >= delegateAfter && now.Sub(waitingHereSince(t)) >= ownCellGrace:
+				s.delegateTask(now, t)
 			}
 		}
 	}
 }
 
-// waitsSince is since when a task wants to run.
+// waitsSince returns since when a task has had no run in any cell. For a task that never had one, that is the time at
+// which its job was accepted.
 func waitsSince(t *jobs.Task) time.Time {
 	if t.WaitsSince.IsZero() {
 		return t.Unit.Job.AcceptedAt
@@ -125,25 +128,27 @@
 	return t.WaitsSince
 }
 
-// hereSince is since when a task waits in this cell, as far as this leader knows.
-func hereSince(t *jobs.Task) time.Time {
+// waitingHereSince returns since when a task has waited in this cell. Where that is not known, it is the time at which
+// this leader found the task's unit ready.
+func waitingHereSince(t *jobs.Task) time.Time {
 	if t.HereSince.IsZero() {
 		return t.Unit.ReadyAt
 	}
 	return t.HereSince
 }
 
-func (s *State) lendTask(now time.Time, t *jobs.Task) {
+// delegateTask delegates a lasting task to another cell, if one can take it.
+func (s *State) delegateTask(now time.Time, t *jobs.Task) {
 	size := t.Unit.Size.Millicores
-	name := s.borrower(now, t.Unit, t.RefusedAt)
-	if name == "" && now.Sub(waitsSince(t)) >= lendToHoldAfter {
-		name = s.holder(now, t.Unit, t.RefusedAt)
+	name := s.peerForTask(now, t.Unit, t.RefusedAt)
+	if name == "" && now.Sub(waitsSince(t)) >= delegateToMakeRoomAfter {
+		name = s.peerToMakeRoom(now, t.Unit, t.RefusedAt)
 	}
 	if name == "" {
 		return
 	}
 	o := s.others[name]
-	o.given += size
+	o.delegatedLasting += size
 	s.others[name] = o
 	j := t.Unit.Job
 	t.Waited = now.Sub(waitsSince(t))
@@ -153,17 +158,16 @@
 	s.note(Note{
 		What: NoteLent, Job: j.Spec.GetId(), Task: t.Name(), AgeMs: now.Sub(o.at).Milliseconds(),
 		Detail: fmt.Sprintf(
-			"to %s with %d millicores free, %d given since it said so, after %s",
-			name, o.load.GetFreeMillicores(), o.given, now.Sub(waitsSince(t)).Round(time.Millisecond),
+			"to %s with %d millicores free, %d delegated since that report, waited %s",
+			name, o.load.GetFreeMillicores(), o.delegatedLasting, now.Sub(waitsSince(t)).Round(time.Millisecond),
 		),
 	})
 }
 
-// giveBack leaves a lent task to the cell that keeps its job, if any other cell tells
-// of room for it.
-func (s *State) giveBack(now time.Time, t *jobs.Task) {
+// returnTask returns a delegated task to its home cell, if another cell reports capacity for it.
+func (s *State) returnTask(now time.Time, t *jobs.Task) {
 	j := t.Unit.Job
-	name := s.borrower(now, t.Unit, nil)
+	name := s.peerForTask(now, t.Unit, nil)
 	if name == "" || j.Spec.GetHome() == "" || len(t.Runs) > 0 {
 		return
 	}
@@ -173,11 +177,12 @@
 	s.touch(now, j)
 	s.note(Note{
 		What: NoteGivenBack, Job: j.Spec.GetId(), Task: t.Name(), AgeMs: now.Sub(s.others[name].at).Milliseconds(),
-		Detail: fmt.Sprintf("to %s, room at %s, after %s", j.Spec.GetHome(), name, now.Sub(waitsSince(t)).Round(time.Millisecond)),
+		Detail: fmt.Sprintf("to %s, capacity in %s, waited %s", j.Spec.GetHome(), name, now.Sub(waitsSince(t)).Round(time.Millisecond)),
 	})
 }
 
-// takeReturned takes in tasks that another cell gives back.
+// takeReturned applies the report of another cell on tasks that were delegated there: tasks that it returns, tasks
+// that are done, and a final failure, which fails the job.
 func (s *State) takeReturned(now time.Time, r *wire.ReturnedTasks) {
 	j := s.jobs[r.GetId()]
 	if j == nil || s.phase != leading {
@@ -185,7 +190,7 @@
 	}
 	if j.Ended() {
 		j.TakeBack(r, now, s.newSettled())
-		s.markDirty(j, false) // so that the report's row goes
+		s.markDirty(j, false) // the transaction that records the end removes the report's row
 		return
 	}
 	news := j.TakeBack(r, now, s.newSettled())
@@ -194,7 +199,7 @@
 	}
 	s.note(Note{
 		What: NoteTakenBack, Job: r.GetId(), AgeMs: -1,
-		Detail: fmt.Sprintf("%d tasks given back, %d done, from %s %s", len(r.GetTasks()), len(r.GetDone()), r.GetFrom(), r.GetFailed()),
+		Detail: fmt.Sprintf("%d tasks returned, %d done, by %s %s", len(r.GetTasks()), len(r.GetDone()), r.GetFrom(), r.GetFailed()),
 	})
 	if r.GetFailed() != "" {
 		s.endJob(now, j, wire.JobPhase_JOB_PHASE_FAILED, r.GetFailed())
@@ -207,59 +212,62 @@
 	s.completeIfDone(now, j)
 }
 
-// fresh says whether the load is new enough, and tells of a cell where a task that comes may start.
-func (o otherLoad) fresh(now time.Time) bool {
+// mayReceive returns whether a task may be delegated on the load message: it is recent, and its cell has settled, so
+// that a delegated task may start there at once.
+func (o otherLoad) mayReceive(now time.Time) bool {
 	return now.Sub(o.at) <= othersFresh && o.load.GetSettlesInMs() == 0
 }
 
-// carries says whether the cell has workers with the label that a unit requires.
-func (o otherLoad) carries(u *jobs.Unit) bool {
+// hasLabelFor returns whether the cell has workers with the label that the unit requires, if it requires one.
+func (o otherLoad) hasLabelFor(u *jobs.Unit) bool {
 	return u.Spec.GetLabel() == "" || slices.Contains(o.load.GetLabels(), u.Spec.GetLabel())
 }
 
-// freeFor is what is free at each worker that a unit's tasks may take.
-func (o otherLoad) freeFor(u *jobs.Unit) []int64 {
+// freeEachFor returns the free millicores of each worker of the cell that may take tasks of the unit. Lasting tasks may
+// also take workers that they would share with an isolated run.
+func (o otherLoad) freeEachFor(u *jobs.Unit) []int64 {
 	if each := o.load.GetLastingFreeEach(); u.Lasting() && len(each) > 0 {
 		return each
 	}
 	return o.load.GetFreeEach()
 }
 
-// fitsElsewhere is how many tasks of a unit would find room in the other cells, by their
-// last words and what was lent to them since.
+// fitsElsewhere returns how many tasks of a unit fit into the free capacity of the other cells, by their last load
+// messages less the lasting tasks delegated to them since.
 func (s *State) fitsElsewhere(now time.Time, u *jobs.Unit) int64 {
 	size := max(1, u.Size.Millicores)
 	fits := int64(0)
 	for name, o := range s.others {
-		if name == s.name || !o.fresh(now) || !o.carries(u) {
+		if name == s.name || !o.mayReceive(now) || !o.hasLabelFor(u) {
 			continue
 		}
-		for _, free := range o.freeFor(u) {
+		for _, free := range o.freeEachFor(u) {
 			fits += free / size
 		}
-		fits -= o.given / size
+		fits -= o.delegatedLasting / size
 	}
 	return fits
 }
 
-// borrower is the cell with the most room left for a task of a unit, but for those that
-// have just refused it; none, if the others have too little room together.
-func (s *State) borrower(now time.Time, u *jobs.Unit, refused map[string]time.Time) string {
-	if s.fitsElsewhere(now, u) < fitsToLend {
+// peerForTask returns the cell with the most free capacity left, among the cells that have a worker on which a task of
+// the unit fits. Cells that returned the task within returnBackoff are skipped. It returns "" if there is no such cell,
+// or if the task fits fewer than minFitsElsewhere times into all other cells together.
+func (s *State) peerForTask(now time.Time, u *jobs.Unit, returnedAt map[string]time.Time) string {
+	if s.fitsElsewhere(now, u) < minFitsElsewhere {
 		return ""
 	}
 	size := u.Size.Millicores
 	best, most := "", int64(-1)
 	for _, name := range slices.Sorted(maps.Keys(s.others)) {
 		o := s.others[name]
-		if name == s.name || now.Sub(refused[name]) < refusedFor || !o.fresh(now) || !o.carries(u) {
+		if name == s.name || now.Sub(returnedAt[name]) < returnBackoff || !o.mayReceive(now) || !o.hasLabelFor(u) {
 			continue
 		}
 		if o.load.GetLargestFreeMillicores() < size {
 			continue
 		}
-		left := o.load.GetFreeMillicores()/giveShare - o.given
-		if o.given > 0 && left < size {
+		left := o.load.GetFreeMillicores()/peerFreeDivisor - o.delegatedLasting
+		if o.delegatedLasting > 0 && left < size {
 			continue
 		}
 		if left > most {
@@ -269,17 +277,19 @@
 	return best
 }
 
-// holder is the cell that could make the most room for a lasting task of a unit, but for
-// those that have just refused it. One is lent on a word of that.
-func (s *State) holder(now time.Time, u *jobs.Unit, refused map[string]time.Time) string {
+// peerToMakeRoom returns the cell whose best worker would have the most capacity for a lasting task of a unit once the
+// short tasks there have ended, or "" if the task would fit nowhere. Cells that returned the task within returnBackoff
+// are skipped. So are cells to which a lasting task was delegated since their last load message: one task is delegated
+// per message.
+func (s *State) peerToMakeRoom(now time.Time, u *jobs.Unit, returnedAt map[string]time.Time) string {
 	best, most := "", u.Size.Millicores-1
 	for _, name := range slices.Sorted(maps.Keys(s.others)) {
 		o := s.others[name]
-		if name == s.name || o.given > 0 || !o.carries(u) || now.Sub(refused[name]) < refusedFor || !o.fresh(now) {
+		if name == s.name || o.delegatedLasting > 0 || !o.hasLabelFor(u) || now.Sub(returnedAt[name]) < returnBackoff || !o.mayReceive(now) {
 			continue
 		}
-		if room := o.load.GetLargestLastingMillicores(); room > most {
-			best, most = name, room
+		if largest := o.load.GetLargestLastingMillicores(); largest > most {
+			best, most = name, largest
 		}
 	}
 	return best
