--- a/pkg/process/cell/grants.go
+++ b/pkg/process/cell/grants.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Leases that leaders granted. A successor waits for a worker that it does not hear until what others may have granted
-// it is over. A predecessor that has come to its end, and whose process goes on, tells how long that is for each worker:
-// nothing, where it did not hear the worker either.
+// Leases that leaders granted. A successor waits for a worker that does not answer until the leases that earlier
+// leaders may have granted the worker have ended. A predecessor whose leadership has ended, but whose process still
+// runs, reports the rest of each worker's lease: nothing for a worker that did not answer it either.
 
-// Grants are the leases that this process may have granted in the cell and that may go on, by worker, and those that
-// it knew of and waited for: its successor does not learn of these otherwise. known is false where they may be at
-// workers that it never learned of.
+// Grants returns the rest of each worker's lease: of leases that this process may have granted in the cell, and of
+// leases of earlier leaders that it waited for, of which its successor does not learn otherwise. known is false while
+// there may be leases at workers that this process never learned of.
 func (s *State) Grants(now time.Time) (grants map[string]time.Duration, known bool) {
 	grants = map[string]time.Duration{}
 	for id, until := range s.leases(now) {
@@ -17,7 +17,7 @@
 	return grants, !s.grantedUnknown.After(now)
 }
 
-// keepLeases remembers, as a leadership ends, the leases that may go on.
+// keepLeases remembers the leases that may outlast a leadership which ends now.
 func (s *State) keepLeases(now time.Time) {
 	s.granted = s.leases(now)
 	if s.phase == loading && s.overUntil.After(s.grantedUnknown) {
@@ -25,7 +25,8 @@
 	}
 }
 
-// leases are until when workers may go on by what this process has granted, in all its leaderships, or waits for.
+// leases returns when each worker's lease ends: of the leases that this process has granted in all its leaderships, and
+// of those of earlier leaders that it waits for.
 func (s *State) leases(now time.Time) map[string]time.Time {
 	list := map[string]time.Time{}
 	for id, until := range s.granted {
@@ -39,7 +40,7 @@
 		}
 	}
 	for id := range s.unsettled {
-		// Of leaders that are not known to be over the successor reads in the row.
+		// The leadership row names the predecessors that may still act, so a successor allows for their leases itself.
 		for _, until := range []time.Time{s.overUntil, s.overAt[id]} {
 			if !s.settled && until.After(now) && until.After(list[id]) {
 				list[id] = until
@@ -49,7 +50,7 @@
 	return list
 }
 
-// takeGrants takes in what a predecessor that is over may have granted: each worker's lease.
+// takeGrants takes in the rest of each worker's lease, as a predecessor reported it at its end.
 func (s *State) takeGrants(now time.Time, grants map[string]time.Duration) {
 	for id, left := range grants {
 		if until := now.Add(left); until.After(s.overAt[id]) {
@@ -58,7 +59,7 @@
 	}
 }
 
-// lastGrantAt is when the last lease that an earlier leader could have granted a worker is over.
+// lastGrantAt returns when the last lease that an earlier leader could have granted a worker ends.
 func (s *State) lastGrantAt(worker string) time.Time {
 	last := s.lastGrant()
 	if at := s.overAt[worker]; at.After(last) {
@@ -67,7 +68,7 @@
 	return last
 }
 
-// lastOfAll is when the last lease of all is over.
+// lastOfAll returns when the last lease of earlier leaders ends at any member that has not answered.
 func (s *State) lastOfAll() time.Time {
 	last := s.lastGrant()
 	for id := range s.unsettled {
--- a/pkg/process/cell/load.go
+++ b/pkg/process/cell/load.go
@@ -12,17 +12,19 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A takeover. The new leader puts its fence in each part, so that its
-// forerunner writes no progress from then on, and reads the cell's jobs. Then
-// it looks at every worker that its forerunners could have used: that raises
-// the fence there too, and the answer lists what runs and what has ended. What
-// is found at none of them may start. A worker that does not answer holds this
-// up until the last lease that a forerunner could have granted is over.
+// Takeover. The new leader writes its fence to each part of the table, so that its
+// predecessor can record no more progress, and reads the cell's jobs. It then polls
+// every worker that earlier leaders could have used. A poll raises the fence at the
+// worker, too, and the answer lists the worker's runs and their ends. Tasks that no
+// worker lists may start. A worker that does not answer delays them until the last
+// lease that an earlier leader could have granted has ended.
 
-// longestGrant is the longest lease that a leader grants, by any clock.
+// longestGrant is the longest time that a granted lease can last. The tenth on top of LongestLease allows for clocks
+// that run at different speeds.
 const longestGrant = LongestLease + LongestLease/10
 
-// LedBy is the event of a leadership that this process has just won.
+// LedBy returns the event that this process has just won the leadership. change names the earlier leaders that may
+// still act.
 func LedBy(now time.Time, epoch int64, change election.Change) Led {
 	led := Led{Epoch: epoch, RosterUntil: now, Predecessors: map[string]time.Time{}}
 	if change.Before.GetReleased() {
@@ -36,6 +38,8 @@
 	return led
 }
 
+// takeLed begins a takeover: it keeps the registered workers, drops everything else that belongs to an earlier
+// leadership, and asks for the cell's rows.
 func (s *State) takeLed(now time.Time, e Led) {
 	known := s.workers
 	s.keepLeases(now)
@@ -55,8 +59,8 @@
 	s.emit(Load{Epoch: e.Epoch})
 }
 
-// takeEarlierRoster takes over the workers that earlier leaders could have used. The
-// table names them, so they may get work.
+// takeEarlierRoster adds the members that earlier leaders could have used, and awaits their answers. The recorded
+// membership names them, so they may get work.
 func (s *State) takeEarlierRoster(now time.Time, roster []*wire.RosterEntry) {
 	for _, r := range roster {
 		if s.workers[r.GetId()] == nil {
@@ -74,11 +78,11 @@
 	}
 }
 
-// orderTail is how long after its end a predecessor's last orders may still be
-// on their way.
+// orderTail is how long a predecessor's last orders may stay in flight after its end.
 const orderTail = 500 * time.Millisecond
 
-// lastGrant is when the last lease that an earlier leader could have granted is over.
+// lastGrant returns when the last lease ends that an earlier leader may have granted to any worker. It leaves out the
+// leases that are known by worker (overAt).
 func (s *State) lastGrant() time.Time {
 	last := s.overUntil
 	for _, until := range s.predecessors {
@@ -89,8 +93,8 @@
 	return last
 }
 
-// takePredecessorOver shortens the wait for workers that are not heard: what that leader granted is over
-// after one lease.
+// takePredecessorOver shortens the wait for members that do not answer. A predecessor that has ended grants no more
+// leases: the last of them ends as its process reported, or one lease span after its end.
 func (s *State) takePredecessorOver(now time.Time, e PredecessorOver) {
 	until, known := s.predecessors[e.Holder]
 	if e.Epoch != s.epoch || s.settled || !known {
@@ -118,6 +122,7 @@
 	s.note(Note{What: NotePredecessorOver, Detail: e.Holder, AgeMs: max(0, s.settleBy.Sub(now).Milliseconds())})
 }
 
+// takeLoaded restores the cell's jobs and members from the table, and begins to lead.
 func (s *State) takeLoaded(now time.Time, e Loaded) {
 	if e.Epoch != s.epoch || s.phase != loading {
 		return
@@ -126,7 +131,7 @@
 		s.part(name).fence = version
 	}
 	s.takeEarlierRoster(now, e.Roster)
-	early := s.jobs // came by word of peers while the table was read
+	early := s.jobs // announced by other hosts while the table was read
 	s.jobs = map[string]*jobs.Job{}
 	for _, l := range e.Jobs {
 		s.jobs[l.Spec.GetId()] = s.restore(now, e, l)
@@ -149,9 +154,10 @@
 	for _, j := range s.jobs {
 		s.touch(now, j)
 	}
-	s.note(Note{What: NoteLoaded, Detail: fmt.Sprintf("%d jobs, %d cancels, %d workers to hear", len(s.jobs), len(e.Cancels), len(e.Roster)), AgeMs: -1})
+	s.note(Note{What: NoteLoaded, Detail: fmt.Sprintf("%d jobs, %d cancels, %d members awaited", len(s.jobs), len(e.Cancels), len(e.Roster)), AgeMs: -1})
 }
 
+// restore returns a job as the table holds it. Its tasks are not settled: an earlier leader may have started them.
 func (s *State) restore(now time.Time, e Loaded, l LoadedJob) *jobs.Job {
 	age := e.StoreNow - time.Duration(l.Spec.GetAcceptedStoreMs())*time.Millisecond
 	j := jobs.Restore(l.Spec, l.Progress, l.Recorded, now.Add(-max(0, age)), e.Wall)
@@ -170,6 +176,7 @@
 	return j
 }
 
+// takeRoster takes in which workers the recorded membership names: only these get work.
 func (s *State) takeRoster(e RosterRecorded) {
 	s.roster = map[string]bool{}
 	for _, id := range e.IDs {
@@ -178,6 +185,7 @@
 	s.placeNow = true
 }
 
+// takeRelease begins to hand the cell over. A process that still loads the jobs steps down at once.
 func (s *State) takeRelease(now time.Time) {
 	switch s.phase {
 	case leading:
@@ -190,6 +198,7 @@
 	}
 }
 
+// stepDown ends the leadership. It keeps the workers, without their runs.
 func (s *State) stepDown(why string) {
 	if s.phase == following {
 		return
@@ -203,7 +212,7 @@
 	}
 }
 
-// unsettle says of tasks that a forerunner may have started them.
+// unsettle marks tasks that a predecessor may have started.
 func unsettle(units []*jobs.Unit) {
 	for _, u := range units {
 		for _, t := range u.Tasks {
@@ -214,6 +223,8 @@
 
 // ------------------------------------------------------------ new work
 
+// takeAccepted adds a job that the table holds. Of a job that is known, it takes in the tasks that were delegated to
+// this cell since, and crash evidence that the job's home cell has learned.
 func (s *State) takeAccepted(now time.Time, e Accepted) {
 	id := e.Spec.GetId()
 	if s.phase == following || s.phase == releasing {
@@ -224,7 +235,7 @@
 		if known.MoreGuests(e.Spec, now, s.newSettled()) {
 			s.recall(now, known)
 			s.holdBackNamed(known)
-			s.claimStrays(now, known) // a forerunner may have been told of them, and have started them
+			s.claimStrays(now, known) // a predecessor may have received them first, and have started them
 			s.touch(now, known)
 		}
 		return
@@ -235,8 +246,8 @@
 	s.jobs[id] = j
 	s.recall(now, j)
 	if !s.newSettled() {
-		// A forerunner that does not know of its end yet may have been told of
-		// the job too, and have started it where we haven't been heard.
+		// A predecessor that does not know of its end yet may have received the job, too, and
+		// have started it at a worker that this leader's fence has not reached.
 		unsettle(j.Units)
 	}
 	s.holdBackNamed(j)
@@ -255,8 +266,8 @@
 	s.touch(now, j)
 }
 
-// stepsInWords is what the log tells of a job's steps: count x processors x
-// estimated time, and what is special about them.
+// stepsInWords describes a job's steps for the log: number of tasks x millicores x estimated time, and the step's
+// special properties.
 func stepsInWords(steps []*wire.StepSpec) string {
 	var b strings.Builder
 	for _, step := range steps {
@@ -285,6 +296,7 @@
 	return b.String()
 }
 
+// takeCancel cancels a job. A cancel of a job that is not known yet is kept until the job is.
 func (s *State) takeCancel(now time.Time, e CancelAsked) {
 	j := s.jobs[e.ID]
 	if j == nil || s.phase == loading {
@@ -294,14 +306,13 @@
 	delete(s.cancels, e.ID)
 	j.CancelAsked = true
 	if j.Ended() {
-		s.markDirty(j, false) // so that the cancel's row goes
+		s.markDirty(j, false) // recording an ended job removes the row of its cancel
 		return
 	}
 	s.endJob(now, j, wire.JobPhase_JOB_PHASE_CANCELLED, "cancelled by its caller")
 }
 
-// endJob decides a job's last phase. What still runs of it is stopped by
-// stopUnwanted.
+// endJob sets a job's last phase. stopUnwanted stops the runs that it still has.
 func (s *State) endJob(now time.Time, j *jobs.Job, p wire.JobPhase, reason string) {
 	if j.Ended() {
 		return
--- a/pkg/process/cell/membership.go
+++ b/pkg/process/cell/membership.go
@@ -9,13 +9,14 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Membership: the row that names the workers which may hold runs. A successor holds back every task
-// that it finds nowhere until it has heard each of them, or until all leases there are surely over. So
-// a worker is dropped as soon as it takes no new work and holds nothing: one that has left never
-// answers a successor.
+// Membership: the row in the table that names the workers which may hold runs. A successor holds back
+// every task that no worker lists until each member has answered, or until all leases there have surely
+// ended. So a worker is dropped from the membership as soon as it takes no new work and holds nothing:
+// a worker that has left never answers a successor.
 
-// Roster lists the workers that may hold runs, for the cell's row of them; nil while the
-// row of earlier leaders has not been read. A worker that is not in the row gets no work.
+// Roster returns the entries of the cell's membership row: the workers that may hold runs. It is nil
+// while this process does not lead, or has not read the row of earlier leaders. A worker gets no work
+// until the recorded row names it.
 func (s *State) Roster() []*wire.RosterEntry {
 	if s.phase != leading && s.phase != releasing {
 		return nil
@@ -34,14 +35,15 @@
 	return list
 }
 
-// isMember says whether a worker that takes new work, or may hold any, is named. One that has never answered this
-// leader holds nothing of its own: it is named while earlier leaders may have used it, and before its first answer if
-// nothing tells that none will come. The list of workers also names some that are gone.
+// isMember says whether the membership names a worker that is neither gone nor dropped. A worker that has answered
+// this leader is a member. A worker that has not answered holds no run of this leader: it is a member while earlier
+// leaders may have used it, or while its first answer can be expected, since it is registered, not leaving and not
+// silent. Registration alone does not suffice: rows of workers that are gone stay for a while.
 func (s *State) isMember(w *workers.Worker) bool {
 	return w.Heard || s.earlier[w.ID] != nil || (w.Listed && !w.Leaving && w.SilentSince.IsZero())
 }
 
-// dropMembers takes the workers out of the membership that take no new work and hold nothing.
+// dropMembers drops workers that take no new work and hold nothing from the membership.
 func (s *State) dropMembers(now time.Time) {
 	for _, w := range s.sorted() {
 		drop := s.holdsNothing(now, w)
@@ -50,17 +52,17 @@
 			delete(s.earlier, w.ID)
 			s.note(Note{What: NoteWorkerDropped, Worker: w.ID, AgeMs: now.Sub(w.AnsweredAt).Milliseconds()})
 		case w.Dropped && !drop:
-			w.SureFrom = now // the write that drops it may still be on its way
+			w.SureFrom = now // the write of the row without it may still be in flight
 		}
 		w.Dropped = drop
 	}
 }
 
-// holdsNothing says whether a worker takes no new work, and surely holds neither a run nor an end that
-// is not recorded. This leader's fence stands there, so no order of an earlier one is carried out.
+// holdsNothing says whether a worker takes no new work and surely holds neither a run nor an end that
+// is not recorded. It has this leader's fence, so it refuses orders of earlier leaders.
 func (s *State) holdsNothing(now time.Time, w *workers.Worker) bool {
 	if before := s.earlier[w.ID].GetBorn(); before != 0 && before != w.Born {
-		return false // what the end of that incarnation says is not recorded
+		return false // the crash evidence from the end of that incarnation is not recorded
 	}
 	if w.Gone || !w.HoldsNothing() || s.recordedEnd(w) < w.Seen {
 		return false
@@ -68,6 +70,6 @@
 	if w.Leaving {
 		return true
 	}
-	// One that is silent may have crashed: it is named until what that says of its tasks is recorded.
+	// A silent worker may have crashed: it stays a member until the evidence against its tasks is recorded.
 	return !w.Listed && now.Sub(w.UnlistedAt) > unlistedFor && w.SilentSince.IsZero() && s.earlier[w.ID] == nil
 }
--- a/pkg/process/cell/settle.go
+++ b/pkg/process/cell/settle.go
@@ -10,12 +10,15 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// Settling: what earlier leaders started is known, or surely over, so that what is found nowhere may start.
+// Settling after a takeover: the leader finds out which runs earlier leaders started. Workers list them, or they have
+// surely ended because the worker's lease has. A task is settled, and may start if no worker lists it, once no earlier
+// run of it can go on unknown to this leader.
 
-// surelyOver says whether what earlier leaders started at a worker that has not
-// been heard is over. One that never answered was granted time by forerunners
-// only, until settleBy; one that has answered, while the jobs were being read,
-// was granted time by this leader too, and its list is still to come.
+// surelyOver says whether the runs that earlier leaders started at a worker which
+// has not answered have surely ended: its leases must have ended before leadership
+// was last confirmed. A worker that never answered has leases of earlier leaders
+// only. A worker that answered while the jobs were being read also has one of this
+// leader, and its list is still to come.
 func (s *State) surelyOver(now time.Time, w *workers.Worker) bool {
 	confirmed := s.confirmed(now)
 	if confirmed.Before(s.lastGrantAt(w.ID)) {
@@ -24,7 +27,8 @@
 	return !w.Clocked() || (!w.SilentSince.IsZero() && w.LeaseOver(confirmed))
 }
 
-// settle ends the waiting for workers that have not been heard.
+// settle ends the wait for members that have not answered. It has no effect while any task may still run at one of
+// them. After that it settles all tasks but those that the membership names there.
 func (s *State) settle(now time.Time) {
 	if s.settled {
 		return
@@ -43,7 +47,7 @@
 	s.settleBut(now, held)
 }
 
-// unheardOver says whether all that ran at workers which are not heard is over.
+// unheardOver says whether all runs at members that have not answered have surely ended.
 func (s *State) unheardOver(now time.Time) bool {
 	for id := range s.unsettled {
 		if !s.surelyOver(now, s.workers[id]) {
@@ -53,7 +57,8 @@
 	return true
 }
 
-// settleBut settles all tasks but those that may run at workers which are not heard.
+// settleBut settles all tasks but those in held, which may run at members that have not answered. It records crash
+// evidence against tasks that may have run where a member's incarnation has ended.
 func (s *State) settleBut(now time.Time, held map[string]bool) {
 	nowhere, settled := 0, 0
 	var mayHaveRun []*jobs.Task
@@ -89,7 +94,7 @@
 	s.note(Note{What: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", nowhere, len(s.unsettled), len(held)), AgeMs: -1})
 }
 
-// mayHaveRunUnheard says whether a task may have run at a worker that was not heard.
+// mayHaveRunUnheard says whether a task may have run at a member that has not answered.
 func (s *State) mayHaveRunUnheard(t *jobs.Task) bool {
 	for id := range s.unsettled {
 		if mayHaveRunAt(s.earlier[id], t) {
--- a/pkg/process/cell/state.go
+++ b/pkg/process/cell/state.go
@@ -1,20 +1,22 @@
-// Package cell schedules the workers of one cell: who may start what, where,
-// and what is known of it.
+// Package cell schedules the tasks of one cell on its workers. It decides which
+// tasks start on which worker and which runs are stopped, and it keeps what the
+// cell's leader knows of jobs, runs and workers.
 //
-// A State belongs to one thread. It takes in events and returns effects; it
-// makes no calls and reads no clock, so each failure can be brought about by
-// events alone. Data flows one way:
+// A State belongs to one goroutine. It applies events and returns effects. It makes
+// no calls and reads no clock, so a test can reproduce each failure by events
+// alone. Data flows one way:
 //
-//	event -> load.go, settle.go (takeover), look.go, lives.go and lists.go (workers), orders.go (answers)
-//	      -> ends.go (what an end means for its job)
-//	      -> crashes.go (what the end of a life means for what ran there)
-//	      -> lost.go (what is taken for over), leaving.go, lend.go
-//	      -> place.go, trials.go, fillers.go, harm.go, advice.go (what to start, and where)
-//	      -> pace.go (how fast fillers work)
-//	      -> record.go (what must last) and effects
+//	event -> load.go, settle.go (takeover), look.go, lives.go and lists.go (reports of workers), orders.go (replies to orders)
+//	      -> ends.go (the effect of a run's end on its job)
+//	      -> crashes.go (evidence against the tasks of a worker that crashed)
+//	      -> lost.go (runs and workers that are presumed over), leaving.go, lend.go (tasks for other cells)
+//	      -> place.go, trials.go, fillers.go, harm.go, advice.go (which tasks start, and where)
+//	      -> pace.go (the share at which fillers work)
+//	      -> record.go (progress that the table must hold) and effects
 //
-// A start is not recorded anywhere: workers list what runs. An end is
-// acknowledged to its worker after it is recorded. See docs/design/platform.md.
+// Starts are not recorded in the table: workers list their runs. The leader
+// acknowledges an end to its worker after the end is recorded. See
+// docs/design/platform.md.
 package cell
 
 import (
@@ -32,172 +34,190 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
+// phase is how far a process's leadership of the cell has come.
 type phase int
 
 const (
+	// following: another process leads the cell, or none.
 	following phase = iota
+	// loading: this process leads the cell and reads its jobs from the table.
 	loading
+	// leading: this process schedules the cell.
 	leading
+	// releasing: this process hands the cell over and starts nothing more.
 	releasing
 )
 
-// Bounds are the times that the deployment sets.
+// Bounds are the limits that the deployment's settings set.
 type Bounds struct {
-	// MaxLease is the longest that a worker holds what runs without renewal.
+	// MaxLease is the longest time that a worker may keep its runs without a renewal.
 	MaxLease time.Duration
-	// Retention is how long an ended job's state is told.
+	// Retention is how long callers can read the state of an ended job.
 	Retention time.Duration
 }
 
-// Unsafe takes out one fence each, so that a test can show what it is for.
+// Unsafe switches single safety mechanisms off, so that a test can show what each of them prevents.
 type Unsafe struct {
-	// NoSettling starts at once what an earlier leader may have started.
+	// NoSettling starts tasks at once after a takeover, though an earlier leader may have started them.
 	NoSettling bool
-	// NoRecorded acknowledges ends before they are recorded.
+	// NoRecorded acknowledges ends to workers before they are recorded.
 	NoRecorded bool
-	// NoLeaseWait takes runs of a silent worker for over at once.
+	// NoLeaseWait presumes the runs of a silent worker lost before the worker's lease has ended.
 	NoLeaseWait bool
-	// NoConfirmation takes runs for over though another may lead by now.
+	// NoConfirmation presumes runs lost though another process may lead the cell by now.
 	NoConfirmation bool
-	// NoBlame holds nothing against tasks under which workers crash.
+	// NoBlame records no crash evidence against the tasks that ran on workers that crashed.
 	NoBlame bool
-	// NoStrayRoom starts beside runs of which nobody knows how much room they take.
+	// NoStrayRoom starts tasks beside orphaned runs, whose size is not known.
 	NoStrayRoom bool
-	// NoUnseen holds nothing against tasks for lives that ended unseen.
+	// NoUnseen records no crash evidence for unobserved ends: incarnations that ended while no leader observed their runs.
 	NoUnseen bool
-	// NoStrays has runs stopped at once whose jobs are not known yet.
+	// NoStrays stops orphaned runs at once, before their jobs can become known.
 	NoStrays bool
-	// NoTrialRecord tries a task before it is recorded that it may be tried.
+	// NoTrialRecord starts an isolated run before the table records that there may be one.
 	NoTrialRecord bool
 }
 
-// State is what the leader of a cell knows.
+// State holds what a process knows of one cell, and takes the cell's decisions while the process leads it.
 type State struct {
 	name   string
 	bounds Bounds
 	unsafe Unsafe
-	// without are the mechanisms that are left out.
+	// without are the mechanisms that are switched off.
 	without Mechanism
-	// peers are the deployment's other cells.
+	// peers are the deployment's other cells, sorted.
 	peers []string
 
 	epoch    int64
 	phase    phase
 	manifest *manifest.Manifest
-	wall     time.Time
+	// wall is the time of day of the current Decide.
+	wall time.Time
 
 	jobs    map[string]*jobs.Job
 	workers map[string]*workers.Worker
-	// order are the workers by id, made anew when reorder is set.
+	// order lists the workers by id. It is rebuilt when reorder is set.
 	order   []*workers.Worker
 	reorder bool
-	roster  map[string]bool
-	// over are workers whose host runs another one by now, with the life that is over. They
-	// are few: one a restart that this process has seen.
+	// roster holds the ids that the recorded membership row names: only these workers get work.
+	roster map[string]bool
+	// over holds, by worker id, the incarnations (their Born) that have ended because a later one answered on
+	// their host. There are few of them: one for each restart that this process has observed.
 	over map[string]int64
-	// followedAt is as of when all jobs of the cell's table have been told.
+	// followedAt is the time up to which the cell's table has been followed: all jobs recorded before it are known.
 	followedAt time.Time
-	// falls are when workers fell silent, the last few seconds.
+	// falls are the times at which workers fell silent, as far back as fellKept.
 	falls []fall
-	// hostCrashes are the last crashes of each host.
+	// hostCrashes are the crashes by host, as far back as hostKept.
 	hostCrashes map[string][]hostCrash
-	// silent are runs whose workers fell silent.
+	// silent are runs whose worker fell silent: whether the worker crashed is not known yet.
 	silent []silentRun
-	// accused are the tasks against which anything is held, in the order in which that came to be.
+	// accused are the implicated tasks: those with crash evidence, in the order in which they got the first of it.
 	accused []*jobs.Task
-	// closed are workers that nothing else may join, for a trial; kept those that are kept for one;
-	// trialsOut is how many are on. All as of one placing, but for kept.
+	// closed are the workers that no other task may join, because an isolated run is there or is about to start.
+	// trialsOut is the number of isolated runs. Both are as of the last placement. kept are the workers reserved for
+	// the isolated run of a task; a reservation lasts over several placements.
 	closed    map[*workers.Worker]bool
 	kept      map[*jobs.Task]keptWorker
 	trialsOut int
-	// died are runs whose workers have started again, until that is confirmed.
+	// died are runs whose worker has restarted. They are presumed lost once leadership is confirmed for a later time.
 	died []diedRun
-	// cancels are asked for, of jobs that have not been seen yet.
+	// cancels are cancels of jobs that are not known yet, with the time at which each was received.
 	cancels map[string]time.Time
 	// waiting are the units that have tasks to start.
 	waiting map[*jobs.Unit]struct{}
-	parts   map[string]*part
-	seq     int64
-	runs    int64
-	// advices are tickets by unit; adviceOut is the unit that is being asked for.
+	// parts write progress, each to one part of the table.
+	parts map[string]*part
+	// seq is the number of the last change to any job's progress.
+	seq int64
+	// runs is how many run numbers this epoch has used.
+	runs int64
+	// advices holds the tickets of the advising service by unit. adviceOut is the unit whose advice request has no
+	// answer yet.
 	advices   map[string]*advice
 	adviceOut string
-	// others is what the leaders of other cells told of theirs.
+	// others are the loads that the leaders of other cells reported, by cell.
 	others map[string]otherLoad
-	// lent are specifications for other cells that are not recorded yet.
+	// lent are specifications of delegated tasks for other cells that are not recorded yet.
 	lent map[*jobs.Job][]*wire.JobSpec
 
-	// unsettled are the workers that must be heard before tasks which were
-	// found nowhere may start; settleBy is when waiting ends anyway.
+	// unsettled are the members that have not answered this leader. Until settled is set, tasks that no worker lists
+	// wait for them. settleBy is when the last lease that earlier leaders may have granted ends, which ends the wait.
 	unsettled map[string]bool
 	settled   bool
 	settleBy  time.Time
-	// othersSettled says that only tasks which the membership names may still run unheard.
+	// othersSettled is set once only tasks that the membership names may still run at members that have not answered.
 	othersSettled bool
-	// mayRunUnheard are those tasks, by name.
+	// mayRunUnheard holds the names of those tasks.
 	mayRunUnheard map[string]bool
-	// earlier are the lives that the roster names until what their ends say is recorded, which it is with
-	// the change weighedSeq; unseen those of them that ended before their lists were heard.
+	// earlier are the entries of retained members, by worker: incarnations that earlier leaders could use, and
+	// incarnations that have ended. The membership names them until the crash evidence from their ends is recorded,
+	// which it is with change number weighedSeq. unseen are those that ended before this leader received their lists.
 	earlier    map[string]*wire.RosterEntry
 	unseen     []string
 	weighedSeq int64
-	// unheard are members that were not heard when the cell settled, and whose end has not shown since.
+	// unheard are the unreached members: those that had not answered when the cell settled, and that have neither
+	// answered nor ended since, as far as is known.
 	unheard map[string]unheardMember
-	// unseenHeld are the tasks against which this leader holds an end that nobody saw.
+	// unseenHeld are the tasks to whose crash evidence this leader has added an unobserved end.
 	unseenHeld map[*jobs.Task]bool
-	// predecessors are leaders that are not known to be over, and when what each may have granted is
-	// over; overUntil is the same for the others.
+	// predecessors are the leaders that may still act, by the names of their incarnations, each with the time at which
+	// the last lease that it may grant ends. overUntil is that time for all other earlier leaders.
 	predecessors map[string]time.Time
 	overUntil    time.Time
-	// overAt is the same for single workers, by what predecessors told of their leases; granted are those of this
-	// process's earlier leaderships.
+	// overAt holds, by worker, when the leases end that predecessors reported at their own end. granted holds the same
+	// for leases that this process granted in earlier leaderships.
 	overAt, granted map[string]time.Time
-	// grantedUnknown is until when leases may go on at workers that an earlier leadership of this process never learned of.
+	// grantedUnknown is the time until which leases may last at workers that an earlier leadership of this process
+	// never learned of.
 	grantedUnknown time.Time
 
-	// press is what was learned of fillers beside serving tasks. It outlives a
-	// leadership: it is about images.
+	// press holds the learned interference of fillers with serving tasks. It is kept when a leadership ends, since it
+	// depends on images only. pressToldAt is when the log last reported it.
 	press       *interference.Press
 	pressToldAt time.Time
-	// orders bounds the orders to start that are on their way. It is about this host's
-	// link and outlives a leadership.
+	// orders limits the bytes of start orders in flight. It is kept when a leadership ends, since it depends on this
+	// host's link only.
 	orders *flow.Window
-	// heldNotedAt is when it was last told that orders are held back.
+	// heldNotedAt is when the log last reported that start orders are held back.
 	heldNotedAt time.Time
-	// runtimes is what was learned of how long tasks run. It outlives a leadership, too.
+	// runtimes estimates how long tasks run. It is kept when a leadership ends, too.
 	runtimes *runtimes.Estimates
-	// neighbours is what fillers would meet at each worker, for one placing.
+	// neighbours caches the tasks that a filler would run beside, by worker, and harms the cost of a filler at a
+	// worker. Both are valid for one placement.
 	neighbours map[*workers.Worker]neighbours
 	harms      map[place]float64
-	// fillerRooms and fillerFrees are what loads tell of room for fillers, by image,
-	// as of roomsAt.
+	// fillerRooms and fillerFrees are the sums of capacity for fillers that Load reports, by image, as of roomsAt.
 	fillerRooms, fillerFrees map[string]int64
 	roomsAt                  time.Time
-	// waitsNotedAt is when the log last said why lasting tasks wait.
+	// waitsNotedAt is when the log last gave the reasons why lasting tasks wait.
 	waitsNotedAt time.Time
-	// roomy says that much of the cell's room is free, likewise.
+	// roomy is set if much of the cell's capacity is free, as of the last placement.
 	roomy bool
-	// held are workers whose room is kept for lasting tasks, likewise.
+	// held are the workers whose capacity is reserved for lasting tasks, as of the last placement.
 	held map[*workers.Worker]bool
-	// confirmedAt is when this process surely led the cell last. What is taken
-	// for over without its worker having said so must be over by then: else a
-	// later leader may have renewed it, or acknowledged its end.
+	// confirmedAt is the last time at which this process surely led the cell. A run that is presumed over without a
+	// report from its worker must have ended before that time: otherwise a later leader may have renewed the worker's
+	// lease or acknowledged the run's end.
 	confirmedAt time.Time
-	// leadsUntil is how long this process may go on without another renewal.
+	// leadsUntil is when the tenure ends, and with it the leadership unless it is renewed. The zero time sets no limit.
 	leadsUntil time.Time
 
+	// placeNow makes the next Decide place tasks, scanNow makes it run the scans of decideScans.
 	placeNow bool
 	scanNow  bool
-	outbox   []Effect
+	// outbox are the effects that the next Decide returns.
+	outbox []Effect
 }
 
-// Option changes how a State is made.
+// Option configures a State.
 type Option func(*State)
 
-// WithUnsafe takes fences out, for tests.
+// WithUnsafe switches safety mechanisms off, for tests.
 func WithUnsafe(u Unsafe) Option { return func(s *State) { s.unsafe = u } }
 
-// WithPeers names the deployment's cells: a cancel stands in the table for each of them.
+// WithPeers names the deployment's cells. A cancel is written to the table for each of them, so the State must know
+// them to remove those rows.
 func WithPeers(cells []string) Option {
 	return func(s *State) {
 		s.peers = slices.Sorted(slices.Values(cells))
@@ -205,7 +225,7 @@
 	}
 }
 
-// New returns the state of a process that does not lead the cell.
+// New returns the State of a process that does not lead the cell.
 func New(name string, bounds Bounds, options ...Option) *State {
 	s := &State{
 		name: name, bounds: bounds, workers: map[string]*workers.Worker{}, press: interference.NewPress(), orders: flow.NewWindow(), runtimes: runtimes.New(), others: map[string]otherLoad{},
@@ -218,6 +238,7 @@
 	return s
 }
 
+// forget drops everything that belongs to one leadership.
 func (s *State) forget() {
 	s.jobs = map[string]*jobs.Job{}
 	s.cancels = map[string]time.Time{}
@@ -240,8 +261,8 @@
 	s.reorder = true
 }
 
-// Take takes in one event. Decide, called after a batch of events, acts on
-// them: deciding after each one would cost as much again for nothing.
+// Take applies one event. Callers apply a batch of events and then call Decide once: a Decide after each event would
+// cost as much again and gain nothing.
 func (s *State) Take(now time.Time, e Event) {
 	switch e := e.(type) {
 	case Tick:
@@ -299,8 +320,8 @@
 	}
 }
 
-// Decide does all that has become due and returns what is to be done. wall is
-// the time of day: it decides only which times of repeated jobs are due.
+// Decide takes all decisions that are due and returns the effects to carry out. wall is the time of day. Of the
+// decisions, only those about the times of repeating jobs depend on it.
 func (s *State) Decide(now, wall time.Time) []Effect {
 	s.wall = wall
 	if s.pastTenure(now) {
@@ -321,8 +342,8 @@
 	return out
 }
 
-// decideScans does what looks at every run. It follows from time, from looks
-// and from jobs that ended, not from each answer.
+// decideScans takes the decisions that examine every run. They are due after a tick, after an answer that changes
+// whether a worker or its incarnation counts as alive, and after a job's end, but not after every answer.
 func (s *State) decideScans(now time.Time) {
 	if !s.scanNow {
 		return
@@ -348,8 +369,7 @@
 	s.forgetEnded(now)
 }
 
-// sorted lists the workers by id. The order of a map would make the same events
-// lead to other decisions the next time.
+// sorted lists the workers by id. A map has no fixed order, so the same events would lead to other decisions each time.
 func (s *State) sorted() []*workers.Worker {
 	if len(s.order) != len(s.workers) || s.reorder {
 		s.order = s.order[:0:0]
@@ -368,19 +388,19 @@
 	s.emit(n)
 }
 
-// noteIfHeld is for what every process is told, and only the leader acts on.
+// noteIfHeld notes a change that every process hears of, if this process leads the cell or loads its jobs.
 func (s *State) noteIfHeld(n Note) {
 	if s.Holds() {
 		s.note(n)
 	}
 }
 
+// target names a worker's current incarnation for a call.
 func target(w *workers.Worker) workers.Target {
 	return workers.Target{ID: w.ID, Born: w.Born, Address: w.Address}
 }
 
-// touch looks anew at which units of a job have tasks to start, and marks its
-// progress for recording.
+// touch updates which units of a job wait for a start, and makes a placement due.
 func (s *State) touch(now time.Time, j *jobs.Job) {
 	for _, u := range j.Units {
 		if !j.Ended() && !u.Done() && u.Ready() && wantsStart(u) {
@@ -394,6 +414,7 @@
 	s.placeNow = true
 }
 
+// wantsStart says whether a unit has a task to start: one that is settled, not done, not delegated and without a run.
 func wantsStart(u *jobs.Unit) bool {
 	for _, t := range u.Tasks {
 		if !t.Done && t.LentTo == "" && t.Settled && len(t.Runs) == 0 {
@@ -403,6 +424,7 @@
 	return false
 }
 
+// openTimes opens the times of repeating jobs that have fallen due.
 func (s *State) openTimes(now time.Time) {
 	for _, j := range s.jobs {
 		if j.Spec.GetRepeats() == 0 || j.Ended() {
@@ -410,7 +432,7 @@
 		}
 		if opened := j.OpenDue(s.wall); len(opened) > 0 {
 			if !s.newSettled() {
-				unsettle(opened) // they fall due for a forerunner, too
+				unsettle(opened) // a predecessor opens them, too, and may have started their tasks
 			}
 			s.holdBackNamed(j)
 			s.claimStrays(now, j)
@@ -419,7 +441,8 @@
 	}
 }
 
-// forgetEnded drops jobs whose last state has been told for long enough.
+// forgetEnded drops jobs that ended longer ago than the retention, and cancels of unknown jobs after the same time. It
+// also drops the tickets of jobs that have ended.
 func (s *State) forgetEnded(now time.Time) {
 	for id, at := range s.cancels {
 		if now.Sub(at) > s.bounds.Retention {
