--- a/pkg/process/cell/notes.go
+++ b/pkg/process/cell/notes.go
@@ -1,7 +1,7 @@
 package cell
 
-// What names a kind of decision or change of belief in the log. The table
-// below is the one list of them; docs/EVENTS.md is made from it.
+// What is a kind of note: the name of a decision, or of a change in what the leader knows, in the log. Notes lists
+// all kinds; docs/EVENTS.md is generated from that table.
 type What string
 
 // The kinds of notes.
@@ -50,54 +50,54 @@
 	NoteUnreadable      What = "unreadable"
 )
 
-// NoteHelp is one row of the table of notes.
+// NoteHelp documents one kind of note.
 type NoteHelp struct {
 	What What
 	Says string
 }
 
-// Notes lists every kind of note and what it says.
+// Notes documents every kind of note.
 var Notes = []NoteHelp{
-	{NoteLed, "this process leads a cell from now on; detail: epoch"},
-	{NoteDeposed, "this process no longer leads the cell; detail: why"},
-	{NoteLoaded, "the cell's jobs were read from the table; detail: how many"},
-	{NotePredecessorOver, "an earlier leader grants nothing more: what it granted ends with a lease; detail: which incarnation; age_ms: how much longer the cell may have to wait for workers that are not heard"},
-	{NoteSettled, "what earlier leaders started is known or surely over, but for tasks that the membership names at workers that are not heard; detail: how many tasks were found nowhere, workers not heard, tasks named"},
-	{NoteReleased, "the cell is given up on purpose"},
+	{NoteLed, "this process leads the cell from now on; detail: epoch"},
+	{NoteDeposed, "this process no longer leads the cell; detail: reason"},
+	{NoteLoaded, "the cell's jobs were read from the table; detail: numbers of jobs, cancels and members that must answer"},
+	{NotePredecessorOver, "an earlier leader has ended and grants no more leases; detail: its incarnation; age_ms: how much longer the cell may wait for members that do not answer"},
+	{NoteSettled, "the runs of earlier leaders are known or have surely ended, except for tasks that the membership names at members that have not answered; detail: numbers of tasks that no worker lists, members that have not answered, tasks that may run there"},
+	{NoteReleased, "this process hands the cell over"},
 	{NoteManifest, "a newer manifest is in force; detail: version"},
-	{NoteJobQueued, "a job came to the cell; detail: steps, tasks"},
-	{NoteJobEnded, "a job's last state was decided; detail: state, reason, time since acceptance"},
-	{NoteJobRecorded, "the table holds a job's last state: callers are told from now on"},
-	{NoteRecordFailed, "progress could not be written, and is tried again"},
-	{NoteWaits, "a task that could start finds no place for long; detail: what each usable worker lacks, the wait"},
-	{NoteLastingWaits, "a lasting task has no run, told each second; age_ms: since its last run; reason; fits_here, fits_elsewhere: how often it fits into free capacity of this cell's workers and of other cells"},
-	{NoteStart, "a task is ordered to start; detail: wait, room left, checkpoint"},
-	{NoteStartRefused, "the worker refused the start; detail: why"},
-	{NoteStartUnsure, "the start got no answer: it may run"},
-	{NoteOrdersHeld, "orders to start are held back, once a second at most: tasks wait for the link, not for room; detail: bytes on their way, the window, how long answers take"},
-	{NoteAdopted, "a run of an earlier leader goes on"},
-	{NoteStop, "a run is ordered to stop; detail: why"},
-	{NoteEnd, "a run ended; detail: how, percent"},
-	{NoteLost, "a run is surely over without its end having been seen; detail: why"},
-	{NoteEndPassed, "a worker lists an end with a number that was taken in before, though its run is still taken to be there; detail: how it ended, both numbers"},
-	{NotePace, "a filler's share of work is changed; detail: share, the tail that decided"},
-	{NoteAdvice, "the advising service said which workers may run a step; detail: how many, or why not"},
-	{NoteLent, "tasks without room, or whose neighbours would suffer, are left to another cell; detail: which, its room, the wait"},
-	{NoteGivenBack, "a task that another cell lent to this one finds no room and is left to it again; detail: where room is, the wait"},
-	{NoteTakenBack, "another cell gives back or reports on tasks that it was lent; detail: how many, which cell, a failure"},
-	{NotePress, "which fillers press on which serving images, as now believed; detail: serving image alone, and each filler's coefficient"},
-	{NoteWorkerNew, "a worker came to be known"},
-	{NoteWorkerLife, "another life of a worker answers than the one that is known; detail: when each began, and their clocks"},
-	{NoteWorkerRoom, "a worker says otherwise of its room than before; detail: the room, the one before, what is left"},
-	{NoteWorkerGone, "a worker's life is over; detail: why"},
-	{NoteWorkerDropped, "a worker takes no new work and holds nothing, so the cell's membership no longer names it: a successor does not wait for it"},
-	{NoteWorkerCrashed, "a worker's life ended by itself with runs there, or it stopped answering; detail: whether it is only silent, how many others fell silent in that moment, the runs and how long each had run at least"},
-	{NoteSuspected, "a task is suspected of crashing workers; detail: how much, after how many crashes, what this one says"},
-	{NoteCleared, "a task is no longer suspected; detail: why"},
-	{NoteWorkerLeaves, "a worker takes no new work; detail: time left"},
-	{NoteWorkerSilent, "a worker does not answer; its lease runs out"},
-	{NoteWorkerHeard, "a worker answers (again)"},
-	{NoteWorkerAside, "a worker gets no work for a while; detail: why"},
-	{NoteWorkerBack, "a worker that was put aside works again"},
+	{NoteJobQueued, "the cell received a job; detail: queue, tasks, steps; age_ms: time since acceptance"},
+	{NoteJobEnded, "a job's last phase was decided; detail: phase, reason; age_ms: time since acceptance"},
+	{NoteJobRecorded, "a job's last phase is recorded in the table, and is reported to callers from now on; detail: phase"},
+	{NoteRecordFailed, "progress could not be written; the write is retried; detail: error"},
+	{NoteWaits, "a task has waited long for a worker; detail: how many usable workers lack what; age_ms: the wait"},
+	{NoteLastingWaits, "a lasting task has no run; repeated each second; age_ms: time since its last run; reason; fits_here, fits_elsewhere: how often it fits into free capacity of this cell's workers and of other cells"},
+	{NoteStart, "a start was ordered; detail: time since the job was accepted, free millicores, checkpoint"},
+	{NoteStartRefused, "the worker refused the start; detail: reason"},
+	{NoteStartUnsure, "the start got no answer, so the task may run; detail: until when the worker may carry the order out, error"},
+	{NoteOrdersHeld, "start orders are held back: tasks wait for the link, not for capacity; repeated once a second at most; detail: bytes in flight, the window, the time that answers take"},
+	{NoteAdopted, "a run that an earlier leader started was taken over"},
+	{NoteStop, "a run was ordered to stop; detail: reason"},
+	{NoteEnd, "a run ended; detail: how, progress in percent"},
+	{NoteLost, "a run is presumed over without a report of its end; detail: reason"},
+	{NoteEndPassed, "an end was ignored because its number is not new, though its run still counts as running; detail: how the run ended, its number, the newest number before"},
+	{NotePace, "a filler's share was changed; detail: share, the worst level of a serving task beside it"},
+	{NoteAdvice, "the advising service answered which workers may run a step; detail: how many, or the error"},
+	{NoteLent, "tasks that find no capacity here, or would harm their neighbours, were delegated to another cell; detail: the target cell, its free capacity, the wait"},
+	{NoteGivenBack, "a delegated task finds no capacity here and was returned to its home cell; detail: the home cell, a cell with capacity, the wait"},
+	{NoteTakenBack, "a target cell returned delegated tasks or reported them done or failed; detail: how many, the target cell, the failure"},
+	{NotePress, "the learned interference of fillers with a serving image; detail: the serving image's level alone, and each filler's coefficient"},
+	{NoteWorkerNew, "a worker became known; detail: service, address, capacity, labels, start time"},
+	{NoteWorkerLife, "another incarnation of a worker answered than the known one; detail: the start times of both, their clocks"},
+	{NoteWorkerRoom, "a worker reported another capacity than before; detail: the capacity, the previous one, what is free"},
+	{NoteWorkerGone, "a worker's incarnation has ended; detail: reason"},
+	{NoteWorkerDropped, "a worker takes no new work and holds nothing, so the membership no longer names it and a successor does not wait for it"},
+	{NoteWorkerCrashed, "a worker with runs crashed, or does not answer; detail: whether it is only silent, how many workers fell silent at that moment, its runs and their least ages"},
+	{NoteSuspected, "a task is suspected of crashing workers; detail: level, number of crashes, the evidence of this one"},
+	{NoteCleared, "a task is no longer suspected of crashing workers; detail: reason"},
+	{NoteWorkerLeaves, "a worker leaves and takes no new work; detail: time left"},
+	{NoteWorkerSilent, "a worker does not answer, and its lease runs out; detail: error; age_ms: time since its last answer"},
+	{NoteWorkerHeard, "a silent worker answers; age_ms: how long it was silent"},
+	{NoteWorkerAside, "a worker is in quarantine and gets no work for a while; detail: reason"},
+	{NoteWorkerBack, "a worker's quarantine has ended; detail: reason"},
 	{NoteUnreadable, "a message or row could not be used; detail: which"},
 }
