--- a/pkg/process/cell/early_test.go
+++ b/pkg/process/cell/early_test.go
@@ -11,14 +11,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A job was accepted while its cell changed its leader. The forerunner was told of it, and started
-// a task; the successor, which had read the table just before, found the run in the worker's list,
-// knew no such job, and asked for the run's end. Then it was told of the job too, and started the
-// task at the same worker a tenth of a second after the forerunner, beside the run that was still
-// being stopped:
-//
-//	36.436 s  ...0.1.15 of a deposed leader (epoch 1)
-//	36.538 s  ...0.1.15 of its successor (epoch 2), at the same worker
+// A job is accepted while its cell changes its leader. The predecessor receives it and starts a task. The successor read
+// the table just before, finds the run in the worker's list, and knows no such job. It must not stop this orphaned run:
+// when it received the job a tenth of a second later, it started the task again, beside the run that was being stopped.
 func TestARunIsNotDoubledWhoseJobBecomesKnownLater(t *testing.T) {
 	t.Parallel()
 	v := newLives()
@@ -33,7 +28,7 @@
 	must.Eq(t, 0, v.startsOf(task))
 }
 
-// The same with a run that had ended well by then: its end must not be forgotten by its worker
+// The same with a run that has ended well by then. Its end must not be acknowledged, and so forgotten by the worker,
 // before the job is known.
 func TestAGoodEndIsKeptWhoseJobBecomesKnownLater(t *testing.T) {
 	t.Parallel()
@@ -48,8 +43,8 @@
 	must.Eq(t, 1, v.recorded)
 }
 
-// What no job in the table names is nobody's: its run is stopped and its end forgotten, once the
-// table has been read from after they were listed.
+// An orphaned run is stopped, and an orphaned end acknowledged, once the table has been read from after they were
+// listed and holds no job of theirs.
 func TestWhatNoJobNamesIsStoppedOnceTheTableWasRead(t *testing.T) {
 	t.Parallel()
 	v := newLives()
@@ -65,11 +60,9 @@
 	must.Eq(t, 1, v.recorded)
 }
 
-// The job is known, but a time of it falls due here only a moment later: its forerunner's clock is ahead,
-// or looked at it first. An end of that time was forgotten as nobody's, and the task started again:
-//
-//	16.981 worker-4 ends ...0.0.0 run 1000035: done
-//	17.378 worker-1 starts ...0.0.0 run 3000020
+// The job is known, but one of its times falls due here a moment later than at the predecessor, whose clock is ahead or
+// which checked earlier. An end of that time must not count as orphaned for good: its worker forgot it, and the task was
+// started again.
 func TestAGoodEndIsKeptOfATimeThatFallsDueLater(t *testing.T) {
 	t.Parallel()
 	v := newLives()
@@ -90,11 +83,8 @@
 	must.Eq(t, 1, v.recorded)
 }
 
-// Another cell has lent a time of a job here, and lends one more. The forerunner was told of it first, and
-// has started it:
-//
-//	20.140 worker-5 starts ...2.0.1 run 4000011, 20.240 ends it: done
-//	20.341 worker-3 starts ...2.0.1 run 5000001
+// Another cell has delegated a time of a job to this cell, and delegates one more. The predecessor received that first
+// and has started it. Its run must be taken over when the delegation becomes known here, and not started a second time.
 func TestARunIsNotDoubledWhoseTimeIsLentLater(t *testing.T) {
 	t.Parallel()
 	v := newLives()
--- a/pkg/process/cell/grants_test.go
+++ b/pkg/process/cell/grants_test.go
@@ -9,7 +9,8 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// A predecessor that never heard the worker either was waited for as if it had just renewed it.
+// A successor waits for a silent member as long as its predecessor's lease there may last. A predecessor that had no
+// answer of the member either granted it nothing, so the wait must not be a whole lease.
 func TestASuccessorWaitsForAWorkerAsLongAsItsPredecessorMayHaveGranted(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -34,7 +35,7 @@
 	}
 }
 
-// What a process granted while it led, it tells when it leads no more: until the lease is surely over.
+// A deposed leader reports the leases that it granted until they have surely ended.
 func TestAProcessTellsTheLeasesThatItGranted(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -53,7 +54,8 @@
 	must.MapEmpty(t, grants)
 }
 
-// A process that leads again knows what it granted the time before, and does not count on its successor's silence.
+// A process that leads again waits for the leases that it granted in its earlier leadership: no other process reports
+// them.
 func TestAProcessThatLeadsAgainKnowsItsOwnLeases(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -74,7 +76,8 @@
 	must.MapLen(t, 1, b.started)
 }
 
-// A cell that was taken over a moment ago got a lasting task that it then held back for 4.6 s.
+// A cell must report from the moment of its takeover that it is not settled. Otherwise other cells delegate a lasting
+// task to it, which it then holds back, as once for 4.6 s.
 func TestALoadTellsFromTheFirstMomentThatACellHasNotSettled(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
@@ -82,8 +85,8 @@
 	must.Positive(t, v.state.Load(v.now, false).GetSettlesInMs())
 }
 
-// A leader that never heard a worker tells of the leases that it waited for: its row does not name leaders any more that
-// are over.
+// A deposed leader reports the leases that it waited for, too: the leadership row no longer names the predecessors that
+// had ended, so its successor learns of their leases from it alone.
 func TestAProcessTellsTheLeasesThatItWaitedFor(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
@@ -95,7 +98,8 @@
 	must.Between(t, 3*time.Second, grants["dark"], 4*time.Second)
 }
 
-// A leader that was deposed before it had read the membership does not know which workers it waited for.
+// A leader that was deposed before it had read the membership does not know at which workers leases may last. It must
+// report that its list is not complete.
 func TestAProcessThatNeverLoadedDoesNotTellLeases(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -108,7 +112,8 @@
 	must.True(t, known)
 }
 
-// A leader that waited for one that is not over does not tell of that: the row names it, and its successor may be it.
+// A deposed leader does not report the leases of a predecessor that may still act: the leadership row names that
+// predecessor, and it may be the successor itself.
 func TestAProcessDoesNotTellTheTenureOfALeaderThatTheRowNames(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
--- a/pkg/process/cell/membership_test.go
+++ b/pkg/process/cell/membership_test.go
@@ -14,7 +14,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// list tells the cell of its first n workers, some of them leaving.
+// list brings the registry rows of the cell's first n workers, some of them leaving.
 func (b *busyCell) list(n int, leaving ...string) {
 	records := make([]workers.Record, 0, n)
 	for _, l := range slices.Sorted(maps.Keys(b.reports)) {
@@ -28,7 +28,7 @@
 	b.state.Take(b.now, cell.WorkersListed{Records: records})
 }
 
-// members are the workers that the cell's membership row is to name.
+// members are the ids of the workers that the cell's membership row names.
 func (b *busyCell) members() []string {
 	var list []string
 	for _, e := range b.state.Roster() {
@@ -37,7 +37,7 @@
 	return list
 }
 
-// stopAll ends the runs that a worker was told to stop.
+// stopAll ends the runs that workers were ordered to stop.
 func (b *busyCell) stopAll() {
 	for _, s := range b.stops {
 		b.finish(s.Stop.Task, workers.EndedStopped)
@@ -45,7 +45,7 @@
 	b.stops = nil
 }
 
-// A worker that leaves is a member until what it was told to stop has ended, and is recorded.
+// A worker that leaves stays a member until the runs that it was ordered to stop have ended and the ends are recorded.
 func TestTheMembershipDropsAWorkerThatLeavesOnceItHoldsNothing(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -57,7 +57,7 @@
 		b.step(100 * time.Millisecond)
 	}
 	must.Len(t, 1, b.stops)
-	must.SliceContains(t, b.members(), at, must.Sprint("the stop has not ended its run"))
+	must.SliceContains(t, b.members(), at, must.Sprint("its run has not ended"))
 	b.stopAll()
 	for range 5 {
 		b.step(100 * time.Millisecond)
@@ -66,7 +66,7 @@
 	must.Len(t, 15, b.members())
 }
 
-// The end of a run that is not in the table yet keeps its worker in the membership.
+// A worker stays a member while an end that it listed is not recorded in the table.
 func TestTheMembershipKeepsAWorkerWhoseEndsAreNotRecorded(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -83,7 +83,7 @@
 	must.SliceContains(t, b.members(), at)
 }
 
-// Cell state of a successor that hears all workers but those that have left.
+// A successor must not wait for workers that had left before the takeover, since they never answer it.
 func TestALastingTaskStartsAtOnceAfterATakeoverBesideWorkersThatHaveLeft(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -110,13 +110,13 @@
 	must.MapContainsKey(t, successor.started, "00000000000000ff.0.0.0")
 }
 
-// lead makes this cell's process the successor of another one, whose workers it hears: all that are
-// not silent. The only job is found nowhere.
+// lead makes this cell the successor of another one, with the same workers. All that are not silent answer it. The
+// cell has one job, which no worker lists. wait is the time until the predecessor's last lease ends.
 func (b *busyCell) lead(before *busyCell, wait time.Duration) {
 	b.takeOver(before, wait, before.state.Roster(), lastingJob("00000000000000ff"))
 }
 
-// lastingJob is a job of one task that lasts.
+// lastingJob is a job of one lasting task.
 func lastingJob(id string) *wire.JobSpec {
 	return &wire.JobSpec{Id: id, Queue: "watches", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{{Count: 1, Millicores: 6000, Lasting: true}}}
 }
@@ -126,6 +126,7 @@
 	b.takeOver(before, 15*time.Second, members, lastingJob("00000000000000ff"))
 }
 
+// takeOver is lead with a given membership and given jobs.
 func (b *busyCell) takeOver(before *busyCell, wait time.Duration, members []*wire.RosterEntry, specs ...*wire.JobSpec) {
 	b.now, b.reports, b.silent = before.now, map[string]*workers.Report{}, before.silent
 	for id := range before.reports {
@@ -145,8 +146,8 @@
 	})
 }
 
-// A worker whose row comes back after it was dropped gets work only once a renewal, and the membership
-// with it, was sent after that.
+// A worker that was dropped from the membership and registers again gets no work until a renewal that was sent after
+// that, and the membership with it, has taken effect.
 func TestADroppedWorkerThatIsListedAgainWaitsForARenewal(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -166,7 +167,8 @@
 	must.MapLen(t, 1, b.started)
 }
 
-// A worker that was dropped as it left is still listed when a successor leads: who follows that one does not wait for it.
+// A worker was dropped from the membership as it left, but its registry row still stands when a successor leads. The
+// successor must not name it again: the next leader would wait for it.
 func TestAWorkerThatLeftIsNotNamedAgainByASuccessor(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -186,7 +188,8 @@
 	must.Len(t, 15, successor.members())
 }
 
-// A worker that crashed is listed for a while, and answers no successor: none names it that could not use it.
+// The registry row of a worker that crashed stands for a while, but the worker answers no successor. A successor that
+// could not use the worker must not name it in the membership.
 func TestAWorkerThatNeverAnsweredIsNotNamed(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
--- a/pkg/process/cell/settling_test.go
+++ b/pkg/process/cell/settling_test.go
@@ -12,12 +12,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Another cell had given a task back, and a leader started it at once, at a worker that its successor
-// does not hear. The row that gave it back still stood, so the successor took it back once more, as
-// one that is surely nowhere, and started it beside the run:
-//
-//	17.598 hall-0 at host-2: task-taken-back, 17.600 worker-6 starts ...0.0.0 run 3000052
-//	19.839 hall-0 at host-0: task-taken-back, 19.854 worker-4 starts ...0.0.0 run 6000001
+// Another cell has returned a delegated task, and a predecessor has started it at a worker that does not answer the
+// successor. The row that returned it still stands, so the successor takes it back once more. It must not count the
+// task as one that surely has no run: it started the task a second time, beside the predecessor's run.
 func TestATaskThatWasGivenBackBeforeATakeoverMayRunAlready(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
@@ -30,8 +27,8 @@
 	must.True(t, started)
 }
 
-// A time of a repeating job falls due after a takeover, before it is known what forerunners started: it
-// falls due for one that has been suspended, too, when it wakes.
+// A time of a repeating job falls due after a takeover, before the cell is settled. A predecessor that was suspended
+// opens that time, too, when it wakes, and may start its tasks.
 func TestATimeThatFallsDueBeforeATakeoverIsSettledWaits(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{
@@ -45,7 +42,7 @@
 	must.True(t, started)
 }
 
-// More times of a job are lent to a cell right after a takeover: its forerunner hears of them, too.
+// More times of a job are delegated to a cell right after a takeover. Its predecessor may receive and start them, too.
 func TestTimesThatAreLentBeforeATakeoverIsSettledWait(t *testing.T) {
 	t.Parallel()
 	spec := func(times int32) *wire.JobSpec {
@@ -66,8 +63,8 @@
 	must.True(t, started)
 }
 
-// The forerunner says that it is over, but it led for a moment only: the leader before it is suspended, and
-// goes on when it wakes.
+// The last predecessor reports its end, but it led for a moment only. The leader before it is suspended and may act
+// again when it wakes, so its leases still count.
 func TestAForerunnerThatIsOverSaysNothingOfThoseBeforeIt(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
@@ -84,8 +81,7 @@
 	must.True(t, started)
 }
 
-// Two leaders followed each other at once. Both answer that they are over, so what they granted ends with
-// a lease.
+// Two leaders followed each other at once. Both report their end, so the last of their leases ends after one lease span.
 func TestAllPredecessorsThatAreOverShortenTheWait(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
@@ -102,8 +98,8 @@
 	must.Between(t, 4*time.Second, after, 5*time.Second)
 }
 
-// A host that was suspended for longer than its tenure meets an answer before its timer: nothing more is
-// ordered, and it steps down.
+// A leader whose host was suspended for longer than the tenure handles an event before its timer. It must order nothing
+// more, and step down.
 func TestALeaderPastItsTenureOrdersNothing(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
@@ -124,8 +120,8 @@
 	must.True(t, stepped)
 }
 
-// A run that a worker goes on listing to the new leader is the only one: once it is stopped, its task starts
-// again at once, though another worker has not been heard.
+// A lasting task has no other run while a worker keeps listing one to the new leader. Once that run is stopped, the task
+// starts again at once, though another member has not answered.
 func TestALastingTaskThatIsStoppedAfterATakeoverStartsBeforeTheCellIsSettled(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000, Lasting: true}}}
@@ -144,7 +140,7 @@
 		v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{record("heard", true), record("second", false)}})
 		v.state.Take(v.now, cell.RosterRecorded{IDs: []string{"heard", "second", "dark"}})
 		after, started := v.run(5 * time.Second)
-		must.True(t, started, must.Sprintf("left after %s", leavesAfter))
+		must.True(t, started, must.Sprintf("the worker leaves after %s", leavesAfter))
 		must.Less(t, 4*time.Second, after)
 		must.Eq(t, "second", v.starts[0].To.ID)
 	}
--- a/pkg/process/cell/takeover_test.go
+++ b/pkg/process/cell/takeover_test.go
@@ -13,31 +13,31 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// takeover is a successor that hears one of the two workers that its forerunner
-// could have used, and has one job that may run at the other.
+// takeover is a successor to a cell with two members: "heard" answers, "dark" does
+// not. The cell has one job, whose task may run at "dark".
 type takeover struct {
 	state  *cell.State
 	now    time.Time
 	starts []cell.SendStart
-	// lookAt is when the last look was sent.
+	// lookAt is when the last poll was sent.
 	lookAt time.Time
-	// active is what the worker that is heard lists, ended what has ended there.
+	// active and ended are the runs and ends that "heard" lists.
 	active []workers.Active
 	ended  []workers.End
-	// unconfirmed says that no renewal takes effect any more.
+	// unconfirmed stops renewals from taking effect.
 	unconfirmed bool
-	// silent says that the worker that was heard answers no more; answers names
-	// another one that does.
+	// silent stops "heard" from answering; answers names another worker that answers.
 	silent  bool
 	answers string
 }
 
+// newTakeover takes over a cell with one job of one task. until is the time until the predecessor's last lease ends.
 func newTakeover(until time.Duration) *takeover {
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	return newTakeoverOf(until, cell.LoadedJob{Spec: spec})
 }
 
-// newTakeoverOf is one of a given job, and of what other cells have said of it.
+// newTakeoverOf is newTakeover with a given job, and with tasks of it that other cells have returned.
 func newTakeoverOf(until time.Duration, job cell.LoadedJob, returned ...*wire.ReturnedTasks) *takeover {
 	v := &takeover{now: time.Unix(1000, 0)}
 	v.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
@@ -55,7 +55,7 @@
 	return v
 }
 
-// run lets time pass until something starts, and returns when.
+// run lets time pass until a task starts, for most at the longest. It returns how long that took.
 func (v *takeover) run(most time.Duration) (time.Duration, bool) {
 	begin := v.now
 	for v.now.Sub(begin) < most {
@@ -90,6 +90,7 @@
 	return 0, false
 }
 
+// A task that may run at a member which does not answer must not start before the predecessor's last lease has ended.
 func TestWhatMayRunAtAWorkerThatIsNotHeardWaits(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
@@ -99,9 +100,8 @@
 	must.True(t, started)
 }
 
-// Found by a hunt (kadraj mix seed 408536729638, LOST 14): a cell started
-// nothing for eleven seconds after a takeover, though its forerunner had said at
-// once that it was over.
+// A predecessor that reports its end grants no more leases, so the cell must not wait for its whole tenure: it started
+// nothing for eleven seconds.
 func TestAForerunnerThatSaysSoShortensTheWaitToALease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
@@ -111,6 +111,7 @@
 	must.Greater(t, cell.LongestLease, after)
 }
 
+// The end of a predecessor that was asked for in another epoch says nothing of this epoch's predecessors.
 func TestWordOfAnotherEpochsForerunnerChangesNothing(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
@@ -119,9 +120,9 @@
 	must.False(t, started)
 }
 
-// Found by the model (cell.pml): a leader that is cut off from the table and
-// from a worker takes what ran there for over, while a later leader has renewed
-// it; it then starts it again at a worker that the later one has not reached.
+// A leader that is cut off from the table and from a worker must not presume the worker's runs lost: a later leader may
+// have renewed the worker's lease. Otherwise it starts the task twice, at a worker that the later leader has not reached
+// (model/cell.pml).
 func TestARunIsLostOnlyIfThisProcessStillLedAfterItsLease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
@@ -145,9 +146,9 @@
 	must.Eq(t, "second", v.starts[0].To.ID)
 }
 
-// Found on a grown site (kadraj grown quiet-1, TWICE 2): a host that was out of
-// processor time took in a look's answer a second after it was given, found an
-// unanswered start missing in it, and took the start's limit for over by now.
+// A host without processor time handles a poll's answer a second late. A start order that got no answer is missing in
+// that list. The list does not show that the order was never carried out: it is older than the order's time limit, though
+// the limit has passed when the list is handled.
 func TestAnOldListDoesNotSayThatAnOrderWasNeverCarriedOut(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
@@ -162,29 +163,29 @@
 	given := v.now.Sub(time.Unix(0, 0))
 	v.lookAt = v.now
 	v.state.Take(v.now, cell.Tick{})
-	v.state.Decide(v.now, v.now) // sends a look
+	v.state.Decide(v.now, v.now) // sends a poll
 	v.now = v.now.Add(10 * time.Second)
 	v.state.Take(v.now, cell.Looked{Worker: "heard", SentAt: v.lookAt, Report: workers.Report{Clock: given}})
 	v.state.Take(v.now, cell.Tick{})
 	for _, e := range v.state.Decide(v.now, v.now) {
 		_, start := e.(cell.SendStart)
-		must.False(t, start, must.Sprint("the list is older than the order's limit"))
+		must.False(t, start, must.Sprint("the list is older than the order's time limit"))
 		if look, ok := e.(cell.SendLook); ok && look.To.ID == "heard" {
 			v.state.Take(v.now, cell.Looked{Worker: "heard", SentAt: v.now, Report: workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}})
 		}
 	}
 	v.starts = nil
 	_, again := v.run(2 * time.Second)
-	must.True(t, again, must.Sprint("a list after the limit settles it"))
+	must.True(t, again, must.Sprint("a list from after the time limit shows that the order was not carried out"))
 }
 
-// longLoad is a leader whose workers answer and are renewed while it can't read
-// the jobs for longer than its forerunners' time. One job runs at w.
+// longLoad is a leader that cannot read the jobs until after its predecessors' last lease has ended. Meanwhile its
+// workers answer and get leases. One job runs at w.
 type longLoad struct {
 	state   *cell.State
 	now     time.Time
-	answer  *cell.Looked // of w: it comes half a second after it was asked for
-	silent  bool         // w answers no more
+	answer  *cell.Looked // of w: it arrives half a second after the poll
+	silent  bool         // w does not answer any more
 	started time.Duration
 }
 
@@ -199,6 +200,7 @@
 	return l
 }
 
+// list brings the registry rows of the given workers.
 func (l *longLoad) list(ids ...string) {
 	var records []workers.Record
 	for _, id := range ids {
@@ -209,6 +211,7 @@
 	l.state.Take(l.now, cell.WorkersListed{Records: records})
 }
 
+// load brings the cell's rows: one job, and w and quick as members.
 func (l *longLoad) load() {
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	l.state.Take(l.now, cell.Loaded{
@@ -217,7 +220,8 @@
 	})
 }
 
-// run lets time pass; it notes how long after its begin something started.
+// run lets time pass. It sets started to the time from the beginning of this call to the first start, or leaves it at
+// -1.
 func (l *longLoad) run(span time.Duration) {
 	begin := l.now
 	for l.now.Sub(begin) < span {
@@ -234,6 +238,7 @@
 	}
 }
 
+// carryOut answers polls and notes the first start.
 func (l *longLoad) carryOut(e cell.Effect, begin time.Time) {
 	report := workers.Report{Clock: l.now.Sub(time.Unix(0, 0))}
 	switch e := e.(type) {
@@ -255,23 +260,20 @@
 	}
 }
 
-// Found by a hunt (kadraj scale-1 seed 1091486659843, TWICE 2): a cut kept the
-// new leader from the table for longer than its forerunner's tenure. Its workers
-// answered all the while, and it renewed them; but when the jobs were read at
-// last, their time counted as over.
+// A leader that cannot read the table for longer than its predecessor's tenure renews its workers meanwhile. When it
+// reads the jobs at last, the workers' leases must not count as ended: their runs were started a second time.
 func TestALongLoadSettlesNothing(t *testing.T) {
 	t.Parallel()
 	l := newLongLoad()
 	l.run(8 * time.Second)
 	l.load()
 	l.run(3 * time.Second)
-	must.Eq(t, -1, l.started, must.Sprint("its run goes on at w"))
+	must.Eq(t, -1, l.started, must.Sprint("the run at w goes on"))
 	must.Eq(t, 1, l.state.Counts(l.now).Running)
 }
 
-// Found by reading: the same, where w has lost its place in the list and falls
-// silent as the jobs are read. It holds what it runs for the lease that this
-// leader gave it.
+// The same, but w has no registry row any more and falls silent as the jobs are read. It keeps its runs for the lease
+// that this leader granted, so their tasks must wait for its end.
 func TestAWorkerThatFallsSilentAfterALongLoadIsWaitedFor(t *testing.T) {
 	t.Parallel()
 	l := newLongLoad()
@@ -287,9 +289,8 @@
 	must.Between(t, 2500*time.Millisecond, l.started, 5*time.Second)
 }
 
-// Found on an own day (kadraj, workers that crashed behind a cut and began anew, then a
-// hall cut off: TWICE on 6 of 25 plays): the row of a life that was over came back into
-// the list, and the life after it was taken for over, with all that it ran.
+// The registry row of an incarnation that has ended comes back late, after a network cut. It must not end the later
+// incarnation on that host, whose tasks would start a second time.
 func TestARowOfAnEarlierLifeSaysNothingOfTheLaterOne(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -315,8 +316,8 @@
 	b.reports["old"], b.reports["new"] = &workers.Report{}, &workers.Report{}
 	must.SliceEmpty(t, list(record("old", 5)))
 	b.silent["old"] = true
-	must.Eq(t, []string{"old"}, list(record("new", 9)), must.Sprint("another life of its host answers"))
-	must.SliceEmpty(t, list(record("old", 13)), must.Sprint("the later life is unlisted, the old one is written anew"))
-	must.SliceEmpty(t, list(record("old", 13), record("new", 15)), must.Sprint("what is over is not known anew"))
+	must.Eq(t, []string{"old"}, list(record("new", 9)), must.Sprint("a later incarnation on its host answers"))
+	must.SliceEmpty(t, list(record("old", 13)), must.Sprint("the later incarnation's row is missing, the ended one's row is written again"))
+	must.SliceEmpty(t, list(record("old", 13), record("new", 15)), must.Sprint("the ended incarnation does not become known again"))
 	must.SliceEmpty(t, list(record("new", 15)))
 }
--- a/test/tree/comments_test.go
+++ b/test/tree/comments_test.go
@@ -20,7 +20,6 @@
 	"pkg/process/cell/lend_test.go":       5,
 	"pkg/process/cell/pace_test.go":       1,
 	"pkg/process/cell/place_test.go":      3,
-	"pkg/process/cell/takeover_test.go":   6,
 	"pkg/process/cell/trials_test.go":     1,
 	"pkg/standin/platform_test.go":        1,
 }
