--- a/pkg/process/cell/early_test.go
+++ b/pkg/process/cell/early_test.go
@@ -14,7 +14,7 @@
 // A job is accepted while its cell changes its leader. The predecessor receives it and starts a task. The successor read
 // the table just before, finds the run in the worker's list, and knows no such job. It must not stop this orphaned run:
 // when it received the job a tenth of a second later, it started the task again, beside the run that was being stopped.
-func TestARunIsNotDoubledWhoseJobBecomesKnownLater(t *testing.T) {
+func TestOrphanedRunIsAdoptedWhenItsJobBecomesKnown(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	task := "0000000000000001.0.0.0"
@@ -30,7 +30,7 @@
 
 // The same with a run that has ended well by then. Its end must not be acknowledged, and so forgotten by the worker,
 // before the job is known.
-func TestAGoodEndIsKeptWhoseJobBecomesKnownLater(t *testing.T) {
+func TestOrphanedEndCountsWhenItsJobBecomesKnown(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	task := "0000000000000001.0.0.0"
@@ -45,7 +45,7 @@
 
 // An orphaned run is stopped, and an orphaned end acknowledged, once the table has been read from after they were
 // listed and holds no job of theirs.
-func TestWhatNoJobNamesIsStoppedOnceTheTableWasRead(t *testing.T) {
+func TestOrphanedRunIsStoppedOnceTheTableHoldsNoJobOfIt(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	v.active = []workers.Active{{Task: "0000000000000001.0.0.0", Run: 7, Percent: 10}}
@@ -63,7 +63,7 @@
 // The job is known, but one of its times falls due here a moment later than at the predecessor, whose clock is ahead or
 // which checked earlier. An end of that time must not count as orphaned for good: its worker forgot it, and the task was
 // started again.
-func TestAGoodEndIsKeptOfATimeThatFallsDueLater(t *testing.T) {
+func TestOrphanedEndCountsWhenItsTimeFallsDue(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	ended, runs := "0000000000000001.0.0.0", "0000000000000001.0.0.1"
@@ -85,7 +85,7 @@
 
 // Another cell has delegated a time of a job to this cell, and delegates one more. The predecessor received that first
 // and has started it. Its run must be taken over when the delegation becomes known here, and not started a second time.
-func TestARunIsNotDoubledWhoseTimeIsLentLater(t *testing.T) {
+func TestOrphanedRunIsAdoptedWhenItsTimeIsDelegated(t *testing.T) {
 	t.Parallel()
 	v := newLives()
 	spec := func(times int32) *wire.JobSpec {
--- a/pkg/process/cell/grants.go
+++ b/pkg/process/cell/grants.go
@@ -11,25 +11,25 @@
 // there may be leases at workers that this process never learned of.
 func (s *State) Grants(now time.Time) (grants map[string]time.Duration, known bool) {
 	grants = map[string]time.Duration{}
-	for id, until := range s.leases(now) {
+	for id, until := range s.leaseEnds(now) {
 		grants[id] = until.Sub(now)
 	}
-	return grants, !s.grantedUnknown.After(now)
+	return grants, !s.unknownLeasesUntil.After(now)
 }
 
-// keepLeases remembers the leases that may outlast a leadership which ends now.
-func (s *State) keepLeases(now time.Time) {
-	s.granted = s.leases(now)
-	if s.phase == loading && s.overUntil.After(s.grantedUnknown) {
-		s.grantedUnknown = s.overUntil
+// rememberLeases remembers the leases that may outlast a leadership which ends now.
+func (s *State) rememberLeases(now time.Time) {
+	s.ownLeases = s.leaseEnds(now)
+	if s.phase == loading && s.otherLeasesUntil.After(s.unknownLeasesUntil) {
+		s.unknownLeasesUntil = s.otherLeasesUntil
 	}
 }
 
-// leases returns when each worker's lease ends: of the leases that this process has granted in all its leaderships, and
-// of those of earlier leaders that it waits for.
-func (s *State) leases(now time.Time) map[string]time.Time {
+// leaseEnds returns when each worker's lease ends: of the leases that this process has granted in all its
+// leaderships, and of those of earlier leaders that it waits for.
+func (s *State) leaseEnds(now time.Time) map[string]time.Time {
 	list := map[string]time.Time{}
-	for id, until := range s.granted {
+	for id, until := range s.ownLeases {
 		if until.After(now) {
 			list[id] = until
 		}
@@ -41,7 +41,7 @@
 	}
 	for id := range s.unsettled {
 		// The leadership row names the predecessors that may still act, so a successor allows for their leases itself.
-		for _, until := range []time.Time{s.overUntil, s.overAt[id]} {
+		for _, until := range []time.Time{s.otherLeasesUntil, s.reportedLeases[id]} {
 			if !s.settled && until.After(now) && until.After(list[id]) {
 				list[id] = until
 			}
@@ -50,29 +50,29 @@
 	return list
 }
 
-// takeGrants takes in the rest of each worker's lease, as a predecessor reported it at its end.
-func (s *State) takeGrants(now time.Time, grants map[string]time.Duration) {
+// takeReportedLeases takes in the rest of each worker's lease, as a predecessor reported it at its end.
+func (s *State) takeReportedLeases(now time.Time, grants map[string]time.Duration) {
 	for id, left := range grants {
-		if until := now.Add(left); until.After(s.overAt[id]) {
-			s.overAt[id] = until
+		if until := now.Add(left); until.After(s.reportedLeases[id]) {
+			s.reportedLeases[id] = until
 		}
 	}
 }
 
-// lastGrantAt returns when the last lease that an earlier leader could have granted a worker ends.
-func (s *State) lastGrantAt(worker string) time.Time {
-	last := s.lastGrant()
-	if at := s.overAt[worker]; at.After(last) {
+// lastLeaseEndAt returns when the last lease that an earlier leader could have granted a worker ends.
+func (s *State) lastLeaseEndAt(worker string) time.Time {
+	last := s.lastCommonLeaseEnd()
+	if at := s.reportedLeases[worker]; at.After(last) {
 		last = at
 	}
 	return last
 }
 
-// lastOfAll returns when the last lease of earlier leaders ends at any member that has not answered.
-func (s *State) lastOfAll() time.Time {
-	last := s.lastGrant()
+// lastLeaseEnd returns when the last lease of earlier leaders ends at any member that has not answered.
+func (s *State) lastLeaseEnd() time.Time {
+	last := s.lastCommonLeaseEnd()
 	for id := range s.unsettled {
-		if at := s.overAt[id]; at.After(last) {
+		if at := s.reportedLeases[id]; at.After(last) {
 			last = at
 		}
 	}
--- a/pkg/process/cell/grants_test.go
+++ b/pkg/process/cell/grants_test.go
@@ -11,7 +11,7 @@
 
 // A successor waits for a silent member as long as its predecessor's lease there may last. A predecessor that had no
 // answer of the member either granted it nothing, so the wait must not be a whole lease.
-func TestASuccessorWaitsForAWorkerAsLongAsItsPredecessorMayHaveGranted(t *testing.T) {
+func TestSuccessorWaitsForTheLeaseThatItsPredecessorGranted(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		over        cell.PredecessorOver
@@ -36,7 +36,7 @@
 }
 
 // A deposed leader reports the leases that it granted until they have surely ended.
-func TestAProcessTellsTheLeasesThatItGranted(t *testing.T) {
+func TestDeposedLeaderReportsTheLeasesThatItGranted(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.step(100 * time.Millisecond)
@@ -56,7 +56,7 @@
 
 // A process that leads again waits for the leases that it granted in its earlier leadership: no other process reports
 // them.
-func TestAProcessThatLeadsAgainKnowsItsOwnLeases(t *testing.T) {
+func TestLeaderThatIsElectedAgainWaitsForItsOwnLeases(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.step(100 * time.Millisecond)
@@ -78,7 +78,7 @@
 
 // A cell must report from the moment of its takeover that it is not settled. Otherwise other cells delegate a lasting
 // task to it, which it then holds back, as once for 4.6 s.
-func TestALoadTellsFromTheFirstMomentThatACellHasNotSettled(t *testing.T) {
+func TestLoadReportsFromTheTakeoverOnThatACellIsNotSettled(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	v.run(100 * time.Millisecond)
@@ -87,7 +87,7 @@
 
 // A deposed leader reports the leases that it waited for, too: the leadership row no longer names the predecessors that
 // had ended, so its successor learns of their leases from it alone.
-func TestAProcessTellsTheLeasesThatItWaitedFor(t *testing.T) {
+func TestDeposedLeaderReportsTheLeasesThatItWaitedFor(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	v.state.Take(v.now, cell.PredecessorOver{Epoch: 2, Holder: "before/1"})
@@ -100,7 +100,7 @@
 
 // A leader that was deposed before it had read the membership does not know at which workers leases may last. It must
 // report that its list is not complete.
-func TestAProcessThatNeverLoadedDoesNotTellLeases(t *testing.T) {
+func TestLeaderDeposedBeforeLoadingReportsUnknownLeases(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.state.Take(b.now, cell.Deposed{Why: "another leads"})
@@ -114,7 +114,7 @@
 
 // A deposed leader does not report the leases of a predecessor that may still act: the leadership row names that
 // predecessor, and it may be the successor itself.
-func TestAProcessDoesNotTellTheTenureOfALeaderThatTheRowNames(t *testing.T) {
+func TestDeposedLeaderOmitsLeasesOfPredecessorsInTheLeadershipRow(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	v.run(time.Second)
--- a/pkg/process/cell/load.go
+++ b/pkg/process/cell/load.go
@@ -19,19 +19,19 @@
 // worker lists may start. A worker that does not answer delays them until the last
 // lease that an earlier leader could have granted has ended.
 
-// longestGrant is the longest time that a granted lease can last. The tenth on top of LongestLease allows for clocks
+// maxLeaseDuration is the longest time that a granted lease can last. The tenth on top of LongestLease allows for clocks
 // that run at different speeds.
-const longestGrant = LongestLease + LongestLease/10
+const maxLeaseDuration = LongestLease + LongestLease/10
 
 // LedBy returns the event that this process has just won the leadership. change names the earlier leaders that may
 // still act.
 func LedBy(now time.Time, epoch int64, change election.Change) Led {
 	led := Led{Epoch: epoch, RosterUntil: now, Predecessors: map[string]time.Time{}}
 	if change.Before.GetReleased() {
-		led.RosterUntil = now.Add(longestGrant)
+		led.RosterUntil = now.Add(maxLeaseDuration)
 	}
 	for _, p := range change.Predecessors {
-		if until := now.Add(p.Grants + longestGrant); until.After(led.Predecessors[p.Holder]) {
+		if until := now.Add(p.Grants + maxLeaseDuration); until.After(led.Predecessors[p.Holder]) {
 			led.Predecessors[p.Holder] = until
 		}
 	}
@@ -42,12 +42,12 @@
 // leadership, and asks for the cell's rows.
 func (s *State) takeLed(now time.Time, e Led) {
 	known := s.workers
-	s.keepLeases(now)
-	s.overAt = map[string]time.Time{}
-	s.forget()
+	s.rememberLeases(now)
+	s.reportedLeases = map[string]time.Time{}
+	s.resetLeadership()
 	s.phase, s.epoch, s.runs = loading, e.Epoch, 0
-	s.predecessors, s.overUntil = maps.Clone(e.Predecessors), e.RosterUntil
-	s.settleBy, s.confirmedAt, s.leadsUntil = s.lastOfAll(), time.Time{}, time.Time{}
+	s.predecessors, s.otherLeasesUntil = maps.Clone(e.Predecessors), e.RosterUntil
+	s.settleBy, s.confirmedAt, s.tenureUntil = s.lastLeaseEnd(), time.Time{}, time.Time{}
 	for id, w := range known {
 		if w.Listed {
 			s.workers[id] = workers.New(w.Record)
@@ -59,9 +59,9 @@
 	s.emit(Load{Epoch: e.Epoch})
 }
 
-// takeEarlierRoster adds the members that earlier leaders could have used, and awaits their answers. The recorded
+// addEarlierMembers adds the members that earlier leaders could have used, and awaits their answers. The recorded
 // membership names them, so they may get work.
-func (s *State) takeEarlierRoster(now time.Time, roster []*wire.RosterEntry) {
+func (s *State) addEarlierMembers(now time.Time, roster []*wire.RosterEntry) {
 	for _, r := range roster {
 		if s.workers[r.GetId()] == nil {
 			w := workers.New(workers.Record{ID: r.GetId(), Address: r.GetAddress(), Host: r.GetHost(), Service: r.GetService()})
@@ -78,13 +78,13 @@
 	}
 }
 
-// orderTail is how long a predecessor's last orders may stay in flight after its end.
-const orderTail = 500 * time.Millisecond
+// maxOrderDelay is how long a predecessor's last orders may stay in flight after its end.
+const maxOrderDelay = 500 * time.Millisecond
 
-// lastGrant returns when the last lease ends that an earlier leader may have granted to any worker. It leaves out the
-// leases that are known by worker (overAt).
-func (s *State) lastGrant() time.Time {
-	last := s.overUntil
+// lastCommonLeaseEnd returns when the last lease ends that an earlier leader may have granted to any worker. It leaves
+// out the leases that are known by worker (reportedLeases).
+func (s *State) lastCommonLeaseEnd() time.Time {
+	last := s.otherLeasesUntil
 	for _, until := range s.predecessors {
 		if until.After(last) {
 			last = until
@@ -105,20 +105,20 @@
 	if !e.Since.IsZero() && e.Since.Before(now) {
 		since = e.Since
 	}
-	switch lease := since.Add(longestGrant + orderTail); {
-	case e.Own && !s.grantedUnknown.After(now):
-		maps.Copy(s.overAt, s.granted)
+	switch lease := since.Add(maxLeaseDuration + maxOrderDelay); {
+	case e.Own && !s.unknownLeasesUntil.After(now):
+		maps.Copy(s.reportedLeases, s.ownLeases)
 	case e.GrantsKnown:
-		s.takeGrants(now, e.Grants)
+		s.takeReportedLeases(now, e.Grants)
 	default:
 		if lease.Before(until) {
 			until = lease
 		}
-		if until.After(s.overUntil) {
-			s.overUntil = until
+		if until.After(s.otherLeasesUntil) {
+			s.otherLeasesUntil = until
 		}
 	}
-	s.settleBy = s.lastOfAll()
+	s.settleBy = s.lastLeaseEnd()
 	s.note(Note{What: NotePredecessorOver, Detail: e.Holder, AgeMs: max(0, s.settleBy.Sub(now).Milliseconds())})
 }
 
@@ -130,13 +130,13 @@
 	for name, version := range e.Fences {
 		s.part(name).fence = version
 	}
-	s.takeEarlierRoster(now, e.Roster)
-	early := s.jobs // announced by other hosts while the table was read
+	s.addEarlierMembers(now, e.Roster)
+	announced := s.jobs // by other hosts, while the table was read
 	s.jobs = map[string]*jobs.Job{}
 	for _, l := range e.Jobs {
-		s.jobs[l.Spec.GetId()] = s.restore(now, e, l)
+		s.jobs[l.Spec.GetId()] = s.restoreJob(now, e, l)
 	}
-	for id, j := range early {
+	for id, j := range announced {
 		if s.jobs[id] == nil {
 			s.jobs[id] = j
 		}
@@ -157,8 +157,8 @@
 	s.note(Note{What: NoteLoaded, Detail: fmt.Sprintf("%d jobs, %d cancels, %d members awaited", len(s.jobs), len(e.Cancels), len(e.Roster)), AgeMs: -1})
 }
 
-// restore returns a job as the table holds it. Its tasks are not settled: an earlier leader may have started them.
-func (s *State) restore(now time.Time, e Loaded, l LoadedJob) *jobs.Job {
+// restoreJob returns a job as the table holds it. Its tasks are not settled: an earlier leader may have started them.
+func (s *State) restoreJob(now time.Time, e Loaded, l LoadedJob) *jobs.Job {
 	age := e.StoreNow - time.Duration(l.Spec.GetAcceptedStoreMs())*time.Millisecond
 	j := jobs.Restore(l.Spec, l.Progress, l.Recorded, now.Add(-max(0, age)), e.Wall)
 	j.Arrived(now)
@@ -192,7 +192,7 @@
 		s.phase = releasing
 		s.note(Note{What: NoteReleased, AgeMs: -1})
 	case loading:
-		s.keepLeases(now)
+		s.rememberLeases(now)
 		s.stepDown("released while loading")
 	case following, releasing:
 	}
@@ -205,15 +205,15 @@
 	}
 	s.note(Note{What: NoteDeposed, Detail: why, AgeMs: -1})
 	workersKnown := s.workers
-	s.forget()
+	s.resetLeadership()
 	s.workers, s.reorder = workersKnown, true
 	for _, w := range s.sorted() {
 		w.RemoveAll()
 	}
 }
 
-// unsettle marks tasks that a predecessor may have started.
-func unsettle(units []*jobs.Unit) {
+// markUnsettled marks tasks that a predecessor may have started.
+func markUnsettled(units []*jobs.Unit) {
 	for _, u := range units {
 		for _, t := range u.Tasks {
 			t.Settled = t.Done
@@ -248,7 +248,7 @@
 	if !s.newSettled() {
 		// A predecessor that does not know of its end yet may have received the job, too, and
 		// have started it at a worker that this leader's fence has not reached.
-		unsettle(j.Units)
+		markUnsettled(j.Units)
 	}
 	s.holdBackNamed(j)
 	s.claimStrays(now, j)
@@ -258,23 +258,23 @@
 	}
 	s.note(Note{
 		What: NoteJobQueued, Job: id, AgeMs: age.Milliseconds(),
-		Detail: fmt.Sprintf("queue %s, %d tasks: %s", e.Spec.GetQueue(), tasks, stepsInWords(e.Spec.GetSteps())),
+		Detail: fmt.Sprintf("queue %s, %d tasks: %s", e.Spec.GetQueue(), tasks, describeSteps(e.Spec.GetSteps())),
 	})
-	if _, asked := s.cancels[id]; asked {
+	if _, asked := s.pendingCancels[id]; asked {
 		s.takeCancel(now, CancelAsked{ID: id})
 	}
 	s.touch(now, j)
 }
 
-// stepsInWords describes a job's steps for the log: number of tasks x millicores x estimated time, and the step's
+// describeSteps renders a job's steps for the log: number of tasks x millicores x estimated time, and the step's
 // special properties.
-func stepsInWords(steps []*wire.StepSpec) string {
+func describeSteps(steps []*wire.StepSpec) string {
 	var b strings.Builder
 	for _, step := range steps {
 		fmt.Fprintf(&b, "[%d x %d mc x %d ms", step.GetCount(), step.GetMillicores(), step.GetEstimateMs())
-		for _, word := range []struct {
-			say  bool
-			what string
+		for _, property := range []struct {
+			set  bool
+			name string
 		}{
 			{step.GetFiller(), "filler"},
 			{step.GetLasting(), "lasting"},
@@ -284,8 +284,8 @@
 			{step.GetRack() != "", "near " + step.GetRack()},
 			{step.GetLabel() != "", "label " + step.GetLabel()},
 		} {
-			if word.say {
-				b.WriteString(" " + word.what)
+			if property.set {
+				b.WriteString(" " + property.name)
 			}
 		}
 		if step.GetImage() != "" {
@@ -300,10 +300,10 @@
 func (s *State) takeCancel(now time.Time, e CancelAsked) {
 	j := s.jobs[e.ID]
 	if j == nil || s.phase == loading {
-		s.cancels[e.ID] = now
+		s.pendingCancels[e.ID] = now
 		return
 	}
-	delete(s.cancels, e.ID)
+	delete(s.pendingCancels, e.ID)
 	j.CancelAsked = true
 	if j.Ended() {
 		s.markDirty(j, false) // recording an ended job removes the row of its cancel
--- a/pkg/process/cell/membership.go
+++ b/pkg/process/cell/membership.go
@@ -43,10 +43,10 @@
 	return w.Heard || s.earlier[w.ID] != nil || (w.Listed && !w.Leaving && w.SilentSince.IsZero())
 }
 
-// dropMembers drops workers that take no new work and hold nothing from the membership.
-func (s *State) dropMembers(now time.Time) {
+// dropEmptyMembers drops workers that take no new work and hold nothing from the membership.
+func (s *State) dropEmptyMembers(now time.Time) {
 	for _, w := range s.sorted() {
-		drop := s.holdsNothing(now, w)
+		drop := s.canBeDropped(now, w)
 		switch {
 		case drop && !w.Dropped:
 			delete(s.earlier, w.ID)
@@ -58,9 +58,9 @@
 	}
 }
 
-// holdsNothing says whether a worker takes no new work and surely holds neither a run nor an end that
+// canBeDropped says whether a worker takes no new work and surely holds neither a run nor an end that
 // is not recorded. It has this leader's fence, so it refuses orders of earlier leaders.
-func (s *State) holdsNothing(now time.Time, w *workers.Worker) bool {
+func (s *State) canBeDropped(now time.Time, w *workers.Worker) bool {
 	if before := s.earlier[w.ID].GetBorn(); before != 0 && before != w.Born {
 		return false // the crash evidence from the end of that incarnation is not recorded
 	}
--- a/pkg/process/cell/membership_test.go
+++ b/pkg/process/cell/membership_test.go
@@ -37,8 +37,8 @@
 	return list
 }
 
-// stopAll ends the runs that workers were ordered to stop.
-func (b *busyCell) stopAll() {
+// endStoppedRuns ends the runs that workers were ordered to stop.
+func (b *busyCell) endStoppedRuns() {
 	for _, s := range b.stops {
 		b.finish(s.Stop.Task, workers.EndedStopped)
 	}
@@ -46,7 +46,7 @@
 }
 
 // A worker that leaves stays a member until the runs that it was ordered to stop have ended and the ends are recorded.
-func TestTheMembershipDropsAWorkerThatLeavesOnceItHoldsNothing(t *testing.T) {
+func TestLeavingWorkerStaysAMemberUntilItHoldsNothing(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
@@ -58,7 +58,7 @@
 	}
 	must.Len(t, 1, b.stops)
 	must.SliceContains(t, b.members(), at, must.Sprint("its run has not ended"))
-	b.stopAll()
+	b.endStoppedRuns()
 	for range 5 {
 		b.step(100 * time.Millisecond)
 	}
@@ -67,7 +67,7 @@
 }
 
 // A worker stays a member while an end that it listed is not recorded in the table.
-func TestTheMembershipKeepsAWorkerWhoseEndsAreNotRecorded(t *testing.T) {
+func TestWorkerWithUnrecordedEndsStaysAMember(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
@@ -76,7 +76,7 @@
 	b.list(16, at)
 	b.step(100 * time.Millisecond)
 	b.down = true
-	b.stopAll()
+	b.endStoppedRuns()
 	for range 5 {
 		b.step(100 * time.Millisecond)
 	}
@@ -84,7 +84,7 @@
 }
 
 // A successor must not wait for workers that had left before the takeover, since they never answer it.
-func TestALastingTaskStartsAtOnceAfterATakeoverBesideWorkersThatHaveLeft(t *testing.T) {
+func TestSuccessorDoesNotWaitForWorkersThatHaveLeft(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
@@ -92,7 +92,7 @@
 	b.list(16, "w00", "w01", "w02")
 	for range 4 {
 		b.step(100 * time.Millisecond)
-		b.stopAll()
+		b.endStoppedRuns()
 	}
 	for _, left := range []string{"w00", "w01", "w02"} {
 		b.silent[left] = true
@@ -121,8 +121,8 @@
 	return &wire.JobSpec{Id: id, Queue: "watches", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{{Count: 1, Millicores: 6000, Lasting: true}}}
 }
 
-// follow is lead with a given membership.
-func (b *busyCell) follow(before *busyCell, members []*wire.RosterEntry) {
+// leadWithMembers is lead with a given membership.
+func (b *busyCell) leadWithMembers(before *busyCell, members []*wire.RosterEntry) {
 	b.takeOver(before, 15*time.Second, members, lastingJob("00000000000000ff"))
 }
 
@@ -148,7 +148,7 @@
 
 // A worker that was dropped from the membership and registers again gets no work until a renewal that was sent after
 // that, and the membership with it, has taken effect.
-func TestADroppedWorkerThatIsListedAgainWaitsForARenewal(t *testing.T) {
+func TestDroppedWorkerThatRegistersAgainWaitsForARenewal(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.list(0)
@@ -169,7 +169,7 @@
 
 // A worker was dropped from the membership as it left, but its registry row still stands when a successor leads. The
 // successor must not name it again: the next leader would wait for it.
-func TestAWorkerThatLeftIsNotNamedAgainByASuccessor(t *testing.T) {
+func TestSuccessorDoesNotNameAWorkerThatLeftAgain(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.list(16, "w00")
@@ -190,12 +190,12 @@
 
 // The registry row of a worker that crashed stands for a while, but the worker answers no successor. A successor that
 // could not use the worker must not name it in the membership.
-func TestAWorkerThatNeverAnsweredIsNotNamed(t *testing.T) {
+func TestWorkerThatNeverAnsweredIsNoMember(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	successor := newEmptyCell()
 	b.silent["w03"] = true
-	successor.follow(b, slices.DeleteFunc(b.state.Roster(), func(e *wire.RosterEntry) bool { return e.GetId() == "w03" }))
+	successor.leadWithMembers(b, slices.DeleteFunc(b.state.Roster(), func(e *wire.RosterEntry) bool { return e.GetId() == "w03" }))
 	for range 3 {
 		successor.step(100 * time.Millisecond)
 	}
--- a/pkg/process/cell/settle.go
+++ b/pkg/process/cell/settle.go
@@ -21,7 +21,7 @@
 // leader, and its list is still to come.
 func (s *State) surelyOver(now time.Time, w *workers.Worker) bool {
 	confirmed := s.confirmed(now)
-	if confirmed.Before(s.lastGrantAt(w.ID)) {
+	if confirmed.Before(s.lastLeaseEndAt(w.ID)) {
 		return false
 	}
 	return !w.Clocked() || (!w.SilentSince.IsZero() && w.LeaseOver(confirmed))
@@ -43,12 +43,12 @@
 	if !known {
 		return
 	}
-	s.settled, s.othersSettled, s.mayRunUnheard = s.unheardOver(now), true, held
-	s.settleBut(now, held)
+	s.settled, s.othersSettled, s.mayRunUnheard = s.allEarlierRunsOver(now), true, held
+	s.settleExcept(now, held)
 }
 
-// unheardOver says whether all runs at members that have not answered have surely ended.
-func (s *State) unheardOver(now time.Time) bool {
+// allEarlierRunsOver says whether all runs at members that have not answered have surely ended.
+func (s *State) allEarlierRunsOver(now time.Time) bool {
 	for id := range s.unsettled {
 		if !s.surelyOver(now, s.workers[id]) {
 			return false
@@ -57,10 +57,10 @@
 	return true
 }
 
-// settleBut settles all tasks but those in held, which may run at members that have not answered. It records crash
+// settleExcept settles all tasks but those in held, which may run at members that have not answered. It records crash
 // evidence against tasks that may have run where a member's incarnation has ended.
-func (s *State) settleBut(now time.Time, held map[string]bool) {
-	nowhere, settled := 0, 0
+func (s *State) settleExcept(now time.Time, held map[string]bool) {
+	listedNowhere, settled := 0, 0
 	var mayHaveRun []*jobs.Task
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j, changed := s.jobs[id], false
@@ -71,12 +71,12 @@
 				}
 				t.Settled, changed = true, true
 				settled++
-				t.Tried = t.Tried || s.mayHaveRunUnheard(t)
+				t.Tried = t.Tried || s.mayHaveRunAtUnreached(t)
 				if !s.trialNowhere(now, t) && len(t.Runs) == 0 && !t.Done && t.LentTo == "" && u.MayHaveBegun() && !j.Ended() {
 					mayHaveRun = append(mayHaveRun, t)
 				}
 				if len(t.Runs) == 0 && j.Begun {
-					nowhere++
+					listedNowhere++
 				}
 			}
 		}
@@ -91,11 +91,11 @@
 	if !s.settled && settled == 0 {
 		return
 	}
-	s.note(Note{What: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", nowhere, len(s.unsettled), len(held)), AgeMs: -1})
+	s.note(Note{What: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", listedNowhere, len(s.unsettled), len(held)), AgeMs: -1})
 }
 
-// mayHaveRunUnheard says whether a task may have run at a member that has not answered.
-func (s *State) mayHaveRunUnheard(t *jobs.Task) bool {
+// mayHaveRunAtUnreached says whether a task may have run at a member that has not answered.
+func (s *State) mayHaveRunAtUnreached(t *jobs.Task) bool {
 	for id := range s.unsettled {
 		if mayHaveRunAt(s.earlier[id], t) {
 			return true
--- a/pkg/process/cell/settling_test.go
+++ b/pkg/process/cell/settling_test.go
@@ -15,7 +15,7 @@
 // Another cell has returned a delegated task, and a predecessor has started it at a worker that does not answer the
 // successor. The row that returned it still stands, so the successor takes it back once more. It must not count the
 // task as one that surely has no run: it started the task a second time, beside the predecessor's run.
-func TestATaskThatWasGivenBackBeforeATakeoverMayRunAlready(t *testing.T) {
+func TestTaskReturnedBeforeATakeoverMayRunAlready(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	lent := &wire.JobProgress{Id: spec.GetId(), Phase: wire.JobPhase_JOB_PHASE_RUNNING, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{LentTo: "other", Lending: 1}}}}}
@@ -29,7 +29,7 @@
 
 // A time of a repeating job falls due after a takeover, before the cell is settled. A predecessor that was suspended
 // opens that time, too, when it wakes, and may start its tasks.
-func TestATimeThatFallsDueBeforeATakeoverIsSettledWaits(t *testing.T) {
+func TestTimeThatFallsDueBeforeTheCellIsSettledWaits(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{
 		Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}},
@@ -43,7 +43,7 @@
 }
 
 // More times of a job are delegated to a cell right after a takeover. Its predecessor may receive and start them, too.
-func TestTimesThatAreLentBeforeATakeoverIsSettledWait(t *testing.T) {
+func TestTimesDelegatedBeforeTheCellIsSettledWait(t *testing.T) {
 	t.Parallel()
 	spec := func(times int32) *wire.JobSpec {
 		s := &wire.JobSpec{
@@ -65,7 +65,7 @@
 
 // The last predecessor reports its end, but it led for a moment only. The leader before it is suspended and may act
 // again when it wakes, so its leases still count.
-func TestAForerunnerThatIsOverSaysNothingOfThoseBeforeIt(t *testing.T) {
+func TestEndOfThePredecessorLeavesTheLeasesOfEarlierOnes(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	v.state.Take(v.now, cell.Led{Epoch: 2, Predecessors: map[string]time.Time{"first/1": v.now.Add(12 * time.Second), "second/1": v.now.Add(15 * time.Second)}})
@@ -82,7 +82,7 @@
 }
 
 // Two leaders followed each other at once. Both report their end, so the last of their leases ends after one lease span.
-func TestAllPredecessorsThatAreOverShortenTheWait(t *testing.T) {
+func TestReportedEndsOfAllPredecessorsShortenTheWaitToOneLease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
 	v.state.Take(v.now, cell.Led{Epoch: 2, Predecessors: map[string]time.Time{"first/1": v.now.Add(12 * time.Second), "second/1": v.now.Add(15 * time.Second)}})
@@ -100,7 +100,7 @@
 
 // A leader whose host was suspended for longer than the tenure handles an event before its timer. It must order nothing
 // more, and step down.
-func TestALeaderPastItsTenureOrdersNothing(t *testing.T) {
+func TestLeaderPastItsTenureStepsDownWithoutOrders(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
 	b.state.Take(b.now, cell.Confirmed{At: b.now, Until: b.now.Add(12 * time.Second)})
@@ -122,13 +122,13 @@
 
 // A lasting task has no other run while a worker keeps listing one to the new leader. Once that run is stopped, the task
 // starts again at once, though another member has not answered.
-func TestALastingTaskThatIsStoppedAfterATakeoverStartsBeforeTheCellIsSettled(t *testing.T) {
+func TestStoppedLastingTaskRestartsBeforeTheCellIsSettled(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000, Lasting: true}}}
 	for _, leavesAfter := range []time.Duration{0, 3 * time.Second} {
 		v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec})
 		v.active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 100}}
-		v.answers = "second"
+		v.alsoAnswers = "second"
 		_, started := v.run(leavesAfter)
 		must.False(t, started)
 		record := func(id string, leaving bool) workers.Record {
--- a/pkg/process/cell/state.go
+++ b/pkg/process/cell/state.go
@@ -96,9 +96,9 @@
 
 	jobs    map[string]*jobs.Job
 	workers map[string]*workers.Worker
-	// order lists the workers by id. It is rebuilt when reorder is set.
-	order   []*workers.Worker
-	reorder bool
+	// sortedWorkers lists the workers by id. It is rebuilt when reorder is set.
+	sortedWorkers []*workers.Worker
+	reorder       bool
 	// roster holds the ids that the recorded membership row names: only these workers get work.
 	roster map[string]bool
 	// over holds, by worker id, the incarnations (their Born) that have ended because a later one answered on
@@ -122,8 +122,8 @@
 	trialsOut int
 	// died are runs whose worker has restarted. They are presumed lost once leadership is confirmed for a later time.
 	died []diedRun
-	// cancels are cancels of jobs that are not known yet, with the time at which each was received.
-	cancels map[string]time.Time
+	// pendingCancels are cancels of jobs that are not known yet, with the time at which each was received.
+	pendingCancels map[string]time.Time
 	// waiting are the units that have tasks to start.
 	waiting map[*jobs.Unit]struct{}
 	// parts write progress, each to one part of the table.
@@ -162,15 +162,15 @@
 	// unseenHeld are the tasks to whose crash evidence this leader has added an unobserved end.
 	unseenHeld map[*jobs.Task]bool
 	// predecessors are the leaders that may still act, by the names of their incarnations, each with the time at which
-	// the last lease that it may grant ends. overUntil is that time for all other earlier leaders.
-	predecessors map[string]time.Time
-	overUntil    time.Time
-	// overAt holds, by worker, when the leases end that predecessors reported at their own end. granted holds the same
-	// for leases that this process granted in earlier leaderships.
-	overAt, granted map[string]time.Time
-	// grantedUnknown is the time until which leases may last at workers that an earlier leadership of this process
+	// the last lease that it may grant ends. otherLeasesUntil is that time for all other earlier leaders.
+	predecessors     map[string]time.Time
+	otherLeasesUntil time.Time
+	// reportedLeases holds, by worker, when the leases end that predecessors reported at their own end. ownLeases holds
+	// the same for leases that this process granted in earlier leaderships.
+	reportedLeases, ownLeases map[string]time.Time
+	// unknownLeasesUntil is the time until which leases may last at workers that an earlier leadership of this process
 	// never learned of.
-	grantedUnknown time.Time
+	unknownLeasesUntil time.Time
 
 	// press holds the learned interference of fillers with serving tasks. It is kept when a leadership ends, since it
 	// depends on images only. pressToldAt is when the log last reported it.
@@ -200,10 +200,10 @@
 	// report from its worker must have ended before that time: otherwise a later leader may have renewed the worker's
 	// lease or acknowledged the run's end.
 	confirmedAt time.Time
-	// leadsUntil is when the tenure ends, and with it the leadership unless it is renewed. The zero time sets no limit.
-	leadsUntil time.Time
+	// tenureUntil is when the tenure ends, and with it the leadership unless it is renewed. The zero time sets no limit.
+	tenureUntil time.Time
 
-	// placeNow makes the next Decide place tasks, scanNow makes it run the scans of decideScans.
+	// placeNow makes the next Decide place tasks, scanNow makes it run the scans of runScans.
 	placeNow bool
 	scanNow  bool
 	// outbox are the effects that the next Decide returns.
@@ -231,17 +231,17 @@
 		name: name, bounds: bounds, workers: map[string]*workers.Worker{}, press: interference.NewPress(), orders: flow.NewWindow(), runtimes: runtimes.New(), others: map[string]otherLoad{},
 		neighbours: map[*workers.Worker]neighbours{}, harms: map[place]float64{}, held: map[*workers.Worker]bool{}, over: map[string]int64{},
 	}
-	s.forget()
+	s.resetLeadership()
 	for _, o := range options {
 		o(s)
 	}
 	return s
 }
 
-// forget drops everything that belongs to one leadership.
-func (s *State) forget() {
+// resetLeadership drops everything that belongs to one leadership.
+func (s *State) resetLeadership() {
 	s.jobs = map[string]*jobs.Job{}
-	s.cancels = map[string]time.Time{}
+	s.pendingCancels = map[string]time.Time{}
 	s.waiting = map[*jobs.Unit]struct{}{}
 	s.roster = map[string]bool{}
 	s.parts = map[string]*part{}
@@ -278,10 +278,10 @@
 	case Led:
 		s.takeLed(now, e)
 	case Deposed:
-		s.keepLeases(now)
+		s.rememberLeases(now)
 		s.stepDown(e.Why)
 	case Confirmed:
-		s.confirmedAt, s.leadsUntil = e.At, e.Until
+		s.confirmedAt, s.tenureUntil = e.At, e.Until
 	case PredecessorOver:
 		s.takePredecessorOver(now, e)
 	case RosterRecorded:
@@ -324,11 +324,11 @@
 // decisions, only those about the times of repeating jobs depend on it.
 func (s *State) Decide(now, wall time.Time) []Effect {
 	s.wall = wall
-	if s.pastTenure(now) {
-		return s.ceased()
+	if s.tenureExpired(now) {
+		return s.effectsPastTenure()
 	}
 	if s.phase == leading || s.phase == releasing {
-		s.decideScans(now)
+		s.runScans(now)
 		if s.phase == leading {
 			s.place(now)
 		}
@@ -342,9 +342,9 @@
 	return out
 }
 
-// decideScans takes the decisions that examine every run. They are due after a tick, after an answer that changes
+// runScans takes the decisions that examine every run. They are due after a tick, after an answer that changes
 // whether a worker or its incarnation counts as alive, and after a job's end, but not after every answer.
-func (s *State) decideScans(now time.Time) {
+func (s *State) runScans(now time.Time) {
 	if !s.scanNow {
 		return
 	}
@@ -356,30 +356,30 @@
 	s.forgetSilent(now)
 	s.settle(now)
 	s.forgetEarlier()
-	s.dropMembers(now)
+	s.dropEmptyMembers(now)
 	s.noteKnownRuns(now)
 	if s.phase == leading {
-		s.openTimes(now)
+		s.openDueTimes(now)
 		s.leave(now)
 		s.lend(now)
 		s.pace(now)
 		s.noteLastingWaits(now)
 	}
 	s.stopUnwanted(now)
-	s.forgetEnded(now)
+	s.dropExpiredJobs(now)
 }
 
 // sorted lists the workers by id. A map has no fixed order, so the same events would lead to other decisions each time.
 func (s *State) sorted() []*workers.Worker {
-	if len(s.order) != len(s.workers) || s.reorder {
-		s.order = s.order[:0:0]
+	if len(s.sortedWorkers) != len(s.workers) || s.reorder {
+		s.sortedWorkers = s.sortedWorkers[:0:0]
 		for _, w := range s.workers {
-			s.order = append(s.order, w)
+			s.sortedWorkers = append(s.sortedWorkers, w)
 		}
-		sort.Slice(s.order, func(a, b int) bool { return s.order[a].ID < s.order[b].ID })
+		sort.Slice(s.sortedWorkers, func(a, b int) bool { return s.sortedWorkers[a].ID < s.sortedWorkers[b].ID })
 		s.reorder = false
 	}
-	return s.order
+	return s.sortedWorkers
 }
 
 func (s *State) emit(e Effect) { s.outbox = append(s.outbox, e) }
@@ -424,15 +424,15 @@
 	return false
 }
 
-// openTimes opens the times of repeating jobs that have fallen due.
-func (s *State) openTimes(now time.Time) {
+// openDueTimes opens the times of repeating jobs that have fallen due.
+func (s *State) openDueTimes(now time.Time) {
 	for _, j := range s.jobs {
 		if j.Spec.GetRepeats() == 0 || j.Ended() {
 			continue
 		}
 		if opened := j.OpenDue(s.wall); len(opened) > 0 {
 			if !s.newSettled() {
-				unsettle(opened) // a predecessor opens them, too, and may have started their tasks
+				markUnsettled(opened) // a predecessor opens them, too, and may have started their tasks
 			}
 			s.holdBackNamed(j)
 			s.claimStrays(now, j)
@@ -441,12 +441,12 @@
 	}
 }
 
-// forgetEnded drops jobs that ended longer ago than the retention, and cancels of unknown jobs after the same time. It
-// also drops the tickets of jobs that have ended.
-func (s *State) forgetEnded(now time.Time) {
-	for id, at := range s.cancels {
+// dropExpiredJobs drops jobs that ended longer ago than the retention, and cancels of unknown jobs after the same time.
+// It also drops the tickets of jobs that have ended.
+func (s *State) dropExpiredJobs(now time.Time) {
+	for id, at := range s.pendingCancels {
 		if now.Sub(at) > s.bounds.Retention {
-			delete(s.cancels, id)
+			delete(s.pendingCancels, id)
 		}
 	}
 	for id, j := range s.jobs {
--- a/pkg/process/cell/takeover_test.go
+++ b/pkg/process/cell/takeover_test.go
@@ -19,16 +19,16 @@
 	state  *cell.State
 	now    time.Time
 	starts []cell.SendStart
-	// lookAt is when the last poll was sent.
-	lookAt time.Time
+	// polledAt is when the last poll was sent.
+	polledAt time.Time
 	// active and ended are the runs and ends that "heard" lists.
 	active []workers.Active
 	ended  []workers.End
 	// unconfirmed stops renewals from taking effect.
 	unconfirmed bool
 	// silent stops "heard" from answering; answers names another worker that answers.
-	silent  bool
-	answers string
+	silent      bool
+	alsoAnswers string
 }
 
 // newTakeover takes over a cell with one job of one task. until is the time until the predecessor's last lease ends.
@@ -67,8 +67,8 @@
 		for _, e := range v.state.Decide(v.now, v.now) {
 			switch e := e.(type) {
 			case cell.SendLook:
-				v.lookAt = v.now
-				if (e.To.ID == "heard" && !v.silent) || e.To.ID == v.answers {
+				v.polledAt = v.now
+				if (e.To.ID == "heard" && !v.silent) || e.To.ID == v.alsoAnswers {
 					report := workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}
 					if e.To.ID == "heard" {
 						report.Active, report.Ended = v.active, v.ended
@@ -91,7 +91,7 @@
 }
 
 // A task that may run at a member which does not answer must not start before the predecessor's last lease has ended.
-func TestWhatMayRunAtAWorkerThatIsNotHeardWaits(t *testing.T) {
+func TestTaskThatMayRunAtASilentMemberWaits(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	_, started := v.run(14 * time.Second)
@@ -102,7 +102,7 @@
 
 // A predecessor that reports its end grants no more leases, so the cell must not wait for its whole tenure: it started
 // nothing for eleven seconds.
-func TestAForerunnerThatSaysSoShortensTheWaitToALease(t *testing.T) {
+func TestReportedEndOfThePredecessorShortensTheWaitToOneLease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	v.state.Take(v.now, cell.PredecessorOver{Epoch: 2, Holder: "before/1"})
@@ -112,7 +112,7 @@
 }
 
 // The end of a predecessor that was asked for in another epoch says nothing of this epoch's predecessors.
-func TestWordOfAnotherEpochsForerunnerChangesNothing(t *testing.T) {
+func TestEndOfAPredecessorOfAnotherEpochIsIgnored(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	v.state.Take(v.now, cell.PredecessorOver{Epoch: 1, Holder: "before/1"})
@@ -123,7 +123,7 @@
 // A leader that is cut off from the table and from a worker must not presume the worker's runs lost: a later leader may
 // have renewed the worker's lease. Otherwise it starts the task twice, at a worker that the later leader has not reached
 // (model/cell.pml).
-func TestARunIsLostOnlyIfThisProcessStillLedAfterItsLease(t *testing.T) {
+func TestRunIsPresumedLostOnlyOnceLeadershipIsConfirmedAfterItsLease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
 	v.active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 10}}
@@ -136,7 +136,7 @@
 	v.silent, v.unconfirmed = true, true
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{second}})
 	v.state.Take(v.now, cell.RosterRecorded{IDs: []string{"second"}})
-	v.answers = "second"
+	v.alsoAnswers = "second"
 	v.active = nil
 	_, started = v.run(10 * time.Second)
 	must.False(t, started)
@@ -149,7 +149,7 @@
 // A host without processor time handles a poll's answer a second late. A start order that got no answer is missing in
 // that list. The list does not show that the order was never carried out: it is older than the order's time limit, though
 // the limit has passed when the list is handled.
-func TestAnOldListDoesNotSayThatAnOrderWasNeverCarriedOut(t *testing.T) {
+func TestListOlderThanAStartOrdersLimitDoesNotRuleTheRunOut(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
 	v.state.Take(v.now, cell.PredecessorOver{Epoch: 2, Holder: "before/1"})
@@ -161,11 +161,11 @@
 		v.state.Take(v.now, fail)
 	}
 	given := v.now.Sub(time.Unix(0, 0))
-	v.lookAt = v.now
+	v.polledAt = v.now
 	v.state.Take(v.now, cell.Tick{})
 	v.state.Decide(v.now, v.now) // sends a poll
 	v.now = v.now.Add(10 * time.Second)
-	v.state.Take(v.now, cell.Looked{Worker: "heard", SentAt: v.lookAt, Report: workers.Report{Clock: given}})
+	v.state.Take(v.now, cell.Looked{Worker: "heard", SentAt: v.polledAt, Report: workers.Report{Clock: given}})
 	v.state.Take(v.now, cell.Tick{})
 	for _, e := range v.state.Decide(v.now, v.now) {
 		_, start := e.(cell.SendStart)
@@ -179,29 +179,29 @@
 	must.True(t, again, must.Sprint("a list from after the time limit shows that the order was not carried out"))
 }
 
-// longLoad is a leader that cannot read the jobs until after its predecessors' last lease has ended. Meanwhile its
+// slowLoad is a leader that cannot read the jobs until after its predecessors' last lease has ended. Meanwhile its
 // workers answer and get leases. One job runs at w.
-type longLoad struct {
-	state   *cell.State
-	now     time.Time
-	answer  *cell.Looked // of w: it arrives half a second after the poll
-	silent  bool         // w does not answer any more
-	started time.Duration
+type slowLoad struct {
+	state         *cell.State
+	now           time.Time
+	delayedAnswer *cell.Looked // of w: it arrives half a second after the poll
+	silent        bool         // w does not answer any more
+	startedAfter  time.Duration
 }
 
-func newLongLoad() *longLoad {
-	l := &longLoad{now: time.Unix(1000, 0), started: -1}
+func newSlowLoad() *slowLoad {
+	l := &slowLoad{now: time.Unix(1000, 0), startedAfter: -1}
 	l.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
 	l.state.Take(l.now, cell.ManifestChanged{Manifest: theManifest})
-	l.list("w", "quick")
+	l.register("w", "quick")
 	l.state.Take(l.now, cell.Led{
 		Epoch: 2, RosterUntil: l.now.Add(5 * time.Second),
 	})
 	return l
 }
 
-// list brings the registry rows of the given workers.
-func (l *longLoad) list(ids ...string) {
+// register brings the registry rows of the given workers.
+func (l *slowLoad) register(ids ...string) {
 	var records []workers.Record
 	for _, id := range ids {
 		records = append(records, workers.Record{
@@ -212,7 +212,7 @@
 }
 
 // load brings the cell's rows: one job, and w and quick as members.
-func (l *longLoad) load() {
+func (l *slowLoad) load() {
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	l.state.Take(l.now, cell.Loaded{
 		Epoch: 2, Wall: l.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: someFences(),
@@ -220,31 +220,31 @@
 	})
 }
 
-// run lets time pass. It sets started to the time from the beginning of this call to the first start, or leaves it at
-// -1.
-func (l *longLoad) run(span time.Duration) {
+// run lets time pass. It sets startedAfter to the time from the beginning of this call to the first start. Without a
+// start, startedAfter stays -1.
+func (l *slowLoad) run(span time.Duration) {
 	begin := l.now
 	for l.now.Sub(begin) < span {
 		l.now = l.now.Add(50 * time.Millisecond)
 		l.state.Take(l.now, cell.Tick{})
 		l.state.Take(l.now, cell.Confirmed{At: l.now})
-		if l.answer != nil && l.now.Sub(l.answer.SentAt) >= 500*time.Millisecond {
-			l.state.Take(l.now, *l.answer)
-			l.answer = nil
+		if l.delayedAnswer != nil && l.now.Sub(l.delayedAnswer.SentAt) >= 500*time.Millisecond {
+			l.state.Take(l.now, *l.delayedAnswer)
+			l.delayedAnswer = nil
 		}
 		for _, e := range l.state.Decide(l.now, l.now) {
-			l.carryOut(e, begin)
+			l.handle(e, begin)
 		}
 	}
 }
 
-// carryOut answers polls and notes the first start.
-func (l *longLoad) carryOut(e cell.Effect, begin time.Time) {
+// handle answers polls and notes the first start.
+func (l *slowLoad) handle(e cell.Effect, begin time.Time) {
 	report := workers.Report{Clock: l.now.Sub(time.Unix(0, 0))}
 	switch e := e.(type) {
 	case cell.SendStart:
-		if l.started < 0 {
-			l.started = l.now.Sub(begin)
+		if l.startedAfter < 0 {
+			l.startedAfter = l.now.Sub(begin)
 		}
 	case cell.SendLook:
 		looked := cell.Looked{Worker: e.To.ID, SentAt: l.now, Report: report}
@@ -255,43 +255,43 @@
 			l.state.Take(l.now, cell.Looked{Worker: "w", SentAt: l.now, Err: fault.New(fault.Unknown, "w", "no answer", "")})
 		default:
 			looked.Report.Active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 10}}
-			l.answer = &looked
+			l.delayedAnswer = &looked
 		}
 	}
 }
 
 // A leader that cannot read the table for longer than its predecessor's tenure renews its workers meanwhile. When it
 // reads the jobs at last, the workers' leases must not count as ended: their runs were started a second time.
-func TestALongLoadSettlesNothing(t *testing.T) {
+func TestLeasesGrantedDuringASlowLoadDelayStarts(t *testing.T) {
 	t.Parallel()
-	l := newLongLoad()
+	l := newSlowLoad()
 	l.run(8 * time.Second)
 	l.load()
 	l.run(3 * time.Second)
-	must.Eq(t, -1, l.started, must.Sprint("the run at w goes on"))
+	must.Eq(t, -1, l.startedAfter, must.Sprint("the run at w goes on"))
 	must.Eq(t, 1, l.state.Counts(l.now).Running)
 }
 
 // The same, but w has no registry row any more and falls silent as the jobs are read. It keeps its runs for the lease
 // that this leader granted, so their tasks must wait for its end.
-func TestAWorkerThatFallsSilentAfterALongLoadIsWaitedFor(t *testing.T) {
+func TestLeaseOfAWorkerThatFallsSilentAfterASlowLoadDelaysStarts(t *testing.T) {
 	t.Parallel()
-	l := newLongLoad()
+	l := newSlowLoad()
 	l.run(4 * time.Second)
-	l.list("quick")
+	l.register("quick")
 	l.run(4 * time.Second)
 	l.silent = true
-	if l.answer != nil {
-		l.answer.Err = fault.New(fault.Unknown, "w", "no answer", "")
+	if l.delayedAnswer != nil {
+		l.delayedAnswer.Err = fault.New(fault.Unknown, "w", "no answer", "")
 	}
 	l.load()
 	l.run(8 * time.Second)
-	must.Between(t, 2500*time.Millisecond, l.started, 5*time.Second)
+	must.Between(t, 2500*time.Millisecond, l.startedAfter, 5*time.Second)
 }
 
 // The registry row of an incarnation that has ended comes back late, after a network cut. It must not end the later
 // incarnation on that host, whose tasks would start a second time.
-func TestARowOfAnEarlierLifeSaysNothingOfTheLaterOne(t *testing.T) {
+func TestRowOfAnEndedIncarnationDoesNotEndTheLaterOne(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	record := func(id string, version int64) workers.Record {
