--- a/pkg/process/cell/grants_test.go
+++ b/pkg/process/cell/grants_test.go
@@ -77,7 +77,7 @@
 }
 
 // A cell must report from the moment of its takeover that it is not settled. Otherwise other cells delegate a lasting
-// task to it, which it then holds back, as once for 4.6 s.
+// task to it, which it then holds back (once for 4.6 s).
 func TestLoadReportsFromTheTakeoverOnThatACellIsNotSettled(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
--- a/pkg/process/cell/load.go
+++ b/pkg/process/cell/load.go
@@ -157,7 +157,8 @@
 	s.note(Note{What: NoteLoaded, Detail: fmt.Sprintf("%d jobs, %d cancels, %d members awaited", len(s.jobs), len(e.Cancels), len(e.Roster)), AgeMs: -1})
 }
 
-// restoreJob returns a job as the table holds it. Its tasks are not settled: an earlier leader may have started them.
+// restoreJob returns a job as the table holds it. Tasks that are not done are not settled: an earlier
+// leader may have started them.
 func (s *State) restoreJob(now time.Time, e Loaded, l LoadedJob) *jobs.Job {
 	age := e.StoreNow - time.Duration(l.Spec.GetAcceptedStoreMs())*time.Millisecond
 	j := jobs.Restore(l.Spec, l.Progress, l.Recorded, now.Add(-max(0, age)), e.Wall)
