--- a/pkg/process/cell/grants_test.go
+++ b/pkg/process/cell/grants_test.go
@@ -9,8 +9,9 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// A predecessor that never heard the worker either was waited for as if it had just renewed it.
-func TestASuccessorWaitsForAWorkerAsLongAsItsPredecessorMayHaveGranted(t *testing.T) {
+// A successor waits for a silent member as long as its predecessor's lease there may last. A predecessor that had no
+// answer of the member either granted it nothing, so the wait must not be a whole lease.
+func TestSuccessorWaitsForTheLeaseThatItsPredecessorGranted(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		over        cell.PredecessorOver
@@ -34,8 +35,8 @@
 	}
 }
 
-// What a process granted while it led, it tells when it leads no more: until the lease is surely over.
-func TestAProcessTellsTheLeasesThatItGranted(t *testing.T) {
+// A deposed leader reports the leases that it granted until they have surely ended.
+func TestDeposedLeaderReportsTheLeasesThatItGranted(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.step(100 * time.Millisecond)
@@ -53,8 +54,9 @@
 	must.MapEmpty(t, grants)
 }
 
-// A process that leads again knows what it granted the time before, and does not count on its successor's silence.
-func TestAProcessThatLeadsAgainKnowsItsOwnLeases(t *testing.T) {
+// A process that leads again waits for the leases that it granted in its earlier leadership: no other process reports
+// them.
+func TestLeaderThatIsElectedAgainWaitsForItsOwnLeases(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.step(100 * time.Millisecond)
@@ -74,17 +76,18 @@
 	must.MapLen(t, 1, b.started)
 }
 
-// A cell that was taken over a moment ago got a lasting task that it then held back for 4.6 s.
-func TestALoadTellsFromTheFirstMomentThatACellHasNotSettled(t *testing.T) {
+// A cell must report from the moment of its takeover that it is not settled. Otherwise other cells delegate a lasting
+// task to it, which it then holds back (once for 4.6 s).
+func TestLoadReportsFromTheTakeoverOnThatACellIsNotSettled(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	v.run(100 * time.Millisecond)
 	must.Positive(t, v.state.Load(v.now, false).GetSettlesInMs())
 }
 
-// A leader that never heard a worker tells of the leases that it waited for: its row does not name leaders any more that
-// are over.
-func TestAProcessTellsTheLeasesThatItWaitedFor(t *testing.T) {
+// A deposed leader reports the leases that it waited for, too: the leadership row no longer names the predecessors that
+// had ended, so its successor learns of their leases from it alone.
+func TestDeposedLeaderReportsTheLeasesThatItWaitedFor(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	v.state.Take(v.now, cell.PredecessorOver{Epoch: 2, Holder: "before/1"})
@@ -95,8 +98,9 @@
 	must.Between(t, 3*time.Second, grants["dark"], 4*time.Second)
 }
 
-// A leader that was deposed before it had read the membership does not know which workers it waited for.
-func TestAProcessThatNeverLoadedDoesNotTellLeases(t *testing.T) {
+// A leader that was deposed before it had read the membership does not know at which workers leases may last. It must
+// report that its list is not complete.
+func TestLeaderDeposedBeforeLoadingReportsUnknownLeases(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
 	b.state.Take(b.now, cell.Deposed{Why: "another leads"})
@@ -108,8 +112,9 @@
 	must.True(t, known)
 }
 
-// A leader that waited for one that is not over does not tell of that: the row names it, and its successor may be it.
-func TestAProcessDoesNotTellTheTenureOfALeaderThatTheRowNames(t *testing.T) {
+// A deposed leader does not report the leases of a predecessor that may still act: the leadership row names that
+// predecessor, and it may be the successor itself.
+func TestDeposedLeaderOmitsLeasesOfPredecessorsInTheLeadershipRow(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	v.run(time.Second)
--- a/pkg/process/cell/settle.go
+++ b/pkg/process/cell/settle.go
@@ -10,21 +10,25 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// Settling: what earlier leaders started is known, or surely over, so that what is found nowhere may start.
+// Settling after a takeover: the leader finds out which runs earlier leaders started. Workers list them, or they have
+// surely ended because the worker's lease has. A task is settled, and may start if no worker lists it, once no earlier
+// run of it can go on unknown to this leader.
 
-// surelyOver says whether what earlier leaders started at a worker that has not
-// been heard is over. One that never answered was granted time by forerunners
-// only, until settleBy; one that has answered, while the jobs were being read,
-// was granted time by this leader too, and its list is still to come.
+// surelyOver says whether the runs that earlier leaders started at a worker which
+// has not answered have surely ended: its leases must have ended before leadership
+// was last confirmed. A worker that never answered has leases of earlier leaders
+// only. A worker that answered while the jobs were being read also has one of this
+// leader, and its list is still to come.
 func (s *State) surelyOver(now time.Time, w *workers.Worker) bool {
 	confirmed := s.confirmed(now)
-	if confirmed.Before(s.lastGrantAt(w.ID)) {
+	if confirmed.Before(s.lastLeaseEndAt(w.ID)) {
 		return false
 	}
 	return !w.Clocked() || (!w.SilentSince.IsZero() && w.LeaseOver(confirmed))
 }
 
-// settle ends the waiting for workers that have not been heard.
+// settle ends the wait for members that have not answered. It has no effect while any task may still run at one of
+// them. After that it settles all tasks but those that the membership names there.
 func (s *State) settle(now time.Time) {
 	if s.settled {
 		return
@@ -39,12 +43,12 @@
 	if !known {
 		return
 	}
-	s.settled, s.othersSettled, s.mayRunUnheard = s.unheardOver(now), true, held
-	s.settleBut(now, held)
+	s.settled, s.othersSettled, s.mayRunUnheard = s.allEarlierRunsOver(now), true, held
+	s.settleExcept(now, held)
 }
 
-// unheardOver says whether all that ran at workers which are not heard is over.
-func (s *State) unheardOver(now time.Time) bool {
+// allEarlierRunsOver says whether all runs at members that have not answered have surely ended.
+func (s *State) allEarlierRunsOver(now time.Time) bool {
 	for id := range s.unsettled {
 		if !s.surelyOver(now, s.workers[id]) {
 			return false
@@ -53,9 +57,10 @@
 	return true
 }
 
-// settleBut settles all tasks but those that may run at workers which are not heard.
-func (s *State) settleBut(now time.Time, held map[string]bool) {
-	nowhere, settled := 0, 0
+// settleExcept settles all tasks but those in held, which may run at members that have not answered. It records crash
+// evidence against tasks that may have run where a member's incarnation has ended.
+func (s *State) settleExcept(now time.Time, held map[string]bool) {
+	listedNowhere, settled := 0, 0
 	var mayHaveRun []*jobs.Task
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j, changed := s.jobs[id], false
@@ -66,12 +71,12 @@
 				}
 				t.Settled, changed = true, true
 				settled++
-				t.Tried = t.Tried || s.mayHaveRunUnheard(t)
+				t.Tried = t.Tried || s.mayHaveRunAtUnreached(t)
 				if !s.trialNowhere(now, t) && len(t.Runs) == 0 && !t.Done && t.LentTo == "" && u.MayHaveBegun() && !j.Ended() {
 					mayHaveRun = append(mayHaveRun, t)
 				}
 				if len(t.Runs) == 0 && j.Begun {
-					nowhere++
+					listedNowhere++
 				}
 			}
 		}
@@ -86,11 +91,11 @@
 	if !s.settled && settled == 0 {
 		return
 	}
-	s.note(Note{What: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", nowhere, len(s.unsettled), len(held)), AgeMs: -1})
+	s.note(Note{What: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", listedNowhere, len(s.unsettled), len(held)), AgeMs: -1})
 }
 
-// mayHaveRunUnheard says whether a task may have run at a worker that was not heard.
-func (s *State) mayHaveRunUnheard(t *jobs.Task) bool {
+// mayHaveRunAtUnreached says whether a task may have run at a member that has not answered.
+func (s *State) mayHaveRunAtUnreached(t *jobs.Task) bool {
 	for id := range s.unsettled {
 		if mayHaveRunAt(s.earlier[id], t) {
 			return true
--- a/pkg/process/cell/settling_test.go
+++ b/pkg/process/cell/settling_test.go
@@ -12,13 +12,10 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Another cell had given a task back, and a leader started it at once, at a worker that its successor
-// does not hear. The row that gave it back still stood, so the successor took it back once more, as
-// one that is surely nowhere, and started it beside the run:
-//
-//	17.598 hall-0 at host-2: task-taken-back, 17.600 worker-6 starts ...0.0.0 run 3000052
-//	19.839 hall-0 at host-0: task-taken-back, 19.854 worker-4 starts ...0.0.0 run 6000001
-func TestATaskThatWasGivenBackBeforeATakeoverMayRunAlready(t *testing.T) {
+// Another cell has returned a delegated task, and a predecessor has started it at a worker that does not answer the
+// successor. The row that returned it still stands, so the successor takes it back once more. It must not count the
+// task as one that surely has no run: it started the task a second time, beside the predecessor's run.
+func TestTaskReturnedBeforeATakeoverMayRunAlready(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	lent := &wire.JobProgress{Id: spec.GetId(), Phase: wire.JobPhase_JOB_PHASE_RUNNING, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{LentTo: "other", Lending: 1}}}}}
@@ -30,9 +27,9 @@
 	must.True(t, started)
 }
 
-// A time of a repeating job falls due after a takeover, before it is known what forerunners started: it
-// falls due for one that has been suspended, too, when it wakes.
-func TestATimeThatFallsDueBeforeATakeoverIsSettledWaits(t *testing.T) {
+// A time of a repeating job falls due after a takeover, before the cell is settled. A predecessor that was suspended
+// opens that time, too, when it wakes, and may start its tasks.
+func TestTimeThatFallsDueBeforeTheCellIsSettledWaits(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{
 		Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}},
@@ -45,8 +42,8 @@
 	must.True(t, started)
 }
 
-// More times of a job are lent to a cell right after a takeover: its forerunner hears of them, too.
-func TestTimesThatAreLentBeforeATakeoverIsSettledWait(t *testing.T) {
+// More times of a job are delegated to a cell right after a takeover. Its predecessor may receive and start them, too.
+func TestTimesDelegatedBeforeTheCellIsSettledWait(t *testing.T) {
 	t.Parallel()
 	spec := func(times int32) *wire.JobSpec {
 		s := &wire.JobSpec{
@@ -66,9 +63,9 @@
 	must.True(t, started)
 }
 
-// The forerunner says that it is over, but it led for a moment only: the leader before it is suspended, and
-// goes on when it wakes.
-func TestAForerunnerThatIsOverSaysNothingOfThoseBeforeIt(t *testing.T) {
+// The last predecessor reports its end, but it led for a moment only. The leader before it is suspended and may act
+// again when it wakes, so its leases still count.
+func TestEndOfThePredecessorLeavesTheLeasesOfEarlierOnes(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
 	v.state.Take(v.now, cell.Led{Epoch: 2, Predecessors: map[string]time.Time{"first/1": v.now.Add(12 * time.Second), "second/1": v.now.Add(15 * time.Second)}})
@@ -84,9 +81,8 @@
 	must.True(t, started)
 }
 
-// Two leaders followed each other at once. Both answer that they are over, so what they granted ends with
-// a lease.
-func TestAllPredecessorsThatAreOverShortenTheWait(t *testing.T) {
+// Two leaders followed each other at once. Both report their end, so the last of their leases ends after one lease span.
+func TestReportedEndsOfAllPredecessorsShortenTheWaitToOneLease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
 	v.state.Take(v.now, cell.Led{Epoch: 2, Predecessors: map[string]time.Time{"first/1": v.now.Add(12 * time.Second), "second/1": v.now.Add(15 * time.Second)}})
@@ -102,9 +98,9 @@
 	must.Between(t, 4*time.Second, after, 5*time.Second)
 }
 
-// A host that was suspended for longer than its tenure meets an answer before its timer: nothing more is
-// ordered, and it steps down.
-func TestALeaderPastItsTenureOrdersNothing(t *testing.T) {
+// A leader whose host was suspended for longer than the tenure handles an event before its timer. It must order nothing
+// more, and step down.
+func TestLeaderPastItsTenureStepsDownWithoutOrders(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
 	b.state.Take(b.now, cell.Confirmed{At: b.now, Until: b.now.Add(12 * time.Second)})
@@ -124,15 +120,15 @@
 	must.True(t, stepped)
 }
 
-// A run that a worker goes on listing to the new leader is the only one: once it is stopped, its task starts
-// again at once, though another worker has not been heard.
-func TestALastingTaskThatIsStoppedAfterATakeoverStartsBeforeTheCellIsSettled(t *testing.T) {
+// A lasting task has no other run while a worker keeps listing one to the new leader. Once that run is stopped, the task
+// starts again at once, though another member has not answered.
+func TestStoppedLastingTaskRestartsBeforeTheCellIsSettled(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000, Lasting: true}}}
 	for _, leavesAfter := range []time.Duration{0, 3 * time.Second} {
 		v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec})
 		v.active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 100}}
-		v.answers = "second"
+		v.alsoAnswers = "second"
 		_, started := v.run(leavesAfter)
 		must.False(t, started)
 		record := func(id string, leaving bool) workers.Record {
@@ -144,7 +140,7 @@
 		v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{record("heard", true), record("second", false)}})
 		v.state.Take(v.now, cell.RosterRecorded{IDs: []string{"heard", "second", "dark"}})
 		after, started := v.run(5 * time.Second)
-		must.True(t, started, must.Sprintf("left after %s", leavesAfter))
+		must.True(t, started, must.Sprintf("the worker leaves after %s", leavesAfter))
 		must.Less(t, 4*time.Second, after)
 		must.Eq(t, "second", v.starts[0].To.ID)
 	}
