--- a/pkg/cli/delays.go
+++ b/pkg/cli/delays.go
@@ -83,7 +83,7 @@
 	if l.Queue != "" {
 		j.queue = l.Queue
 	}
-	switch cell.What(l.Event) {
+	switch cell.NoteKind(l.Event) {
 	case cell.NoteJobQueued:
 		j.queued = earlier(j.queued, l.At)
 	case cell.NoteJobEnded:
--- a/pkg/emulator/effects.go
+++ b/pkg/emulator/effects.go
@@ -19,13 +19,13 @@
 	w := h.world
 	switch e := e.(type) {
 	case cell.StepDown:
-		h.state.Take(h.clock(), cell.Deposed{Why: e.Why})
-	case cell.Tell:
+		h.state.Take(h.clock(), cell.LeadershipLost{Why: e.Why})
+	case cell.NotifyLeader:
 		h.tell(e)
 	case cell.Note:
-		w.Noted[e.What]++
-		if told[e.What] || (w.plan.Lasting > 0 && toldOfWaits[e.What]) {
-			w.logf("%s at %s: %s %s %s %s", h.cell, h.name, e.What, e.Worker, e.Task, detailOf(e))
+		w.Noted[e.Kind]++
+		if told[e.Kind] || (w.plan.Lasting > 0 && toldOfWaits[e.Kind]) {
+			w.logf("%s at %s: %s %s %s %s", h.cell, h.name, e.Kind, e.Worker, e.Task, detailOf(e))
 		}
 	case cell.SendPace:
 		h.toWorker(e.To, e.Timeout, 0, messageBytes, func(k *worker) (any, workers.Refusal) {
@@ -39,21 +39,21 @@
 			})
 	case cell.Load:
 		h.load(e.Epoch, 0, cell.Loaded{Epoch: e.Epoch, Fences: map[string]int64{}, Wall: w.now})
-	case cell.Record:
+	case cell.WriteProgress:
 		h.commit(e.Transaction, func(c table.Committed, ok bool) {
-			answered := cell.RecordAnswered{Part: e.Part, Serial: e.Serial, Committed: c}
+			answered := cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: c}
 			if !ok {
 				answered.Err = fault.New(fault.Unknown, "table", "no answer", "")
 			}
 			h.state.Take(h.clock(), answered)
 			h.act()
 		})
-	case cell.SendLook:
+	case cell.SendPoll:
 		sentAt := h.clock()
-		h.toWorker(e.To, e.Timeout, e.Look.Wait, messageBytes, func(k *worker) (any, workers.Refusal) { return anyOf(k.look(k.lookOf(e.To, e.Look))) },
+		h.toWorker(e.To, e.Timeout, e.Poll.Wait, messageBytes, func(k *worker) (any, workers.Refusal) { return anyOf(k.look(k.lookOf(e.To, e.Poll))) },
 			func(v any, refusal workers.Refusal, err error) {
 				report, _ := v.(workers.Report)
-				h.state.Take(h.clock(), cell.Looked{Worker: e.To.ID, SentAt: sentAt, Report: report, Refusal: refusal, Err: err})
+				h.state.Take(h.clock(), cell.PollAnswered{Worker: e.To.ID, SentAt: sentAt, Report: report, Refusal: refusal, Err: err})
 			})
 	case cell.SendStart:
 		sentAt := h.clock()
@@ -68,9 +68,9 @@
 		},
 			func(v any, refusal workers.Refusal, err error) {
 				clock, _ := v.(time.Duration)
-				h.state.Take(h.clock(), cell.Started{
+				h.state.Take(h.clock(), cell.StartAnswered{
 					Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Refusal: refusal, Clock: clock}, Err: err,
-					Took: h.clock().Sub(sentAt), Bytes: e.Bytes,
+					RoundTrip: h.clock().Sub(sentAt), Bytes: e.Bytes,
 				})
 			})
 	case cell.SendStop:
@@ -93,13 +93,13 @@
 }
 
 // told are the notes that the story of a day holds.
-var told = map[cell.What]bool{
+var told = map[cell.NoteKind]bool{
 	cell.NoteLent: true, cell.NoteTakenBack: true, cell.NoteGivenBack: true, cell.NoteWorkerCrashed: true, cell.NoteSuspected: true,
 	cell.NoteCleared: true, cell.NoteJobEnded: true, cell.NoteLost: true, cell.NoteWorkerGone: true, cell.NoteLed: true, cell.NoteSettled: true,
 }
 
 // toldOfWaits are those beside them that say why lasting tasks wait.
-var toldOfWaits = map[cell.What]bool{
+var toldOfWaits = map[cell.NoteKind]bool{
 	cell.NoteWaits: true, cell.NoteStop: true, cell.NoteWorkerAside: true, cell.NoteStartRefused: true, cell.NoteStartUnsure: true,
 	cell.NoteWorkerSilent: true, cell.NoteDeposed: true, cell.NoteLoaded: true, cell.NoteStart: true, cell.NoteWorkerNew: true,
 	cell.NoteWorkerLeaves: true, cell.NotePredecessorOver: true, cell.NoteLastingWaits: true, cell.NoteWorkerDropped: true,
@@ -161,7 +161,7 @@
 	fence := &wire.CellFence{}
 	if before.Version != 0 && rows.Read(before, fence) == nil && fence.GetEpoch() >= epoch {
 		if fence.GetEpoch() > epoch {
-			h.state.Take(h.clock(), cell.Deposed{Why: "a later fence"})
+			h.state.Take(h.clock(), cell.LeadershipLost{Why: "a later fence"})
 			return
 		}
 		loaded.Fences[rows.PartName(part)] = before.Version
@@ -203,7 +203,7 @@
 					}
 					loaded.Jobs = joinRows(specs, progress)
 					addCancels(&loaded, cancels)
-					loaded.Roster = t.roster(h.cell)
+					loaded.Members = t.roster(h.cell)
 					loaded.Wall, loaded.StoreNow = h.world.now, at
 					h.state.Take(h.clock(), loaded)
 					h.act()
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -58,7 +58,7 @@
 	results    map[string]*JobResult
 	script     *Script // what a recorded day is written to
 	// Noted counts the notes of all hosts by their kind.
-	Noted map[cell.What]int
+	Noted map[cell.NoteKind]int
 	// Log is the story of the day, for a seed that failed.
 	Log []string
 }
--- a/pkg/emulator/host.go
+++ b/pkg/emulator/host.go
@@ -72,7 +72,7 @@
 	}
 	for _, name := range w.cells {
 		s := &seat{host: h, cell: name, seat: election.New(name, name, self)}
-		s.state = cell.New(name, cell.Bounds{MaxLease: maxHold, Retention: 2 * time.Minute}, cell.WithUnsafe(w.plan.Unsafe), cell.Without(w.plan.Without), cell.WithPeers(w.cells))
+		s.state = cell.New(name, cell.Bounds{MaxLease: maxHold, Retention: 2 * time.Minute}, cell.WithUnsafe(w.plan.Unsafe), cell.WithoutMechanisms(w.plan.Without), cell.WithPeers(w.cells))
 		s.state.Take(h.clock(), cell.ManifestChanged{Manifest: w.manifest()})
 		h.seats = append(h.seats, s)
 		h.every(100*time.Millisecond, s.tick)
@@ -193,7 +193,7 @@
 func (h *seat) act() {
 	w := h.world
 	if h.seat.Role() == election.Leader {
-		h.state.Take(h.clock(), cell.Confirmed{At: h.seat.RenewedAt(), Until: h.seat.RenewedAt().Add(election.Tenure)})
+		h.state.Take(h.clock(), cell.LeadershipConfirmed{SentAt: h.seat.RenewedAt(), Until: h.seat.RenewedAt().Add(election.Tenure)})
 	}
 	for _, e := range h.state.Decide(h.clock(), w.now) {
 		h.carryOut(e)
@@ -201,10 +201,10 @@
 	if h.state.Settled() {
 		h.seat.Settled()
 	}
-	if h.seat.Role() == election.Leader && h.state.Quiet() {
+	if h.seat.Role() == election.Leader && h.state.ReadyToHandOver() {
 		h.seat.Release()
 	}
-	write := h.seat.Next(h.clock(), h.state.Roster(), 0, false)
+	write := h.seat.Next(h.clock(), h.state.Members(), 0, false)
 	if write == nil {
 		return
 	}
@@ -222,7 +222,7 @@
 		}
 		h.changed(h.seat.TakeWritten(h.clock(), version))
 		if version != 0 && write.Roster != nil {
-			h.state.Take(h.clock(), cell.RosterRecorded{IDs: rosterIDs(write.Roster.GetEntries())})
+			h.state.Take(h.clock(), cell.MembershipRecorded{IDs: rosterIDs(write.Roster.GetEntries())})
 		}
 		h.act()
 	})
@@ -279,12 +279,12 @@
 	switch {
 	case c.Led:
 		h.world.logf("%s leads epoch %d", h.name, h.seat.Row().GetEpoch())
-		h.state.Take(now, cell.LedBy(now, h.seat.Row().GetEpoch(), c))
+		h.state.Take(now, cell.NewLeadershipGained(now, h.seat.Row().GetEpoch(), c))
 		for _, p := range c.Predecessors {
 			h.awaitPredecessor(h.seat.Row().GetEpoch(), p)
 		}
 	case c.Lost:
-		h.state.Take(now, cell.Deposed{Why: c.Why})
+		h.state.Take(now, cell.LeadershipLost{Why: c.Why})
 	}
 }
 
@@ -338,11 +338,11 @@
 			for _, r := range list {
 				spec := &wire.JobSpec{}
 				if rows.Read(r, spec) == nil {
-					h.state.Take(h.clock(), cell.Accepted{Spec: spec, StoreNow: at})
+					h.state.Take(h.clock(), cell.JobAccepted{Spec: spec, StoreNow: at})
 				}
 			}
 			if ok {
-				h.state.Take(h.clock(), cell.Followed{At: askedAt})
+				h.state.Take(h.clock(), cell.TableCaughtUp{At: askedAt})
 			}
 		})
 	})
@@ -358,7 +358,7 @@
 // holds says whether this host may order anything in a cell.
 func (h *host) holds(name string) bool {
 	for _, s := range h.seats {
-		if s.cell == name && (s.state.Holds() || s.seat.Claiming()) {
+		if s.cell == name && (s.state.HoldsLeadership() || s.seat.Claiming()) {
 			return true
 		}
 	}
--- a/pkg/emulator/intake.go
+++ b/pkg/emulator/intake.go
@@ -24,7 +24,7 @@
 func (h *host) askLoads() {
 	limit := loadsEvery
 	for _, s := range h.seats {
-		if s.state.Waits() {
+		if s.state.HasWaitingTasks() {
 			limit = loadsEveryWaiting
 		}
 	}
@@ -65,7 +65,7 @@
 		h.board.Take(h.clock(), load)
 		for _, s := range h.seats {
 			if len(load.GetBeliefs()) > 0 || s.state.Leading() {
-				s.state.Take(h.clock(), cell.OtherLoad{Load: load})
+				s.state.Take(h.clock(), cell.PeerLoad{Load: load})
 			}
 		}
 	}))
@@ -117,7 +117,7 @@
 			for _, each := range w.hosts {
 				if other := each.leads(spec.GetCell()); ok && other != nil && !w.cut(h.name, each.name) && h.knows(spec.GetCell(), each) {
 					other.on(func() {
-						other.state.Take(other.clock(), cell.Accepted{Spec: spec, StoreNow: other.storeNow()})
+						other.state.Take(other.clock(), cell.JobAccepted{Spec: spec, StoreNow: other.storeNow()})
 						other.act()
 						h.tellLoad(other, false)
 					})
@@ -150,6 +150,6 @@
 // tellCancel tells the leaders of all cells of a cancel that stands in the table.
 func (h *host) tellCancel(id string) {
 	for _, name := range h.world.cells {
-		h.toLeader(name, func(other *seat) { other.state.Take(other.clock(), cell.CancelAsked{ID: id}) })
+		h.toLeader(name, func(other *seat) { other.state.Take(other.clock(), cell.CancelRequested{ID: id}) })
 	}
 }
--- a/pkg/emulator/link_test.go
+++ b/pkg/emulator/link_test.go
@@ -62,7 +62,7 @@
 	for seed := range uint64(6) {
 		w, broken := emulator.Play(weakLinkPlan(seed))
 		must.SliceEmpty(t, broken)
-		for _, kind := range []cell.What{cell.NoteStartUnsure, cell.NoteStartRefused, cell.NoteWorkerSilent, cell.NoteLost, cell.NoteDeposed} {
+		for _, kind := range []cell.NoteKind{cell.NoteStartUnsure, cell.NoteStartRefused, cell.NoteWorkerSilent, cell.NoteLost, cell.NoteDeposed} {
 			must.Zero(t, w.Noted[kind], must.Sprintf("seed %d: %s", seed, kind))
 		}
 		for _, r := range w.Results() {
--- a/pkg/emulator/lives.go
+++ b/pkg/emulator/lives.go
@@ -78,16 +78,16 @@
 			done(v, r, ok)
 		}
 	}
-	w.after(limit, func() { answer(none, workers.RefusedNot, false) })
+	w.after(limit, func() { answer(none, workers.NotRefused, false) })
 	if w.cut(from, k.name) {
 		return
 	}
 	if !k.up && k.loud {
-		w.after(w.draws.hop(stream), func() { answer(none, workers.RefusedNot, false) })
+		w.after(w.draws.hop(stream), func() { answer(none, workers.NotRefused, false) })
 		return
 	}
 	if w.plan.CrashTasks > 0 || w.plan.Leaving.Series > 0 {
-		k.broken = append(k.broken, func() { answer(none, workers.RefusedNot, false) })
+		k.broken = append(k.broken, func() { answer(none, workers.NotRefused, false) })
 	}
 	way := queued + w.draws.hop(stream)
 	late := w.now.Before(k.lateUntil) && w.draws.oneIn("late "+k.name, 4)
@@ -100,7 +100,7 @@
 	}
 	k.arrive(way, sentAt, reached, func() {
 		if k.key() != life {
-			w.after(w.draws.hop(stream), func() { answer(none, workers.RefusedLife, true) })
+			w.after(w.draws.hop(stream), func() { answer(none, workers.RefusedIncarnation, true) })
 			return
 		}
 		k.lapse()
@@ -125,16 +125,16 @@
 // life they reach.
 func (k *worker) forLife(to workers.Target, do func() (any, workers.Refusal)) (any, workers.Refusal) {
 	if !k.meant(to) {
-		return nil, workers.RefusedBegun
+		return nil, workers.RefusedRestarted
 	}
 	return do()
 }
 
 // lookOf is a look as it is sent: to another life than the one that it is for with no word
 // but the question.
-func (k *worker) lookOf(to workers.Target, l workers.Look) workers.Look {
+func (k *worker) lookOf(to workers.Target, l workers.Poll) workers.Poll {
 	if !k.meant(to) {
-		return workers.Look{Fence: l.Fence}
+		return workers.Poll{Fence: l.Fence}
 	}
 	return l
 }
--- a/pkg/emulator/machine.go
+++ b/pkg/emulator/machine.go
@@ -228,7 +228,7 @@
 	}
 	r.pace = p.Percent
 	k.settle()
-	return k.clock(), workers.RefusedNot
+	return k.clock(), workers.NotRefused
 }
 
 // keepWork keeps what a run that ends has done, if it saves that.
--- a/pkg/emulator/predecessors.go
+++ b/pkg/emulator/predecessors.go
@@ -13,9 +13,9 @@
 
 // awaitPredecessor asks a host that led before until it says that it does not.
 func (h *seat) awaitPredecessor(epoch int64, p election.Predecessor) {
-	over := cell.PredecessorOver{Epoch: epoch, Holder: p.Holder}
+	over := cell.PredecessorEnded{Epoch: epoch, Holder: p.Holder}
 	if p.Host == h.name {
-		over.Own, over.Since = p.Holder == h.incarnation(), h.bootedAt
+		over.SameProcess, over.EndedAt = p.Holder == h.incarnation(), h.bootedAt
 		h.predecessorOver(over)
 		return
 	}
@@ -30,19 +30,19 @@
 				if p.Holder == other.incarnation() {
 					over.Grants, over.GrantsKnown = other.grants(h.cell)
 				} else {
-					over.Since = other.bootedAt
+					over.EndedAt = other.bootedAt
 				}
 				h.predecessorOver(over)
 				return
 			}
-			if h.state.Holds() && h.seat.Row().GetEpoch() == epoch {
+			if h.state.HoldsLeadership() && h.seat.Row().GetEpoch() == epoch {
 				h.awaitPredecessor(epoch, p)
 			}
 		}))
 	}
 }
 
-func (h *seat) predecessorOver(over cell.PredecessorOver) {
+func (h *seat) predecessorOver(over cell.PredecessorEnded) {
 	if h.seat.Role() != election.Leader || h.seat.Row().GetEpoch() != over.Epoch {
 		return
 	}
--- a/pkg/emulator/script.go
+++ b/pkg/emulator/script.go
@@ -103,7 +103,7 @@
 		plan: plan, draws: d, start: time.Unix(1_000_000, 0),
 		jobs: map[string]*wire.JobSpec{}, cuts: map[[2]string]time.Time{}, hallCuts: map[string]time.Time{},
 		truths: map[string]*TaskTruth{}, saved: map[string]time.Duration{}, results: map[string]*JobResult{},
-		crashers: map[string]time.Duration{}, Noted: map[cell.What]int{},
+		crashers: map[string]time.Duration{}, Noted: map[cell.NoteKind]int{},
 	}
 	w.now, w.impairedAt = w.start, w.start
 	w.checker = newChecker(w)
--- a/pkg/emulator/words.go
+++ b/pkg/emulator/words.go
@@ -12,12 +12,12 @@
 // takeCancelRow hands on a cancel, or what another cell reports of tasks lent to it.
 func (h *seat) takeCancelRow(r table.Row) {
 	if !rows.IsReturn(r.Key) {
-		h.state.Take(h.clock(), cell.CancelAsked{ID: r.Key.Key})
+		h.state.Take(h.clock(), cell.CancelRequested{ID: r.Key.Key})
 		return
 	}
 	back := &wire.ReturnedTasks{}
 	if rows.Read(r, back) == nil {
-		h.state.Take(h.clock(), cell.Returned{Tasks: back})
+		h.state.Take(h.clock(), cell.TasksReturned{Tasks: back})
 	}
 }
 
@@ -33,7 +33,7 @@
 		h.toLeader(name, func(other *seat) {
 			load := other.state.Load(other.clock(), true)
 			h.world.after(h.world.draws.hop("word "+other.name+" "+h.name), h.back(func() {
-				h.state.Take(h.clock(), cell.OtherLoad{Load: load})
+				h.state.Take(h.clock(), cell.PeerLoad{Load: load})
 			}))
 		})
 	}
@@ -57,15 +57,15 @@
 }
 
 // tell brings the word that a cell's state has for another cell's leader.
-func (h *seat) tell(e cell.Tell) {
+func (h *seat) tell(e cell.NotifyLeader) {
 	h.toLeader(e.Cell, func(other *seat) {
 		switch {
 		case e.Lent != nil:
-			other.state.Take(other.clock(), cell.Accepted{Spec: e.Lent, StoreNow: other.storeNow()})
+			other.state.Take(other.clock(), cell.JobAccepted{Spec: e.Lent, StoreNow: other.storeNow()})
 		case e.Returned != nil:
-			other.state.Take(other.clock(), cell.Returned{Tasks: e.Returned})
+			other.state.Take(other.clock(), cell.TasksReturned{Tasks: e.Returned})
 		default:
-			other.state.Take(other.clock(), cell.CancelAsked{ID: e.Cancelled})
+			other.state.Take(other.clock(), cell.CancelRequested{ID: e.Cancelled})
 		}
 	})
 }
--- a/pkg/emulator/worker.go
+++ b/pkg/emulator/worker.go
@@ -186,7 +186,7 @@
 	})
 }
 
-func (k *worker) look(l workers.Look) (workers.Report, workers.Refusal) {
+func (k *worker) look(l workers.Poll) (workers.Report, workers.Refusal) {
 	if l.Fence < k.fence {
 		return workers.Report{}, workers.RefusedFence
 	}
@@ -205,7 +205,7 @@
 	for _, r := range k.sorted() {
 		report.Active = append(report.Active, workers.Active{Task: r.task, Run: r.number, Checkpoint: k.saved(r), Percent: k.percent(r), Reading: r.reading.told})
 	}
-	return report, workers.RefusedNot
+	return report, workers.NotRefused
 }
 
 func (k *worker) percent(r *workerRun) int {
@@ -238,7 +238,7 @@
 	}
 	k.fence = s.Fence
 	if r := k.runs[s.Task]; r != nil && r.number == s.Run {
-		return k.clock(), workers.RefusedNot
+		return k.clock(), workers.NotRefused
 	}
 	if s.Until < k.clock() {
 		return k.clock(), workers.RefusedLate
@@ -272,7 +272,7 @@
 	}
 	k.crashAfter(r)
 	k.settle()
-	return k.clock(), workers.RefusedNot
+	return k.clock(), workers.NotRefused
 }
 
 // checkBeside looks at an order to start a task that has a run here. A worker turns away what isn't
@@ -351,7 +351,7 @@
 			k.end(r, workers.EndedStopped)
 		}
 	})
-	return k.clock(), workers.RefusedNot
+	return k.clock(), workers.NotRefused
 }
 
 // stepOf is a task's step, nil if nobody sent it, and what the task takes: fillers get
--- a/pkg/process/blame/accuse.go
+++ b/pkg/process/blame/accuse.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// Life is a worker incarnation that ended without a stop or a leave, as its leader saw it.
-type Life struct {
+// EndedIncarnation is a worker incarnation that ended without a stop or a leave, as its leader saw it.
+type EndedIncarnation struct {
 	Worker, Host string
 	Born         int64
 	// Silent says that the worker is not known to have crashed: it may be cut off.
 	Silent bool
-	// Dark says that only a timeout showed the end. A process that crashes breaks its connections; a loss of
+	// TimedOut says that only a timeout showed the end. A process that crashes breaks its connections; a loss of
 	// power or a network cut does not.
-	Dark bool
+	TimedOut bool
 	// Lives is how many workers went silent at the same time, this one included, Workers how many there are, and
 	// Tried how many of the other silent ones had an isolated run.
-	Lives, Workers, Tried int
+	Lives, Workers, OthersIsolated int
 	// At is the wall-clock time of the end.
 	At   time.Time
-	Runs []Seen
+	Runs []EndedRun
 }
 
-// Seen is a run that ended with its worker's incarnation.
-type Seen struct {
+// EndedRun is a run that ended with its worker's incarnation.
+type EndedRun struct {
 	Run int64
 	// Began says that the run is known to have begun. Age is the least time that it had lasted.
 	Began bool
 	Age   time.Duration
-	// HostFails says that the host crashed recently while the run's task was not there. Elsewhere is how many
+	// HostCrashedWithout says that the host crashed recently while the run's task was not there. Elsewhere is how many
 	// such crashes there were on all hosts.
-	HostFails bool
-	Elsewhere int
+	HostCrashedWithout bool
+	CrashesWithout     int
 	// Gang is the name of the run's gang, empty for none. Members of a gang are no company to each other: they
 	// start together, and the same job fails for any of them.
 	Gang string
-	// Trial says that the run was isolated, in a quiet period, at a host chosen for it: only an outage of many
+	// Isolated says that the run was isolated, in a quiet period, at a host chosen for it: only an outage of many
 	// workers, or an end that only a timeout showed, is a sign of another cause.
-	Trial bool
+	Isolated bool
 }
 
 const (
@@ -48,9 +48,9 @@
 	maxFewWorkers = 11
 )
 
-// Many returns how many of a number of workers have to go silent at the same time for one external cause to
+// OutageThreshold returns how many of a number of workers have to go silent at the same time for one external cause to
 // be likely.
-func Many(workers int) int {
+func OutageThreshold(workers int) int {
 	least := outageMin
 	if workers <= maxFewWorkers {
 		least = outageMinFewWorkers
@@ -58,10 +58,12 @@
 	return max(least, (workers+outageDivisor-1)/outageDivisor)
 }
 
-// Common returns how many crashes, within the time that callers look back (15 s), make crashes so common that one
+// CommonCrashThreshold returns how many crashes, within the time that callers look back (15 s), make crashes so common that one
 // soon after a start is weaker evidence: an innocent run is then hit in its first second with a chance
 // of two in a hundred or more.
-func Common(workers int) int { return max(minCommonCrashes, workers*commonCrashTenths/10) }
+func CommonCrashThreshold(workers int) int {
+	return max(minCommonCrashes, workers*commonCrashTenths/10)
+}
 
 const (
 	// minCommonCrashes is the lower bound of Common, commonCrashTenths its value in tenths of the number of
@@ -75,17 +77,19 @@
 // the other tasks keep most of the capacity.
 const isolatedDivisor = 3
 
-// Trials returns how many isolated runs may be in progress at a time. Many does not bound them, as simultaneous
+// MaxIsolatedRuns returns how many isolated runs may be in progress at a time. Many does not bound them, as simultaneous
 // crashes of isolated runs are no sign of an external cause.
-func Trials(workers int) int { return max(Many(workers)-1, workers/isolatedDivisor) }
+func MaxIsolatedRuns(workers int) int {
+	return max(OutageThreshold(workers)-1, workers/isolatedDivisor)
+}
 
-// Accuse returns the evidence that the end of the incarnation gives against the task of each run, in the order of
+// Evidence returns the evidence that the end of the incarnation gives against the task of each run, in the order of
 // Runs; nil stands for none.
-func (l Life) Accuse() []*Crash {
+func (l EndedIncarnation) Evidence() []*Crash {
 	list, accused := make([]*Crash, len(l.Runs)), 0
 	for i, r := range l.Runs {
-		many := l.simultaneous(r) >= Many(l.Workers)
-		c := &Crash{Worker: l.Worker, Host: l.Host, Born: l.Born, Run: r.Run, Began: r.Began, Trial: r.Trial, Age: r.Age, Lives: l.Lives, Outside: many || l.Dark || (!r.Trial && (r.HostFails || r.Elsewhere >= Common(l.Workers))), Silent: l.Silent, At: l.At}
+		many := l.simultaneous(r) >= OutageThreshold(l.Workers)
+		c := &Crash{Worker: l.Worker, Host: l.Host, Born: l.Born, Run: r.Run, Began: r.Began, Trial: r.Isolated, Age: r.Age, Lives: l.Lives, Outside: many || l.TimedOut || (!r.Isolated && (r.HostCrashedWithout || r.CrashesWithout >= CommonCrashThreshold(l.Workers))), Silent: l.Silent, At: l.At}
 		for j, other := range l.Runs {
 			if j == i || (r.Gang != "" && other.Gang == r.Gang) {
 				continue
@@ -111,9 +115,9 @@
 
 // simultaneous returns how many workers went silent at the same time, as far as that is a sign of one external
 // cause. For an isolated run, other workers with isolated runs do not count: their tasks may all be poisonous.
-func (l Life) simultaneous(r Seen) int {
-	if r.Trial {
-		return l.Lives - l.Tried
+func (l EndedIncarnation) simultaneous(r EndedRun) int {
+	if r.Isolated {
+		return l.Lives - l.OthersIsolated
 	}
 	return l.Lives
 }
--- a/pkg/process/blame/blame.go
+++ b/pkg/process/blame/blame.go
@@ -60,12 +60,12 @@
 const (
 	// Trusted: the task may start anywhere.
 	Trusted Level = iota
-	// Suspect: the task starts apart from other suspects, and where a crash costs little, if such a worker is usable.
-	Suspect
-	// OnTrial: the task starts only in isolated runs, where nothing else can be the cause of one more crash.
-	OnTrial
-	// Guilty: the task never starts again, and its job fails.
-	Guilty
+	// Suspected: the task starts apart from other suspects, and where a crash costs little, if such a worker is usable.
+	Suspected
+	// NeedsIsolation: the task starts only in isolated runs, where nothing else can be the cause of one more crash.
+	NeedsIsolation
+	// Poisonous: the task never starts again, and its job fails.
+	Poisonous
 )
 
 // String returns the level in the words of logs and commands.
@@ -214,11 +214,11 @@
 	t, alike := tallyOf(crashes), tallyOf(atLastAge(crashes))
 	switch {
 	case reachesLimit(alike, crashes[len(crashes)-1]), identifiesTask(alike, crashes[len(crashes)-1]):
-		return Guilty
+		return Poisonous
 	case t.ended > t.unseen && (t.weight >= isolationWeight || t.all >= isolationCrashes || alike.promptAny >= isolationPromptCrashes):
-		return OnTrial
+		return NeedsIsolation
 	case t.weight >= suspectWeight:
-		return Suspect
+		return Suspected
 	}
 	return Trusted
 }
@@ -244,20 +244,20 @@
 	return t.ended >= maxCrashes-1 && t.prompt >= minBegan
 }
 
-// NextDecides reports whether one more crash of an isolated run makes the task poisonous, even if an external cause
+// PoisonousAfterNextCrash reports whether one more crash of an isolated run makes the task poisonous, even if an external cause
 // is likely.
-func NextDecides(crashes []Crash) bool {
+func PoisonousAfterNextCrash(crashes []Crash) bool {
 	if len(crashes) == 0 {
 		return false
 	}
 	next := Crash{Run: 1, Began: true, Age: crashes[len(crashes)-1].Age, Lives: 1, Outside: true, Trial: true}
-	return LevelOf(append(slices.Clone(crashes), next)) == Guilty
+	return LevelOf(append(slices.Clone(crashes), next)) == Poisonous
 }
 
-// Unseen returns the evidence against a task that was found nowhere and may have run at an incarnation that ended
+// UnobservedCrash returns the evidence against a task that was found nowhere and may have run at an incarnation that ended
 // without a leader, or with one that died before it recorded the end. others is how many other tasks
 // may have run there, lives how many incarnations ended so.
-func Unseen(worker string, born int64, others, lives int, at time.Time) Crash {
+func UnobservedCrash(worker string, born int64, others, lives int, at time.Time) Crash {
 	return Crash{Worker: worker, Born: born, Company: others, Accused: others + 1, Lives: lives, Unseen: true, At: at}
 }
 
@@ -271,9 +271,9 @@
 	return t.newHosts >= poisonousHosts || (!last.Outside && t.prompt >= isolationCrashes && t.knownWeight >= poisonousWeight)
 }
 
-// Outlived reports whether a run of a given age exonerates its task: it has lasted far longer than any run that
+// Exonerates reports whether a run of a given age exonerates its task: it has lasted far longer than any run that
 // ended with its worker.
-func Outlived(crashes []Crash, age time.Duration) bool {
+func Exonerates(crashes []Crash, age time.Duration) bool {
 	longest := time.Duration(0)
 	for _, c := range crashes {
 		longest = max(longest, c.Age)
@@ -281,12 +281,12 @@
 	return age >= exonerateMargin+2*longest
 }
 
-// EndedWell reports whether a run of a given age that ended by itself, or was stopped, exonerates its task: it
+// EndExonerates reports whether a run of a given age that ended by itself, or was stopped, exonerates its task: it
 // had outlived the age at which other runs ended with their workers.
-func EndedWell(crashes []Crash, age time.Duration) bool {
-	return Outlived(crashes, age+exonerateMargin-exonerateEndedMargin)
+func EndExonerates(crashes []Crash, age time.Duration) bool {
+	return Exonerates(crashes, age+exonerateMargin-exonerateEndedMargin)
 }
 
-// Settled reports whether a run of a given age may be at a worker when an isolated run starts there: it will
+// LongRunning reports whether a run of a given age may be at a worker when an isolated run starts there: it will
 // not count as company.
-func Settled(age time.Duration) bool { return age >= farOlderMargin+promptAge }
+func LongRunning(age time.Duration) bool { return age >= farOlderMargin+promptAge }
--- a/pkg/process/cell/advice.go
+++ b/pkg/process/cell/advice.go
@@ -26,25 +26,25 @@
 	ticketMargin = 300 * time.Millisecond
 )
 
-// SendAdvice asks the advice service which of the named workers may run a unit; Advised answers.
-type SendAdvice struct {
+// SendAdviceRequest asks the advice service which of the named workers may run a unit; Advised answers.
+type SendAdviceRequest struct {
 	Unit    string
 	Workers []string
 }
 
-// Advised is the answer to a call of the advice service.
-type Advised struct {
+// AdviceAnswered is the answer to a call of the advice service.
+type AdviceAnswered struct {
 	Unit string
 	// Tickets are the tickets of the approved workers, by worker.
 	Tickets map[string]string
 	Err     error
 }
 
-func (SendAdvice) effect() {}
-func (Advised) event()     {}
+func (SendAdviceRequest) effect() {}
+func (AdviceAnswered) event()     {}
 
-// advice holds the tickets of one unit.
-type advice struct {
+// unitTickets holds the tickets of one unit.
+type unitTickets struct {
 	// tickets are by worker.
 	tickets map[string]string
 	// validUntil is when the tickets expire.
@@ -53,19 +53,19 @@
 	retryAt time.Time
 }
 
-// advised returns whether starts of a unit need a ticket, and for how long a ticket is valid.
-func (s *State) advised(u *jobs.Unit) (valid time.Duration, needs bool) {
-	q := s.queue(u.Job)
+// ticketValidity returns whether starts of a unit need a ticket, and for how long a ticket is valid.
+func (s *State) ticketValidity(u *jobs.Unit) (valid time.Duration, needs bool) {
+	q := s.queueOf(u.Job)
 	if q.Advice == nil {
 		return 0, false
 	}
 	return q.Advice.Valid, true
 }
 
-// ticketed returns the usable workers for which a unit has a valid ticket. If none of them has capacity for one more of
+// workersWithTicket returns the usable workers for which a unit has a valid ticket. If none of them has capacity for one more of
 // its tasks, it asks the advice service for more tickets.
-func (s *State) ticketed(now time.Time, u *jobs.Unit, usable []*workers.Worker) []*workers.Worker {
-	a := s.advices[u.Name()]
+func (s *State) workersWithTicket(now time.Time, u *jobs.Unit, usable []*workers.Worker) []*workers.Worker {
+	a := s.ticketsByUnit[u.Name()]
 	var approved []*workers.Worker
 	hasCapacity := false
 	for _, w := range usable {
@@ -73,7 +73,7 @@
 			continue
 		}
 		approved = append(approved, w)
-		hasCapacity = hasCapacity || s.fits(now, u, s.service(u.Job), w)
+		hasCapacity = hasCapacity || s.fits(now, u, s.serviceOf(u.Job), w)
 	}
 	if !hasCapacity && (a == nil || !now.Before(a.retryAt)) {
 		s.requestAdvice(now, u, usable)
@@ -84,49 +84,49 @@
 // requestAdvice calls the advice service for a unit, unless a call is in flight. The call names the first usable
 // workers that the unit fits on.
 func (s *State) requestAdvice(now time.Time, u *jobs.Unit, usable []*workers.Worker) {
-	if s.adviceOut != "" {
+	if s.adviceRequested != "" {
 		return
 	}
 	most := min(maxNamedWorkers, namedWorkersPerTask*len(u.Waiting(now)))
 	var names []string
 	for _, w := range usable {
-		if len(names) < most && s.fits(now, u, s.service(u.Job), w) {
+		if len(names) < most && s.fits(now, u, s.serviceOf(u.Job), w) {
 			names = append(names, w.ID)
 		}
 	}
 	if len(names) == 0 {
 		return
 	}
-	s.adviceOut = u.Name()
-	s.emit(SendAdvice{Unit: u.Name(), Workers: names})
+	s.adviceRequested = u.Name()
+	s.emit(SendAdviceRequest{Unit: u.Name(), Workers: names})
 }
 
-// takeAdvised stores the tickets that the advice service returned for a unit.
-func (s *State) takeAdvised(now time.Time, e Advised) {
-	if s.adviceOut != e.Unit {
+// takeAdviceAnswered stores the tickets that the advice service returned for a unit.
+func (s *State) takeAdviceAnswered(now time.Time, e AdviceAnswered) {
+	if s.adviceRequested != e.Unit {
 		return
 	}
-	s.adviceOut = ""
-	s.placeNow = true
-	a := &advice{tickets: e.Tickets, retryAt: now.Add(adviceRetryPause)}
-	s.advices[e.Unit] = a
+	s.adviceRequested = ""
+	s.placementDue = true
+	a := &unitTickets{tickets: e.Tickets, retryAt: now.Add(adviceRetryPause)}
+	s.ticketsByUnit[e.Unit] = a
 	if e.Err != nil {
-		s.note(Note{What: NoteAdvice, Task: e.Unit, Detail: e.Err.Error(), Code: fault.CodeOf(e.Err), AgeMs: -1})
+		s.note(Note{Kind: NoteAdvice, Task: e.Unit, Detail: e.Err.Error(), Code: fault.CodeOf(e.Err), AgeMs: -1})
 		return
 	}
 	id, ok := jobs.ParseTask(e.Unit + ".0")
 	if j := s.jobs[id.Job]; ok && j != nil {
 		if t := j.Task(id.Time, id.Step, 0); t != nil {
-			valid, _ := s.advised(t.Unit)
+			valid, _ := s.ticketValidity(t.Unit)
 			a.validUntil = now.Add(max(0, valid-ticketMargin))
 		}
 	}
-	s.note(Note{What: NoteAdvice, Job: id.Job, Task: e.Unit, Detail: fmt.Sprintf("%d workers approved", len(e.Tickets)), AgeMs: -1})
+	s.note(Note{Kind: NoteAdvice, Job: id.Job, Task: e.Unit, Detail: fmt.Sprintf("%d workers approved", len(e.Tickets)), AgeMs: -1})
 }
 
 // ticket returns the ticket that a start of a unit on a worker carries; "" if there is none.
 func (s *State) ticket(u *jobs.Unit, w *workers.Worker) string {
-	if a := s.advices[u.Name()]; a != nil {
+	if a := s.ticketsByUnit[u.Name()]; a != nil {
 		return a.tickets[w.ID]
 	}
 	return ""
@@ -134,7 +134,7 @@
 
 // dropTicket deletes the ticket of a unit that a worker refused.
 func (s *State) dropTicket(u *jobs.Unit, w *workers.Worker) {
-	if a := s.advices[u.Name()]; a != nil {
+	if a := s.ticketsByUnit[u.Name()]; a != nil {
 		delete(a.tickets, w.ID)
 	}
 }
--- a/pkg/process/cell/advice_test.go
+++ b/pkg/process/cell/advice_test.go
@@ -18,7 +18,7 @@
 type advisedCell struct {
 	state *cell.State
 	now   time.Time
-	asked []cell.SendAdvice
+	asked []cell.SendAdviceRequest
 	sent  []cell.SendStart
 }
 
@@ -35,9 +35,9 @@
 		})
 	}
 	a.state.Take(a.now, cell.WorkersListed{Records: records})
-	a.state.Take(a.now, cell.Led{Epoch: 1, RosterUntil: a.now})
-	a.state.Take(a.now, cell.Loaded{Epoch: 1, Wall: a.now, Fences: someFences()})
-	a.state.Take(a.now, cell.RosterRecorded{IDs: []string{"w1", "w2"}})
+	a.state.Take(a.now, cell.LeadershipGained{Epoch: 1, LeasesEndAt: a.now})
+	a.state.Take(a.now, cell.Loaded{Epoch: 1, Wall: a.now, Fences: testFences()})
+	a.state.Take(a.now, cell.MembershipRecorded{IDs: []string{"w1", "w2"}})
 	return a
 }
 
@@ -47,9 +47,9 @@
 	a.state.Take(a.now, cell.Tick{})
 	for _, e := range a.state.Decide(a.now, a.now) {
 		switch e := e.(type) {
-		case cell.SendLook:
-			a.state.Take(a.now, cell.Looked{Worker: e.To.ID, SentAt: a.now, Report: workers.Report{Clock: a.now.Sub(time.Unix(0, 0))}})
-		case cell.SendAdvice:
+		case cell.SendPoll:
+			a.state.Take(a.now, cell.PollAnswered{Worker: e.To.ID, SentAt: a.now, Report: workers.Report{Clock: a.now.Sub(time.Unix(0, 0))}})
+		case cell.SendAdviceRequest:
 			a.asked = append(a.asked, e)
 		case cell.SendStart:
 			a.sent = append(a.sent, e)
@@ -61,7 +61,7 @@
 func TestStartCarriesTicketOfItsWorker(t *testing.T) {
 	t.Parallel()
 	a := newAdvisedCell()
-	a.state.Take(a.now, cell.Accepted{Spec: &wire.JobSpec{
+	a.state.Take(a.now, cell.JobAccepted{Spec: &wire.JobSpec{
 		Id: "00000000000000aa", Queue: "queue", Service: "pool", Cell: "hall", Steps: []*wire.StepSpec{{Count: 2, Millicores: 1000}},
 	}})
 	for range 10 {
@@ -69,7 +69,7 @@
 	}
 	must.Len(t, 1, a.asked, must.Sprint("one call at a time"))
 	must.SliceEmpty(t, a.sent)
-	a.state.Take(a.now, cell.Advised{Unit: a.asked[0].Unit, Tickets: map[string]string{"w2": "the ticket"}})
+	a.state.Take(a.now, cell.AdviceAnswered{Unit: a.asked[0].Unit, Tickets: map[string]string{"w2": "the ticket"}})
 	a.step()
 	must.Len(t, 2, a.sent)
 	for _, s := range a.sent {
@@ -82,14 +82,14 @@
 func TestFailedAdviceCallIsRepeated(t *testing.T) {
 	t.Parallel()
 	a := newAdvisedCell()
-	a.state.Take(a.now, cell.Accepted{Spec: &wire.JobSpec{
+	a.state.Take(a.now, cell.JobAccepted{Spec: &wire.JobSpec{
 		Id: "00000000000000aa", Queue: "queue", Service: "pool", Cell: "hall", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}},
 	}})
 	for range 5 {
 		a.step()
 	}
 	must.Len(t, 1, a.asked)
-	a.state.Take(a.now, cell.Advised{Unit: a.asked[0].Unit, Err: fault.New(fault.Unavailable, "", "status 429", "")})
+	a.state.Take(a.now, cell.AdviceAnswered{Unit: a.asked[0].Unit, Err: fault.New(fault.Unavailable, "", "status 429", "")})
 	for range 10 {
 		a.step()
 	}
@@ -102,11 +102,11 @@
 	t.Parallel()
 	a := newAdvisedCell()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "queue", Service: "pool", Cell: "hall", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
-	a.state.Take(a.now, cell.Accepted{Spec: spec})
+	a.state.Take(a.now, cell.JobAccepted{Spec: spec})
 	for range 5 {
 		a.step()
 	}
-	a.state.Take(a.now, cell.Advised{Unit: a.asked[0].Unit, Tickets: map[string]string{"w1": "t"}})
+	a.state.Take(a.now, cell.AdviceAnswered{Unit: a.asked[0].Unit, Tickets: map[string]string{"w1": "t"}})
 	a.now = a.now.Add(4 * time.Second)
 	a.step()
 	a.step()
--- a/pkg/process/cell/afterleaving_test.go
+++ b/pkg/process/cell/afterleaving_test.go
@@ -27,19 +27,19 @@
 		{ID: "heard", Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h", Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000}},
 		{ID: "second", Service: "quotes", Address: "z", Hall: "hall", Ready: true, Host: "z", Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000}},
 	}})
-	v.state.Take(v.now, cell.RosterRecorded{IDs: []string{"heard", "dark", "second"}})
+	v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"heard", "dark", "second"}})
 	third := workers.Active{Task: "00000000000000aa.0.0.0", Run: 1000003, Percent: 10}
 	ended := []workers.End{{Number: 1, Task: third.Task, Run: third.Run, How: workers.EndedFailed}}
 	begin, starts, failed := v.now, 0, false
 	for v.now.Sub(begin) < 6*time.Second {
 		v.now = v.now.Add(50 * time.Millisecond)
 		v.state.Take(v.now, cell.Tick{})
-		v.state.Take(v.now, cell.Confirmed{At: v.now})
+		v.state.Take(v.now, cell.LeadershipConfirmed{SentAt: v.now})
 		since := v.now.Sub(begin)
 		for _, e := range v.state.Decide(v.now, v.now) {
 			switch e := e.(type) {
-			case cell.SendLook:
-				looked := cell.Looked{Worker: e.To.ID, SentAt: v.now, Report: workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}}
+			case cell.SendPoll:
+				looked := cell.PollAnswered{Worker: e.To.ID, SentAt: v.now, Report: workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}}
 				switch {
 				case e.To.ID == "heard" && since < 3*time.Second:
 					looked.Report.Active = []workers.Active{third}
@@ -55,7 +55,7 @@
 			case cell.SendStart:
 				starts++
 			case cell.Note:
-				failed = failed || e.What == cell.NoteJobEnded
+				failed = failed || e.Kind == cell.NoteJobEnded
 			}
 		}
 	}
@@ -83,24 +83,24 @@
 			t.Parallel()
 			now := time.Unix(1000, 0)
 			s := cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-			s.Take(now, cell.ManifestChanged{Manifest: theManifest})
+			s.Take(now, cell.ManifestChanged{Manifest: testManifest})
 			s.Take(now, cell.WorkersListed{Records: []workers.Record{
 				{ID: "w", Service: "quotes", Address: "x", Hall: "hall", Ready: true, Leaving: true, Remaining: 10 * time.Second, Host: "h", Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000}},
 			}})
-			s.Take(now, cell.Led{Epoch: 2, Predecessors: map[string]time.Time{"before/1": now.Add(15 * time.Second)}})
+			s.Take(now, cell.LeadershipGained{Epoch: 2, Predecessors: map[string]time.Time{"before/1": now.Add(15 * time.Second)}})
 			s.Take(now, cell.Loaded{
-				Epoch: 2, Wall: now, Fences: someFences(), Roster: []*wire.RosterEntry{{Id: "w", Address: "x"}, {Id: "dark", Address: "y"}},
+				Epoch: 2, Wall: now, Fences: testFences(), Members: []*wire.RosterEntry{{Id: "w", Address: "x"}, {Id: "dark", Address: "y"}},
 				Jobs: []cell.LoadedJob{{Spec: &wire.JobSpec{Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000, EstimateMs: 500, Lasting: lasting}}}}},
 			})
 			begin := now
 			for now.Sub(begin) < time.Second {
 				now = now.Add(20 * time.Millisecond)
 				s.Take(now, cell.Tick{})
-				s.Take(now, cell.Confirmed{At: now})
+				s.Take(now, cell.LeadershipConfirmed{SentAt: now})
 				for _, e := range s.Decide(now, now) {
 					switch e := e.(type) {
-					case cell.SendLook:
-						looked := cell.Looked{Worker: e.To.ID, SentAt: now, Report: workers.Report{Clock: now.Sub(time.Unix(900, 0)), Active: []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 50}}}}
+					case cell.SendPoll:
+						looked := cell.PollAnswered{Worker: e.To.ID, SentAt: now, Report: workers.Report{Clock: now.Sub(time.Unix(900, 0)), Active: []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 50}}}}
 						if e.To.ID != "w" {
 							looked.Err = fault.New(fault.Unknown, e.To.ID, "no answer", "")
 						}
@@ -120,10 +120,10 @@
 	before := newEmptyCell()
 	before.step(100 * time.Millisecond)
 	successor := newEmptyCell()
-	successor.lead(before, 0)
-	successor.state.Take(successor.now, cell.Led{Epoch: 3, RosterUntil: successor.now})
+	successor.takeOverFrom(before, 0)
+	successor.state.Take(successor.now, cell.LeadershipGained{Epoch: 3, LeasesEndAt: successor.now})
 	successor.state.Take(successor.now, cell.Loaded{
-		Epoch: 3, Wall: successor.now, StoreNow: 20 * time.Second, Fences: someFences(), Roster: before.state.Roster(),
+		Epoch: 3, Wall: successor.now, StoreNow: 20 * time.Second, Fences: testFences(), Members: before.state.Members(),
 		Jobs: []cell.LoadedJob{{Spec: &wire.JobSpec{
 			Id: "00000000000000ff", Queue: "watches", Service: "quotes", Cell: "hall",
 			Steps: []*wire.StepSpec{{Count: 1, Millicores: 6000, Lasting: true}},
@@ -131,11 +131,11 @@
 	})
 	successor.notes = nil
 	for range 10 {
-		successor.state.Take(successor.now, cell.OtherLoad{Load: roomAt("other").Load})
+		successor.state.Take(successor.now, cell.PeerLoad{Load: loadWithCapacity("other").Load})
 		successor.step(100 * time.Millisecond)
 	}
 	for _, n := range successor.notes {
-		must.NotEq(t, cell.NoteLent, n.What, must.Sprint(n.Detail))
+		must.NotEq(t, cell.NoteLent, n.Kind, must.Sprint(n.Detail))
 	}
 	must.MapContainsKey(t, successor.started, "00000000000000ff.0.0.0")
 }
@@ -152,15 +152,15 @@
 	must.MapLen(t, 16, b.started)
 	b.silent["w15"] = true
 	delete(b.reports, "w15")
-	b.list(15)
+	b.register(15)
 	b.notes = nil
 	begin := b.now
 	lent := time.Duration(0)
 	for range 120 {
-		b.state.Take(b.now, cell.OtherLoad{Load: roomAt("other").Load})
+		b.state.Take(b.now, cell.PeerLoad{Load: loadWithCapacity("other").Load})
 		b.step(100 * time.Millisecond)
 		for _, n := range b.notes {
-			if n.What == cell.NoteLent && lent == 0 {
+			if n.Kind == cell.NoteLent && lent == 0 {
 				lent = b.now.Sub(begin)
 			}
 		}
@@ -178,7 +178,7 @@
 		ID: "w", Born: 2, Service: "quotes", Address: "x", Hall: "hall", Ready: true, Leaving: true, Remaining: 5 * time.Second, Host: "h", Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
 	}}})
 	h.run(100*time.Millisecond, 2)
-	entry := h.state.Roster()[0]
+	entry := h.state.Members()[0]
 	must.Eq(t, 1, entry.GetBorn())
 	must.False(t, entry.GetLeaving())
 }
@@ -189,7 +189,7 @@
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	s := cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	s.Take(now, cell.ManifestChanged{Manifest: theManifest})
+	s.Take(now, cell.ManifestChanged{Manifest: testManifest})
 	var list []workers.Record
 	ids := []string{"w0", "w1", "w2"}
 	for _, id := range ids {
@@ -203,25 +203,25 @@
 			{Worker: "a", Run: 1, Host: "ha", Began: true, Company: 9, Lives: 1}, {Worker: "b", Run: 2, Host: "hb", Began: true, Company: 9, Lives: 1, AgeMs: 4000}, {Worker: "c", Run: 3, Host: "hc", Began: true, Company: 9, Lives: 1, AgeMs: 4000},
 		}})
 	}
-	s.Take(now, cell.Led{Epoch: 2, RosterUntil: now})
-	s.Take(now, cell.Loaded{Epoch: 2, Wall: now, Fences: someFences(), Jobs: []cell.LoadedJob{{Spec: spec, Progress: &wire.JobProgress{Id: spec.GetId(), Units: []*wire.UnitProgress{up}}, Recorded: 1}}})
-	s.Take(now, cell.RosterRecorded{IDs: ids})
+	s.Take(now, cell.LeadershipGained{Epoch: 2, LeasesEndAt: now})
+	s.Take(now, cell.Loaded{Epoch: 2, Wall: now, Fences: testFences(), Jobs: []cell.LoadedJob{{Spec: spec, Progress: &wire.JobProgress{Id: spec.GetId(), Units: []*wire.UnitProgress{up}}, Recorded: 1}}})
+	s.Take(now, cell.MembershipRecorded{IDs: ids})
 	active, ended := map[string][]workers.Active{}, map[string][]workers.End{}
 	number := int64(0)
 	play := func(span time.Duration) (most int) {
 		for until := now.Add(span); now.Before(until); {
 			now = now.Add(20 * time.Millisecond)
 			s.Take(now, cell.Tick{})
-			s.Take(now, cell.Confirmed{At: now})
+			s.Take(now, cell.LeadershipConfirmed{SentAt: now})
 			for _, e := range s.Decide(now, now) {
 				switch e := e.(type) {
-				case cell.SendLook:
-					s.Take(now, cell.Looked{Worker: e.To.ID, SentAt: now, Report: workers.Report{Clock: now.Sub(time.Unix(900, 0)), Active: active[e.To.ID], Ended: ended[e.To.ID]}})
+				case cell.SendPoll:
+					s.Take(now, cell.PollAnswered{Worker: e.To.ID, SentAt: now, Report: workers.Report{Clock: now.Sub(time.Unix(900, 0)), Active: active[e.To.ID], Ended: ended[e.To.ID]}})
 				case cell.SendStart:
 					active[e.To.ID] = append(active[e.To.ID], workers.Active{Task: e.Start.Task, Run: e.Start.Run, Percent: 100})
-					s.Take(now, cell.Started{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: now.Sub(time.Unix(900, 0))}})
-				case cell.Record:
-					s.Take(now, cell.RecordAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
+					s.Take(now, cell.StartAnswered{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: now.Sub(time.Unix(900, 0))}})
+				case cell.WriteProgress:
+					s.Take(now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
 				}
 			}
 			n := 0
--- a/pkg/process/cell/beliefs.go
+++ b/pkg/process/cell/beliefs.go
@@ -11,8 +11,8 @@
 // Interference estimates that leaders share. A new leader, or one whose cell has rarely run a pair of images
 // side by side, decides by the estimates of other leaders.
 
-// beliefsToTell encodes the estimates that this process has learned itself.
-func beliefsToTell(own interference.Beliefs) []*wire.ImageBelief {
+// encodeBeliefs encodes the estimates that this process has learned itself.
+func encodeBeliefs(own interference.Beliefs) []*wire.ImageBelief {
 	list := make([]*wire.ImageBelief, 0, len(own))
 	for _, image := range slices.Sorted(maps.Keys(own)) {
 		b := own[image]
@@ -26,8 +26,8 @@
 	return list
 }
 
-// beliefsOf decodes the estimates in the load message of another leader.
-func beliefsOf(l *wire.CellLoad) interference.Beliefs {
+// decodeBeliefs decodes the estimates in the load message of another leader.
+func decodeBeliefs(l *wire.CellLoad) interference.Beliefs {
 	decoded := interference.Beliefs{}
 	for _, encoded := range l.GetBeliefs() {
 		b := interference.ImageBelief{
--- a/pkg/process/cell/beliefs_test.go
+++ b/pkg/process/cell/beliefs_test.go
@@ -23,7 +23,7 @@
 	must.Len(t, 5, told.GetBeliefs(), must.Sprint("the serving images of the busy cell"))
 
 	next := cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	next.Take(b.now, cell.OtherLoad{Load: told})
-	next.Take(b.now, cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "hall"}})
+	next.Take(b.now, cell.PeerLoad{Load: told})
+	next.Take(b.now, cell.PeerLoad{Load: &wire.CellLoad{Leading: true, Cell: "hall"}})
 	must.SliceEmpty(t, next.Load(b.now, true).GetBeliefs())
 }
--- a/pkg/process/cell/busycell_test.go
+++ b/pkg/process/cell/busycell_test.go
@@ -15,45 +15,45 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// busyCell drives the State of a cell with 16 workers, and answers its calls.
-type busyCell struct {
+// testCell drives the State of a cell with 16 workers, and answers its calls.
+type testCell struct {
 	state *cell.State
 	now   time.Time
 	// clock is what the workers' clocks show.
 	clock time.Duration
 	// reports are what the workers answer to a poll, by id.
 	reports map[string]*workers.Report
-	looks   []cell.SendLook
+	looks   []cell.SendPoll
 	// version is the row version of the last transaction.
 	version int64
-	records []cell.Record
+	records []cell.WriteProgress
 	// started are the tasks that were ever started.
 	started map[string]bool
-	// at is the worker of each started task.
-	at    map[string]string
-	paces []cell.SendPace
-	stops []cell.SendStop
-	notes []cell.Note
-	words []cell.Tell
+	// workerOf is the worker of each started task.
+	workerOf      map[string]string
+	paces         []cell.SendPace
+	stops         []cell.SendStop
+	notes         []cell.Note
+	notifications []cell.NotifyLeader
 	// ends is the number of the last end of a run.
 	ends int64
-	// down says that the table does not answer.
-	down bool
+	// tableDown says that the table does not answer.
+	tableDown bool
 	// silent are the workers that do not answer polls.
 	silent map[string]bool
 }
 
-// theManifest has a queue of batch work (offers) and one of serving tasks (watches), both of a service whose
+// testManifest has a queue of batch work (offers) and one of serving tasks (watches), both of a service whose
 // workers refuse starts beyond their capacity.
-var theManifest = manifest.New(1, []manifest.Queue{
+var testManifest = manifest.New(1, []manifest.Queue{
 	{Name: "offers", Service: "quotes", Priority: 2, MaxAttempts: 3, Stretch: 2, Slack: time.Second},
 	{Name: "watches", Service: "quotes", MaxAttempts: 3, Stretch: 2, Slack: time.Second},
 }, []manifest.Service{{Name: "quotes", Guards: true}}, manifest.Limits{})
 
 // newEmptyCell returns a cell whose leader has loaded the table and polled the workers; nothing runs.
-func newEmptyCell() *busyCell {
-	b := &busyCell{
-		started: map[string]bool{}, at: map[string]string{}, silent: map[string]bool{},
+func newEmptyCell() *testCell {
+	b := &testCell{
+		started: map[string]bool{}, workerOf: map[string]string{}, silent: map[string]bool{},
 		state: cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute}), now: time.Unix(1000, 0),
 		reports: map[string]*workers.Report{},
 	}
@@ -67,17 +67,17 @@
 		}
 		b.reports[ids[i]] = &workers.Report{}
 	}
-	b.state.Take(b.now, cell.ManifestChanged{Manifest: theManifest})
+	b.state.Take(b.now, cell.ManifestChanged{Manifest: testManifest})
 	b.state.Take(b.now, cell.WorkersListed{Records: records})
-	b.state.Take(b.now, cell.Led{Epoch: 1, RosterUntil: b.now})
-	b.state.Take(b.now, cell.Loaded{Epoch: 1, Fences: someFences(), Wall: b.now})
-	b.state.Take(b.now, cell.RosterRecorded{IDs: ids})
+	b.state.Take(b.now, cell.LeadershipGained{Epoch: 1, LeasesEndAt: b.now})
+	b.state.Take(b.now, cell.Loaded{Epoch: 1, Fences: testFences(), Wall: b.now})
+	b.state.Take(b.now, cell.MembershipRecorded{IDs: ids})
 	b.step(0)
 	return b
 }
 
 // newBusyCell returns a cell whose workers are full of serving tasks and fillers, with more fillers waiting.
-func newBusyCell() *busyCell {
+func newBusyCell() *testCell {
 	b := newEmptyCell()
 	for i := range 16 {
 		b.accept(fmt.Sprintf("%016x", i), "watches", &wire.StepSpec{
@@ -94,24 +94,24 @@
 }
 
 // acceptFillers has the cell accept a job of eight fillers with number i.
-func (b *busyCell) acceptFillers(i int) {
+func (b *testCell) acceptFillers(i int) {
 	b.accept(fmt.Sprintf("%016x", i), "offers", &wire.StepSpec{
 		Count: 8, Millicores: 3500, MemoryMb: 6000, Filler: true, EstimateMs: 2700, Image: fmt.Sprintf("f%d", i%9), Checkpointing: true,
 	})
 }
 
 // accept has the cell accept a job with the given steps.
-func (b *busyCell) accept(id, queue string, steps ...*wire.StepSpec) {
-	b.state.Take(b.now, cell.Accepted{Spec: &wire.JobSpec{Id: id, Queue: queue, Service: "quotes", Cell: "hall", Steps: steps}})
+func (b *testCell) accept(id, queue string, steps ...*wire.StepSpec) {
+	b.state.Take(b.now, cell.JobAccepted{Spec: &wire.JobSpec{Id: id, Queue: queue, Service: "quotes", Cell: "hall", Steps: steps}})
 }
 
 // step advances the clocks by span, lets the State decide, and answers its calls.
-func (b *busyCell) step(span time.Duration) {
+func (b *testCell) step(span time.Duration) {
 	b.now = b.now.Add(span)
 	b.clock += span
 	b.state.Take(b.now, cell.Tick{})
-	if !b.down {
-		b.state.Take(b.now, cell.Confirmed{At: b.now})
+	if !b.tableDown {
+		b.state.Take(b.now, cell.LeadershipConfirmed{SentAt: b.now})
 	}
 	looks := b.looks
 	b.looks = nil
@@ -120,15 +120,15 @@
 	}
 	for _, e := range b.state.Decide(b.now, b.now) {
 		switch e := e.(type) {
-		case cell.SendLook:
+		case cell.SendPoll:
 			b.looks = append(b.looks, e)
 			b.answerLook(e)
 		case cell.SendStart:
 			b.started[e.Start.Task] = true
-			b.at[e.Start.Task] = e.To.ID
+			b.workerOf[e.Start.Task] = e.To.ID
 			r := b.reports[e.To.ID]
 			r.Active = append(r.Active, workers.Active{Task: e.Start.Task, Run: e.Start.Run, Percent: 1, Reading: 40})
-			b.state.Take(b.now, cell.Started{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: b.clock}, Bytes: e.Bytes})
+			b.state.Take(b.now, cell.StartAnswered{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: b.clock}, Bytes: e.Bytes})
 		case cell.SendPace:
 			b.paces = append(b.paces, e)
 			b.state.Take(b.now, cell.PaceAnswered{
@@ -136,25 +136,25 @@
 			})
 		case cell.SendStop:
 			b.stops = append(b.stops, e)
-		case cell.Tell:
-			b.words = append(b.words, e)
+		case cell.NotifyLeader:
+			b.notifications = append(b.notifications, e)
 		case cell.Note:
 			b.notes = append(b.notes, e)
-		case cell.Record:
+		case cell.WriteProgress:
 			b.records = append(b.records, e)
-			if b.down {
-				b.state.Take(b.now, cell.RecordAnswered{Part: e.Part, Serial: e.Serial, Err: fault.New(fault.Unknown, "table", "no answer", "")})
+			if b.tableDown {
+				b.state.Take(b.now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Err: fault.New(fault.Unknown, "table", "no answer", "")})
 				continue
 			}
 			b.version++
-			b.state.Take(b.now, cell.RecordAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: b.version}})
+			b.state.Take(b.now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: b.version}})
 		}
 	}
 }
 
 // answerLook answers a poll with the worker's report, or with an error if the worker is silent.
-func (b *busyCell) answerLook(l cell.SendLook) {
-	looked := cell.Looked{Worker: l.To.ID, SentAt: b.now}
+func (b *testCell) answerLook(l cell.SendPoll) {
+	looked := cell.PollAnswered{Worker: l.To.ID, SentAt: b.now}
 	if b.silent[l.To.ID] {
 		looked.Err = fault.New(fault.Unknown, l.To.ID, "no answer", "")
 	} else {
@@ -164,15 +164,15 @@
 }
 
 // report returns a worker's report as of now.
-func (b *busyCell) report(id string) workers.Report {
+func (b *testCell) report(id string) workers.Report {
 	r := *b.reports[id]
 	r.Clock = b.clock
 	return r
 }
 
 // finish ends the run of a task; its worker lists the end from then on.
-func (b *busyCell) finish(task string, how workers.How) {
-	r := b.reports[b.at[task]]
+func (b *testCell) finish(task string, how workers.How) {
+	r := b.reports[b.workerOf[task]]
 	for i, a := range r.Active {
 		if a.Task == task {
 			b.ends++
@@ -183,8 +183,8 @@
 	}
 }
 
-// removed reports whether a transaction has ever removed a row.
-func (b *busyCell) removed(key table.Key) bool {
+// rowRemoved reports whether a transaction has ever removed a row.
+func (b *testCell) rowRemoved(key table.Key) bool {
 	for _, r := range b.records {
 		if slices.Contains(r.Transaction.Removes, key) {
 			return true
@@ -193,8 +193,8 @@
 	return false
 }
 
-// someFences returns versions of the fence rows of all parts.
-func someFences() map[string]int64 {
+// testFences returns versions of the fence rows of all parts.
+func testFences() map[string]int64 {
 	fences := map[string]int64{}
 	for i := range rows.JobParts {
 		fences[rows.PartName(i)] = 1
--- a/pkg/process/cell/cancel_test.go
+++ b/pkg/process/cell/cancel_test.go
@@ -18,11 +18,11 @@
 func rowsRemovedOnLoad(job cell.LoadedJob) []table.Key {
 	now := time.Unix(1000, 0)
 	s := cell.New("hall", cell.Bounds{Retention: time.Minute}, cell.WithPeers([]string{"hall", "lent", "never"}))
-	s.Take(now, cell.Led{Epoch: 1, RosterUntil: now})
-	s.Take(now, cell.Loaded{Epoch: 1, Fences: someFences(), Wall: now, Jobs: []cell.LoadedJob{job}, Cancels: []string{job.Spec.GetId()}})
+	s.Take(now, cell.LeadershipGained{Epoch: 1, LeasesEndAt: now})
+	s.Take(now, cell.Loaded{Epoch: 1, Fences: testFences(), Wall: now, Jobs: []cell.LoadedJob{job}, Cancels: []string{job.Spec.GetId()}})
 	var list []table.Key
 	for _, e := range s.Decide(now, now) {
-		if r, ok := e.(cell.Record); ok {
+		if r, ok := e.(cell.WriteProgress); ok {
 			list = append(list, r.Transaction.Removes...)
 		}
 	}
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -26,10 +26,10 @@
 	silenceMemory = 10 * time.Second
 	// maxLoggedRuns bounds the runs listed in one log line.
 	maxLoggedRuns = 6
-	// failuresSilent is how many polls of a worker have to fail in a row before its silence becomes
+	// silentAfterFailures is how many polls of a worker have to fail in a row before its silence becomes
 	// evidence: a single failure may be a broken connection, and evidence costs one record of each job
 	// that runs there.
-	failuresSilent = 2
+	silentAfterFailures = 2
 	// brokenConnectionSlack is how much longer than the wait of a poll it may take to notice a broken connection:
 	// a silence noticed later showed by a timeout. It is shorter than lookSlack.
 	brokenConnectionSlack = 60 * time.Millisecond
@@ -57,25 +57,25 @@
 	at, since time.Time
 }
 
-// fall is the interval in which a worker went silent or began a new incarnation: after its last answer
+// silence is the interval in which a worker went silent or began a new incarnation: after its last answer
 // and before the leader noticed. isolated says that an isolated run was there.
-type fall struct {
+type silence struct {
 	worker        string
 	after, before time.Time
 	isolated      bool
 }
 
-// fell records that a worker went silent, noticed at a given time.
-func (s *State) fell(now time.Time, w *workers.Worker, at time.Time) {
-	s.falls = slices.DeleteFunc(s.falls, func(f fall) bool { return now.Sub(f.before) >= silenceMemory })
-	s.falls = append(s.falls, fall{w.ID, w.AnsweredAt, at, slices.ContainsFunc(w.Runs, func(r *jobs.Run) bool { return r.OnTrial })})
+// addSilence records that a worker went silent, noticed at a given time.
+func (s *State) addSilence(now time.Time, w *workers.Worker, at time.Time) {
+	s.silences = slices.DeleteFunc(s.silences, func(f silence) bool { return now.Sub(f.before) >= silenceMemory })
+	s.silences = append(s.silences, silence{w.ID, w.LastAnswerAt, at, slices.ContainsFunc(w.Runs, func(r *jobs.Run) bool { return r.Isolated })})
 }
 
 // simultaneousSilences returns how many workers, w included, may have gone silent at the same time as w, and on how
 // many of the others an isolated run was in progress.
 func (s *State) simultaneousSilences(w *workers.Worker, at time.Time) (all, isolated int) {
-	for _, f := range s.falls {
-		if !f.after.Before(at.Add(simultaneousWindow)) || !f.before.After(w.AnsweredAt.Add(-simultaneousWindow)) {
+	for _, f := range s.silences {
+		if !f.after.Before(at.Add(simultaneousWindow)) || !f.before.After(w.LastAnswerAt.Add(-simultaneousWindow)) {
 			continue
 		}
 		all++
@@ -86,15 +86,15 @@
 	return max(1, all), min(isolated, max(0, all-1))
 }
 
-// crashed handles the end of a worker incarnation that was not caused by a stop or a leave.
-func (s *State) crashed(now time.Time, w *workers.Worker) {
-	s.resolveSilent(now, true, func(r silentRun) bool { return r.worker == w.ID && r.born == w.Born })
+// workerCrashed handles the end of a worker incarnation that was not caused by a stop or a leave.
+func (s *State) workerCrashed(now time.Time, w *workers.Worker) {
+	s.resolveSilentRuns(now, true, func(r silentRun) bool { return r.worker == w.ID && r.born == w.Born })
 	at := w.EndedAt(now)
 	if w.SilentSince.IsZero() {
-		s.fell(now, w, at)
+		s.addSilence(now, w, at)
 	}
 	s.addCrashEvidence(now, w, at, false)
-	s.keepLife(w, w.Born)
+	s.retainMember(w, w.Born)
 }
 
 // hostCrash is a crash of a host and the tasks that ran there.
@@ -138,23 +138,23 @@
 	return n
 }
 
-// fellSilent handles a worker that failed failuresSilent polls in a row. Evidence that follows from it is
+// workerSilent handles a worker that failed failuresSilent polls in a row. Evidence that follows from it is
 // recorded at once: if this leader dies before it learns whether the worker crashed, a successor goes on
 // from the record.
-func (s *State) fellSilent(now time.Time, w *workers.Worker) {
+func (s *State) workerSilent(now time.Time, w *workers.Worker) {
 	s.addCrashEvidence(now, w, w.SilentSince, true)
 }
 
 // addCrashEvidence adds evidence against the tasks that ran at a worker that crashed, or only went silent, at a given
 // time. A worker that left gives none.
 func (s *State) addCrashEvidence(now time.Time, w *workers.Worker, at time.Time, silent bool) {
-	if s.phase == following || len(w.Runs) == 0 || w.Left() {
+	if s.phase == following || len(w.Runs) == 0 || w.LeftOrderly() {
 		return
 	}
 	lives, isolated := s.simultaneousSilences(w, at)
-	ended := blame.Life{Worker: w.ID, Host: w.Host, Born: w.Born, Silent: silent, Dark: foundByTimeout(w), Lives: lives, Tried: isolated, Workers: len(s.workers), At: s.wall.Add(-now.Sub(at))}
+	ended := blame.EndedIncarnation{Worker: w.ID, Host: w.Host, Born: w.Born, Silent: silent, TimedOut: foundByTimeout(w), Lives: lives, OthersIsolated: isolated, Workers: len(s.workers), At: s.wall.Add(-now.Sub(at))}
 	for _, r := range w.Runs {
-		ended.Runs = append(ended.Runs, blame.Seen{Run: r.Number, Began: !r.BeganAt.IsZero(), Age: minRunAge(w, r), HostFails: s.hostCrashedWithout(now, w, r.Task), Elsewhere: s.crashesWithout(now, r.Task), Gang: gangOf(r), Trial: r.OnTrial})
+		ended.Runs = append(ended.Runs, blame.EndedRun{Run: r.Number, Began: !r.BeganAt.IsZero(), Age: minRunAge(w, r), HostCrashedWithout: s.hostCrashedWithout(now, w, r.Task), CrashesWithout: s.crashesWithout(now, r.Task), Gang: gangOf(r), Isolated: r.Isolated})
 	}
 	if !silent {
 		s.addHostCrash(now, w)
@@ -163,9 +163,9 @@
 	if s.unsafe.NoBlame {
 		return
 	}
-	for i, c := range ended.Accuse() {
+	for i, c := range ended.Evidence() {
 		if c != nil {
-			s.hold(now, w.Runs[i].Task, *c)
+			s.addEvidence(now, w.Runs[i].Task, *c)
 		}
 	}
 }
@@ -181,53 +181,53 @@
 // foundByTimeout reports whether the end of a worker's incarnation showed only by a timeout, or by the answer
 // of the next incarnation. A broken connection would have shown it at once while a poll waits.
 func foundByTimeout(w *workers.Worker) bool {
-	return w.SilentSince.IsZero() || w.SilentSince.Sub(w.AnsweredAt) > idleWait+brokenConnectionSlack
+	return w.SilentSince.IsZero() || w.SilentSince.Sub(w.LastAnswerAt) > idlePollWait+brokenConnectionSlack
 }
 
-// hold adds a crash to the evidence against a task and acts on it.
-func (s *State) hold(now time.Time, t *jobs.Task, c blame.Crash) {
-	if t.Done || t.Unit.Job.Ended() || !t.Accuse(c) {
+// addEvidence adds a crash to the evidence against a task and acts on it.
+func (s *State) addEvidence(now time.Time, t *jobs.Task, c blame.Crash) {
+	if t.Done || t.Unit.Job.Ended() || !t.AddCrash(c) {
 		return
 	}
-	s.remember(t)
+	s.trackImplicated(t)
 	s.trackSilentRun(now, now, t, c)
-	s.suspected(now, t, c)
+	s.evidenceChanged(now, t, c)
 }
 
-// trialNowhere adds evidence against a task of which a predecessor recorded an isolated run that no worker
+// isolatedRunLost adds evidence against a task of which a predecessor recorded an isolated run that no worker
 // lists: the run may have crashed its worker. It reports whether it added any.
-func (s *State) trialNowhere(now time.Time, t *jobs.Task) bool {
-	if t.LentTo != "" || !t.TrialNowhere(s.wall) {
+func (s *State) isolatedRunLost(now time.Time, t *jobs.Task) bool {
+	if t.DelegatedTo != "" || !t.IsolatedRunLost(s.wall) {
 		return false
 	}
-	s.remember(t)
-	s.suspected(now, t, t.Crashes[len(t.Crashes)-1])
+	s.trackImplicated(t)
+	s.evidenceChanged(now, t, t.Crashes[len(t.Crashes)-1])
 	return true
 }
 
-// remember adds a task to the implicated tasks, those with evidence against them.
-func (s *State) remember(t *jobs.Task) {
-	if !slices.Contains(s.accused, t) {
-		s.accused = append(s.accused, t)
+// trackImplicated adds a task to the implicated tasks, those with evidence against them.
+func (s *State) trackImplicated(t *jobs.Task) {
+	if !slices.Contains(s.implicated, t) {
+		s.implicated = append(s.implicated, t)
 	}
 }
 
-// suspected acts on new evidence against a task: it has the evidence recorded, logs the suspicion, and fails
+// evidenceChanged acts on new evidence against a task: it has the evidence recorded, logs the suspicion, and fails
 // the job of a poisonous task.
-func (s *State) suspected(now time.Time, t *jobs.Task, c blame.Crash) {
+func (s *State) evidenceChanged(now time.Time, t *jobs.Task, c blame.Crash) {
 	j := t.Unit.Job
 	level := t.Level()
-	if level == blame.Suspect {
-		t.Trial = jobs.TrialWanted // recorded along with the evidence, so that the next start waits for no record of its own
+	if level == blame.Suspected {
+		t.Isolation = jobs.IsolationWanted // recorded along with the evidence, so that the next start waits for no record of its own
 	}
 	s.markDirty(j, true)
-	if level >= blame.Suspect {
+	if level >= blame.Suspected {
 		s.note(Note{
-			What: NoteSuspected, Job: j.Spec.GetId(), Task: t.Name(), Run: c.Run, Worker: c.Worker, AgeMs: -1,
+			Kind: NoteSuspected, Job: j.Spec.GetId(), Task: t.Name(), Run: c.Run, Worker: c.Worker, AgeMs: -1,
 			Detail: fmt.Sprintf("%s after %d crashes; last run age %s, company of %d runs, worker only silent: %v, external cause likely: %v", level, len(t.Crashes), c.Age.Round(time.Millisecond), c.Company, c.Silent, c.Outside),
 		})
 	}
-	if level == blame.Guilty {
+	if level == blame.Poisonous {
 		s.endJob(now, j, wire.JobPhase_JOB_PHASE_FAILED, poisonousReason(t))
 	}
 }
@@ -241,11 +241,11 @@
 	return fmt.Sprintf("%s crashed %d workers that ran it: %s", t.Name(), len(ids), strings.Join(ids, ", "))
 }
 
-// resolveSilent updates the evidence for selected silent runs, as it is now known whether their workers
+// resolveSilentRuns updates the evidence for selected silent runs, as it is now known whether their workers
 // crashed: it is confirmed if they did, and withdrawn if they did not.
-func (s *State) resolveSilent(now time.Time, crashed bool, match func(silentRun) bool) {
+func (s *State) resolveSilentRuns(now time.Time, crashed bool, match func(silentRun) bool) {
 	var resolved []silentRun
-	s.silent = slices.DeleteFunc(s.silent, func(r silentRun) bool {
+	s.silentRuns = slices.DeleteFunc(s.silentRuns, func(r silentRun) bool {
 		if match(r) {
 			resolved = append(resolved, r)
 			return true
@@ -259,7 +259,7 @@
 		}
 		s.forwardEvidence(t)
 		if crashed {
-			s.suspected(now, t, t.Crashes[len(t.Crashes)-1])
+			s.evidenceChanged(now, t, t.Crashes[len(t.Crashes)-1])
 		} else {
 			s.markDirty(t.Unit.Job, false)
 		}
@@ -268,29 +268,29 @@
 
 // forwardEvidence sends the present evidence against a delegated task to the cell that runs it.
 func (s *State) forwardEvidence(t *jobs.Task) {
-	if j := t.Unit.Job; t.LentTo != "" && !j.Guest() {
-		s.lent[j] = append(s.lent[j], j.Lend(t.LentTo))
+	if j := t.Unit.Job; t.DelegatedTo != "" && !j.Delegated() {
+		s.pendingDelegations[j] = append(s.pendingDelegations[j], j.Delegate(t.DelegatedTo))
 	}
 }
 
-// learnOfCrashes confirms the evidence of silent workers that have crashed, as the home cell of a delegated job
+// mergeHomeEvidence confirms the evidence of silent workers that have crashed, as the home cell of a delegated job
 // reports in a later specification.
-func (s *State) learnOfCrashes(now time.Time, j *jobs.Job, spec *wire.JobSpec) {
+func (s *State) mergeHomeEvidence(now time.Time, j *jobs.Job, spec *wire.JobSpec) {
 	if j.Ended() {
 		return
 	}
-	for _, t := range j.LearnOfCrashes(spec) {
-		s.silent = slices.DeleteFunc(s.silent, func(r silentRun) bool { return r.task == t && !t.SilentAt(r.worker, r.run) })
-		s.suspected(now, t, t.Crashes[len(t.Crashes)-1])
+	for _, t := range j.MergeHomeEvidence(spec) {
+		s.silentRuns = slices.DeleteFunc(s.silentRuns, func(r silentRun) bool { return r.task == t && !t.SilentAt(r.worker, r.run) })
+		s.evidenceChanged(now, t, t.Crashes[len(t.Crashes)-1])
 	}
 }
 
-// recall restores from a job's record the evidence against its tasks, and the silent runs in it.
-func (s *State) recall(now time.Time, j *jobs.Job) {
+// restoreEvidence restores from a job's record the evidence against its tasks, and the silent runs in it.
+func (s *State) restoreEvidence(now time.Time, j *jobs.Job) {
 	for _, u := range j.Units {
 		for _, t := range u.Tasks {
 			for _, c := range t.Crashes {
-				s.remember(t)
+				s.trackImplicated(t)
 				s.trackSilentRun(now, awaitsOutcomeSince(now, t), t, c)
 			}
 		}
@@ -300,44 +300,44 @@
 // trackSilentRun tracks a run on a silent worker until it is known whether the worker crashed.
 func (s *State) trackSilentRun(now, since time.Time, t *jobs.Task, c blame.Crash) {
 	if c.Silent {
-		s.silent = append(s.silent, silentRun{task: t, run: c.Run, worker: c.Worker, host: c.Host, born: c.Born, at: now, since: since})
+		s.silentRuns = append(s.silentRuns, silentRun{task: t, run: c.Run, worker: c.Worker, host: c.Host, born: c.Born, at: now, since: since})
 	}
 }
 
 // awaitsOutcomeSince returns since when a task waits for the outcome of silent workers that another leader recorded:
 // since the end of its last run if that time is known, else since now.
 func awaitsOutcomeSince(now time.Time, t *jobs.Task) time.Time {
-	if t.WaitsSince.IsZero() {
+	if t.WaitingSince.IsZero() {
 		return now
 	}
-	return t.WaitsSince
+	return t.WaitingSince
 }
 
-// forgetSilent drops the silent runs that were tracked for silentRunMemory.
-func (s *State) forgetSilent(now time.Time) {
-	s.silent = slices.DeleteFunc(s.silent, func(r silentRun) bool { return now.Sub(r.at) >= silentRunMemory })
+// expireSilentRuns drops the silent runs that were tracked for silentRunMemory.
+func (s *State) expireSilentRuns(now time.Time) {
+	s.silentRuns = slices.DeleteFunc(s.silentRuns, func(r silentRun) bool { return now.Sub(r.at) >= silentRunMemory })
 }
 
-// awaitsWord reports whether a task still waits to learn if a silent worker that ran it crashed.
-func (s *State) awaitsWord(now time.Time, t *jobs.Task) bool {
+// awaitsCrashOutcome reports whether a task still waits to learn if a silent worker that ran it crashed.
+func (s *State) awaitsCrashOutcome(now time.Time, t *jobs.Task) bool {
 	maxWait := maxSilentWait
-	if t.Unit.Lasting() && !t.GuiltyIfSilentCrashed() {
+	if t.Unit.Lasting() && !t.PoisonousIfSilentCrashed() {
 		maxWait = maxSilentWaitLasting
 	}
-	return slices.ContainsFunc(s.silent, func(r silentRun) bool { return r.task == t && now.Sub(r.since) < maxWait })
+	return slices.ContainsFunc(s.silentRuns, func(r silentRun) bool { return r.task == t && now.Sub(r.since) < maxWait })
 }
 
-// clearSuspects exonerates each task with a run that has lasted far longer than any of its runs that
+// exonerateSuspects exonerates each task with a run that has lasted far longer than any of its runs that
 // ended with a worker.
-func (s *State) clearSuspects() {
-	s.accused = slices.DeleteFunc(s.accused, func(t *jobs.Task) bool { return len(t.Crashes) == 0 || t.Done || t.Unit.Job.Ended() })
-	for _, t := range s.accused {
+func (s *State) exonerateSuspects() {
+	s.implicated = slices.DeleteFunc(s.implicated, func(t *jobs.Task) bool { return len(t.Crashes) == 0 || t.Done || t.Unit.Job.Ended() })
+	for _, t := range s.implicated {
 		for _, r := range t.Runs {
 			w := s.workers[r.Worker]
 			if w == nil || w.Gone || !w.SilentSince.IsZero() || r.State != jobs.Running {
 				continue
 			}
-			if blame.Outlived(t.Crashes, minRunAge(w, r)) {
+			if blame.Exonerates(t.Crashes, minRunAge(w, r)) {
 				s.exonerate(w, r)
 			}
 		}
@@ -347,8 +347,8 @@
 // endedWithoutCrash handles a run that ended while its worker lives on. It exonerates the task if the run
 // had lasted for long enough.
 func (s *State) endedWithoutCrash(w *workers.Worker, t *jobs.Task, r *jobs.Run) {
-	t.Trial = jobs.NoTrial // an isolated run has ended as well
-	if r != nil && !r.BeganAt.IsZero() && len(t.Crashes) > 0 && blame.EndedWell(t.Crashes, minRunAge(w, r)) {
+	t.Isolation = jobs.NoIsolation // an isolated run has ended as well
+	if r != nil && !r.BeganAt.IsZero() && len(t.Crashes) > 0 && blame.EndExonerates(t.Crashes, minRunAge(w, r)) {
 		s.exonerate(w, r)
 	}
 }
@@ -357,17 +357,17 @@
 func (s *State) exonerate(w *workers.Worker, r *jobs.Run) {
 	t := r.Task
 	if t.Suspected() {
-		s.note(Note{What: NoteCleared, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: w.ID, AgeMs: -1, Detail: fmt.Sprintf("exonerated: ran for %s after %d crashes", minRunAge(w, r).Round(time.Millisecond), len(t.Crashes))})
+		s.note(Note{Kind: NoteCleared, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: w.ID, AgeMs: -1, Detail: fmt.Sprintf("exonerated: ran for %s after %d crashes", minRunAge(w, r).Round(time.Millisecond), len(t.Crashes))})
 	}
-	t.Clear()
-	r.OnTrial = false
+	t.Exonerate()
+	r.Isolated = false
 	s.markDirty(t.Unit.Job, false)
-	s.placeNow = true
+	s.placementDue = true
 }
 
 // noteCrash logs the end or silence of an incarnation: its runs with their ages, and how many workers went
 // silent at the same time.
-func (s *State) noteCrash(now time.Time, w *workers.Worker, at time.Time, ended blame.Life) {
+func (s *State) noteCrash(now time.Time, w *workers.Worker, at time.Time, ended blame.EndedIncarnation) {
 	var runs []string
 	for _, r := range w.Runs {
 		if len(runs) == maxLoggedRuns {
@@ -377,7 +377,7 @@
 		runs = append(runs, fmt.Sprintf("%s run %d for %s", r.Task.Name(), r.Number, minRunAge(w, r).Round(time.Millisecond)))
 	}
 	s.note(Note{
-		What: NoteWorkerCrashed, Worker: w.ID, AgeMs: now.Sub(at).Milliseconds(),
+		Kind: NoteWorkerCrashed, Worker: w.ID, AgeMs: now.Sub(at).Milliseconds(),
 		Detail: fmt.Sprintf("only silent: %v; %d of %d workers went silent at the same time; runs: %s", ended.Silent, ended.Lives, ended.Workers, strings.Join(runs, ", ")),
 	})
 }
@@ -388,5 +388,5 @@
 	if r.BeganAt.IsZero() {
 		return 0
 	}
-	return max(0, w.AnsweredAt.Sub(r.BeganAt))
+	return max(0, w.LastAnswerAt.Sub(r.BeganAt))
 }
--- a/pkg/process/cell/crashes_test.go
+++ b/pkg/process/cell/crashes_test.go
@@ -19,7 +19,7 @@
 	t.Parallel()
 	f := newCrashFleet()
 	poisonous := f.accept(1, oneTask())
-	f.guilty[poisonous+".0.0.0"] = 10 * time.Millisecond
+	f.crashAfter[poisonous+".0.0.0"] = 10 * time.Millisecond
 	var others []string
 	for i := range 60 {
 		others = append(others, f.accept(100+i, oneTask()))
@@ -42,7 +42,7 @@
 	}
 	poisonous := []string{f.accept(1, oneTask()), f.accept(2, oneTask())}
 	for _, id := range poisonous {
-		f.guilty[id+".0.0.0"] = 10 * time.Millisecond
+		f.crashAfter[id+".0.0.0"] = 10 * time.Millisecond
 	}
 	f.run(60 * time.Second)
 	for _, id := range poisonous {
@@ -60,7 +60,7 @@
 	f := newCrashFleet()
 	poisonous := f.accept(1, oneTask())
 	task := poisonous + ".0.0.0"
-	f.guilty[task] = 10 * time.Millisecond
+	f.crashAfter[task] = 10 * time.Millisecond
 	for range 8 {
 		before := len(f.starts[task])
 		for range 600 {
@@ -70,7 +70,7 @@
 			}
 		}
 		f.run(400 * time.Millisecond)
-		f.lead()
+		f.newLeader()
 	}
 	f.run(20 * time.Second)
 	must.LessEq(t, 5, len(f.starts[task]))
@@ -84,7 +84,7 @@
 	f := newCrashFleet()
 	poisonous := f.accept(1, oneTask())
 	task := poisonous + ".0.0.0"
-	f.guilty[task] = 10 * time.Millisecond
+	f.crashAfter[task] = 10 * time.Millisecond
 	for range 2000 {
 		f.run(crashStep)
 		if len(f.starts[task]) == 3 {
@@ -92,7 +92,7 @@
 		}
 	}
 	must.Eq(t, 3, len(f.starts[task]))
-	f.lead()
+	f.newLeader()
 	f.run(20 * time.Second)
 	must.LessEq(t, 4, len(f.starts[task]))
 	must.StrContains(t, f.failedJobs[poisonous], "workers that ran it")
@@ -110,8 +110,8 @@
 	for range 6 {
 		f.run(2 * time.Second)
 		for _, w := range f.sorted() {
-			if !w.gone {
-				f.end(w, time.Second)
+			if !w.down {
+				f.crashWorker(w, time.Second)
 			}
 		}
 	}
@@ -126,14 +126,14 @@
 	f := newCrashFleet()
 	lasting := f.accept(1, &wire.StepSpec{Count: 1, Millicores: 1000, Lasting: true, EstimateMs: 500})
 	task := lasting + ".0.0.0"
-	f.guilty[task] = time.Hour // crashes nothing within the test, and does not end by itself
+	f.crashAfter[task] = time.Hour // crashes nothing within the test, and does not end by itself
 	for range 6 {
 		before := len(f.starts[task])
 		f.run(12 * time.Second)
 		must.Greater(t, before, len(f.starts[task])+1)
 		for _, w := range f.sorted() {
 			if _, runs := w.runs[task]; runs {
-				f.end(w, time.Second)
+				f.crashWorker(w, time.Second)
 			}
 		}
 	}
@@ -146,7 +146,7 @@
 	t.Parallel()
 	f := newCrashFleet()
 	id := f.accept(1, oneTask())
-	f.guilty[id+".0.0.0"] = 10 * time.Millisecond
+	f.crashAfter[id+".0.0.0"] = 10 * time.Millisecond
 	f.run(5 * time.Second)
 	suspects := f.state.Suspects()
 	must.SliceLen(t, 1, suspects)
@@ -154,7 +154,7 @@
 	must.Positive(t, f.state.Counts(f.now).Suspects)
 	f.state.Take(f.now, cell.ClearSuspicion{Task: id + ".0.0.0"})
 	must.SliceEmpty(t, f.state.Suspects())
-	delete(f.guilty, id+".0.0.0")
+	delete(f.crashAfter, id+".0.0.0")
 	f.run(6 * time.Second)
 	must.Eq(t, 1, f.countCompleted([]string{id}))
 }
@@ -168,14 +168,14 @@
 	for _, id := range []string{"w3", "w4", "w5"} {
 		delete(f.workers, id)
 	}
-	f.lead()
+	f.newLeader()
 	f.run(time.Second)
 	ids := []string{f.accept(1, oneTask()), f.accept(2, oneTask())}
 	for _, id := range ids {
-		f.guilty[id+".0.0.0"] = 20 * time.Millisecond
+		f.crashAfter[id+".0.0.0"] = 20 * time.Millisecond
 	}
 	f.run(40 * time.Millisecond)
-	f.lead() // before the first crash is noticed
+	f.newLeader() // before the first crash is noticed
 	for range 400 {
 		f.run(10 * time.Millisecond)
 		if len(f.starts[ids[0]+".0.0.0"]) == 3 {
@@ -183,8 +183,8 @@
 		}
 	}
 	for _, w := range f.sorted() { // the other workers crash at the same time as the one with the third start
-		if _, runs := w.runs[ids[0]+".0.0.0"]; !runs && !w.gone {
-			f.end(w, time.Second)
+		if _, runs := w.runs[ids[0]+".0.0.0"]; !runs && !w.down {
+			f.crashWorker(w, time.Second)
 		}
 	}
 	f.run(80 * time.Second)
@@ -204,10 +204,10 @@
 		return &wire.CrashNote{Worker: worker, Run: 1, Host: worker, Began: true, Lives: 3, Outside: true}
 	}
 	f.rows[id] = &wire.JobProgress{Id: id, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{Crashes: []*wire.CrashNote{outside("a"), outside("b"), outside("c")}}}}}}
-	f.lead()
+	f.newLeader()
 	for i := range 4 {
-		f.end(f.workers["w"+strconv.Itoa(i)], restartDelay)
-		f.end(f.workers["w"+strconv.Itoa((i+1)%4)], restartDelay)
+		f.crashWorker(f.workers["w"+strconv.Itoa(i)], restartDelay)
+		f.crashWorker(f.workers["w"+strconv.Itoa((i+1)%4)], restartDelay)
 		f.run(2 * time.Second)
 	}
 	must.MapEmpty(t, f.starts)
--- a/pkg/process/cell/crashfleet_test.go
+++ b/pkg/process/cell/crashfleet_test.go
@@ -20,11 +20,11 @@
 type crashFleet struct {
 	state   *cell.State
 	now     time.Time
-	workers map[string]*crashWorker
-	// guilty is, by task, the time from its start to the crash of its worker.
-	guilty     map[string]time.Duration
+	workers map[string]*fleetWorker
+	// crashAfter is, by task, the time from its start to the crash of its worker.
+	crashAfter map[string]time.Duration
 	starts     map[string][]string // the worker of each start, by task
-	crash      map[string]int      // number of crashes, by worker
+	crashCount map[string]int      // number of crashes, by worker
 	failedJobs map[string]string   // log text of the end of each failed job
 	// rows is the progress of each job that the table holds.
 	rows      map[string]*wire.JobProgress
@@ -32,11 +32,11 @@
 	version   int64
 	epoch     int64
 	tableDown bool // the table answers with errors
-	// lostPart is the part of the table whose transactions are lost without an answer.
-	lostPart string
+	// unansweredPart is the part of the table whose transactions are lost without an answer.
+	unansweredPart string
 }
 
-type crashWorker struct {
+type fleetWorker struct {
 	id          string
 	born        int64
 	upAt        time.Time
@@ -44,7 +44,7 @@
 	unreadEnds  []workers.End
 	lastEnd     int64
 	clockOffset time.Duration
-	gone        bool // down after a crash, until upAt
+	down        bool // down after a crash, until upAt
 }
 
 type crashRun struct {
@@ -64,23 +64,23 @@
 
 func newCrashFleet() *crashFleet {
 	f := &crashFleet{
-		now: time.Unix(1000, 0), workers: map[string]*crashWorker{}, guilty: map[string]time.Duration{}, starts: map[string][]string{},
-		crash: map[string]int{}, failedJobs: map[string]string{}, rows: map[string]*wire.JobProgress{},
+		now: time.Unix(1000, 0), workers: map[string]*fleetWorker{}, crashAfter: map[string]time.Duration{}, starts: map[string][]string{},
+		crashCount: map[string]int{}, failedJobs: map[string]string{}, rows: map[string]*wire.JobProgress{},
 	}
 	for i := range 6 {
 		id := fmt.Sprintf("w%d", i)
-		f.workers[id] = &crashWorker{id: id, born: 1, runs: map[string]crashRun{}, clockOffset: time.Hour}
+		f.workers[id] = &fleetWorker{id: id, born: 1, runs: map[string]crashRun{}, clockOffset: time.Hour}
 	}
-	f.lead()
+	f.newLeader()
 	f.run(time.Second)
 	return f
 }
 
-// lead makes a new process the leader, which knows only what the table holds.
-func (f *crashFleet) lead() {
+// newLeader makes a new process the leader, which knows only what the table holds.
+func (f *crashFleet) newLeader() {
 	f.epoch++
 	f.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	f.state.Take(f.now, cell.ManifestChanged{Manifest: theManifest})
+	f.state.Take(f.now, cell.ManifestChanged{Manifest: testManifest})
 	f.listWorkers()
 	var roster []*wire.RosterEntry
 	var ids []string
@@ -88,21 +88,21 @@
 		roster = append(roster, &wire.RosterEntry{Id: w.id, Address: w.id, Host: w.id, Service: "quotes", Born: w.born})
 		ids = append(ids, w.id)
 	}
-	loaded := cell.Loaded{Epoch: f.epoch, Fences: someFences(), Wall: f.now, Roster: roster}
+	loaded := cell.Loaded{Epoch: f.epoch, Fences: testFences(), Wall: f.now, Members: roster}
 	for _, spec := range f.specs {
 		loaded.Jobs = append(loaded.Jobs, cell.LoadedJob{Spec: spec, Progress: f.rows[spec.GetId()], Recorded: f.version})
 	}
-	f.state.Take(f.now, cell.Led{Epoch: f.epoch, RosterUntil: f.now.Add(5 * time.Second)})
+	f.state.Take(f.now, cell.LeadershipGained{Epoch: f.epoch, LeasesEndAt: f.now.Add(5 * time.Second)})
 	f.state.Take(f.now, loaded)
-	f.state.Take(f.now, cell.RosterRecorded{IDs: ids})
+	f.state.Take(f.now, cell.MembershipRecorded{IDs: ids})
 }
 
-func (f *crashFleet) sorted() []*crashWorker {
-	var list []*crashWorker
+func (f *crashFleet) sorted() []*fleetWorker {
+	var list []*fleetWorker
 	for _, w := range f.workers {
 		list = append(list, w)
 	}
-	slices.SortFunc(list, func(a, b *crashWorker) int { return strings.Compare(a.id, b.id) })
+	slices.SortFunc(list, func(a, b *fleetWorker) int { return strings.Compare(a.id, b.id) })
 	return list
 }
 
@@ -121,7 +121,7 @@
 func (f *crashFleet) accept(i int, step *wire.StepSpec) string {
 	spec := &wire.JobSpec{Id: fmt.Sprintf("%016x", i), Queue: "offers", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{step}}
 	f.specs = append(f.specs, spec)
-	f.state.Take(f.now, cell.Accepted{Spec: spec})
+	f.state.Take(f.now, cell.JobAccepted{Spec: spec})
 	return spec.GetId()
 }
 
@@ -136,7 +136,7 @@
 		}
 		f.state.Take(f.now, cell.Tick{})
 		if !f.tableDown {
-			f.state.Take(f.now, cell.Confirmed{At: f.now})
+			f.state.Take(f.now, cell.LeadershipConfirmed{SentAt: f.now})
 		}
 		for _, e := range f.state.Decide(f.now, f.now) {
 			f.answer(e)
@@ -145,17 +145,17 @@
 }
 
 // stepWorker completes a worker's runs, crashes the worker when a run is due to, and restarts it after its time down.
-func (f *crashFleet) stepWorker(w *crashWorker) {
-	if w.gone {
+func (f *crashFleet) stepWorker(w *fleetWorker) {
+	if w.down {
 		if !f.now.Before(w.upAt) {
-			w.gone, w.born, w.lastEnd, w.clockOffset, w.unreadEnds = false, w.born+1, 0, 0, nil
+			w.down, w.born, w.lastEnd, w.clockOffset, w.unreadEnds = false, w.born+1, 0, 0, nil
 			f.listWorkers()
 		}
 		return
 	}
 	for task, r := range w.runs {
 		if !r.crashesAt.IsZero() && !f.now.Before(r.crashesAt) {
-			f.end(w, restartDelay)
+			f.crashWorker(w, restartDelay)
 			return
 		}
 		if r.crashesAt.IsZero() && f.now.Sub(r.beganAt) >= r.duration {
@@ -166,37 +166,37 @@
 	}
 }
 
-// end crashes a worker, which is down for a given time.
-func (f *crashFleet) end(w *crashWorker, span time.Duration) {
-	f.crash[w.id]++
-	w.gone, w.upAt, w.runs = true, f.now.Add(span), map[string]crashRun{}
+// crashWorker crashes a worker, which is down for a given time.
+func (f *crashFleet) crashWorker(w *fleetWorker, span time.Duration) {
+	f.crashCount[w.id]++
+	w.down, w.upAt, w.runs = true, f.now.Add(span), map[string]crashRun{}
 }
 
 func (f *crashFleet) answer(e cell.Effect) {
 	switch e := e.(type) {
-	case cell.SendLook:
+	case cell.SendPoll:
 		f.answerLook(e)
 	case cell.SendStart:
 		f.answerStart(e)
-	case cell.Record:
+	case cell.WriteProgress:
 		f.answerRecord(e)
 	case cell.Note:
-		if e.What == cell.NoteJobEnded && strings.Contains(e.Detail, "FAILED") {
+		if e.Kind == cell.NoteJobEnded && strings.Contains(e.Detail, "FAILED") {
 			f.failedJobs[e.Job] = e.Detail
 		}
 	default:
 	}
 }
 
-func (f *crashFleet) answerLook(e cell.SendLook) {
+func (f *crashFleet) answerLook(e cell.SendPoll) {
 	w := f.workers[e.To.ID]
-	looked := cell.Looked{Worker: e.To.ID, SentAt: f.now}
-	if w.gone {
+	looked := cell.PollAnswered{Worker: e.To.ID, SentAt: f.now}
+	if w.down {
 		looked.Err = fault.New(fault.Unknown, w.id, "EOF", "")
 		f.state.Take(f.now, looked)
 		return
 	}
-	w.unreadEnds = slices.DeleteFunc(w.unreadEnds, func(end workers.End) bool { return e.To.Born == w.born && end.Number <= e.Look.Recorded })
+	w.unreadEnds = slices.DeleteFunc(w.unreadEnds, func(end workers.End) bool { return e.To.Born == w.born && end.Number <= e.Poll.Recorded })
 	looked.Report = workers.Report{Born: w.born, Clock: w.clockOffset + f.now.Sub(time.Unix(1000, 0)), Ended: slices.Clone(w.unreadEnds)}
 	for task, r := range w.runs {
 		looked.Report.Active = append(looked.Report.Active, workers.Active{Task: task, Run: r.number, Percent: int(f.now.Sub(r.beganAt) / crashStep)})
@@ -206,12 +206,12 @@
 
 func (f *crashFleet) answerStart(e cell.SendStart) {
 	w := f.workers[e.To.ID]
-	started := cell.Started{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: w.clockOffset + f.now.Sub(time.Unix(1000, 0))}}
-	if w.gone || (e.To.Born != 0 && e.To.Born != w.born) {
+	started := cell.StartAnswered{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: w.clockOffset + f.now.Sub(time.Unix(1000, 0))}}
+	if w.down || (e.To.Born != 0 && e.To.Born != w.born) {
 		started.Reply, started.Err = workers.Reply{}, fault.New(fault.Unknown, w.id, "EOF", "")
 	} else {
 		r := crashRun{number: e.Start.Run, beganAt: f.now, duration: taskDuration}
-		if after, poisonous := f.guilty[e.Start.Task]; poisonous {
+		if after, poisonous := f.crashAfter[e.Start.Task]; poisonous {
 			r.crashesAt = f.now.Add(after)
 		}
 		w.runs[e.Start.Task] = r
@@ -220,11 +220,11 @@
 	f.state.Take(f.now, started)
 }
 
-func (f *crashFleet) answerRecord(e cell.Record) {
-	if e.Part == f.lostPart {
+func (f *crashFleet) answerRecord(e cell.WriteProgress) {
+	if e.Part == f.unansweredPart {
 		return
 	}
-	answered := cell.RecordAnswered{Part: e.Part, Serial: e.Serial}
+	answered := cell.WriteAnswered{Part: e.Part, Serial: e.Serial}
 	if f.tableDown {
 		answered.Err = fault.New(fault.Unknown, "table", "no answer", "")
 	} else {
--- a/pkg/process/cell/delegatedcrash_test.go
+++ b/pkg/process/cell/delegatedcrash_test.go
@@ -25,19 +25,19 @@
 	b := newEmptyCell()
 	spec := func(silent bool) *wire.JobSpec {
 		return &wire.JobSpec{
-			Id: lentJob, Cell: "hall", Home: "other", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 6000, Lasting: true}},
+			Id: delegatedJob, Cell: "hall", Home: "other", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 6000, Lasting: true}},
 			Guest: []*wire.TaskRef{{Lending: 1, Crashes: []*wire.CrashNote{crashNote("a", false), crashNote("b", false), crashNote("c", silent)}}},
 		}
 	}
-	b.state.Take(b.now, cell.Accepted{Spec: spec(true)})
+	b.state.Take(b.now, cell.JobAccepted{Spec: spec(true)})
 	b.step(100 * time.Millisecond)
 	must.Eq(t, "on trial", b.state.Suspects()[0].Level)
-	b.state.Take(b.now, cell.Accepted{Spec: spec(false)})
+	b.state.Take(b.now, cell.JobAccepted{Spec: spec(false)})
 	b.step(100 * time.Millisecond)
 	must.SliceEmpty(t, b.state.Suspects(), must.Sprint("the job has failed"))
 	failed := false
 	for _, n := range b.notes {
-		failed = failed || (n.What == cell.NoteJobEnded && n.Job == lentJob)
+		failed = failed || (n.Kind == cell.NoteJobEnded && n.Job == delegatedJob)
 	}
 	must.True(t, failed)
 }
@@ -51,16 +51,16 @@
 	}
 	b.accept("00000000000000dd", "watches", &wire.StepSpec{Count: 15, Millicores: 20000, Lasting: true})
 	b.step(100 * time.Millisecond)
-	b.accept(lentJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true})
+	b.accept(delegatedJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true})
 	b.step(100 * time.Millisecond)
-	at := b.at[lentJob+".0.0.0"]
+	at := b.workerOf[delegatedJob+".0.0.0"]
 	b.silent[at] = true
 	for range 80 {
-		b.state.Take(b.now, roomAt("other"))
+		b.state.Take(b.now, loadWithCapacity("other"))
 		b.step(100 * time.Millisecond)
 	}
 	sentSpec := func() (last *wire.JobSpec) {
-		b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) {
+		b.eachPut(t, rows.SpecKey("other", delegatedJob), func(r table.Row) {
 			last = &wire.JobSpec{}
 			must.NoError(t, rows.Read(r, last))
 		})
@@ -81,8 +81,8 @@
 func TestALastingTaskWaitsForASilentWorkerWhoseCrashWouldFailIt(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.state.Take(b.now, cell.Accepted{Spec: &wire.JobSpec{
-		Id: lentJob, Cell: "hall", Home: "other", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 6000, Lasting: true}},
+	b.state.Take(b.now, cell.JobAccepted{Spec: &wire.JobSpec{
+		Id: delegatedJob, Cell: "hall", Home: "other", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 6000, Lasting: true}},
 		Guest: []*wire.TaskRef{{Lending: 1, WaitedMs: 4000, Crashes: []*wire.CrashNote{crashNote("a", false), crashNote("b", false), crashNote("c", true)}}},
 	}})
 	for range 50 {
--- a/pkg/process/cell/early_test.go
+++ b/pkg/process/cell/early_test.go
@@ -16,14 +16,14 @@
 // when it received the job a tenth of a second later, it started the task again, beside the run that was being stopped.
 func TestOrphanedRunIsAdoptedWhenItsJobBecomesKnown(t *testing.T) {
 	t.Parallel()
-	v := newLives()
+	v := newRestartingWorker()
 	task := "0000000000000001.0.0.0"
 	v.active = []workers.Active{{Task: task, Run: 7, Percent: 10}}
 	v.run(300 * time.Millisecond)
 	must.Eq(t, task, v.accept(1))
 	v.run(3 * time.Second)
 	must.Eq(t, 0, v.startsOf(task))
-	v.finish()
+	v.finishAll()
 	v.run(3 * time.Second)
 	must.Eq(t, 0, v.startsOf(task))
 }
@@ -32,7 +32,7 @@
 // before the job is known.
 func TestOrphanedEndCountsWhenItsJobBecomesKnown(t *testing.T) {
 	t.Parallel()
-	v := newLives()
+	v := newRestartingWorker()
 	task := "0000000000000001.0.0.0"
 	v.ended = []workers.End{{Number: 1, Task: task, Run: 7, How: workers.EndedDone}}
 	v.run(300 * time.Millisecond)
@@ -47,14 +47,14 @@
 // listed and holds no job of theirs.
 func TestOrphanedRunIsStoppedOnceTheTableHoldsNoJobOfIt(t *testing.T) {
 	t.Parallel()
-	v := newLives()
+	v := newRestartingWorker()
 	v.active = []workers.Active{{Task: "0000000000000001.0.0.0", Run: 7, Percent: 10}}
 	v.ended = []workers.End{{Number: 1, Task: "0000000000000002.0.0.0", Run: 8, How: workers.EndedDone}}
-	v.state.Take(v.now, cell.Followed{At: v.now})
+	v.state.Take(v.now, cell.TableCaughtUp{At: v.now})
 	v.run(time.Second)
 	must.SliceEmpty(t, v.stops)
 	must.Eq(t, 0, v.recorded)
-	v.state.Take(v.now, cell.Followed{At: v.now})
+	v.state.Take(v.now, cell.TableCaughtUp{At: v.now})
 	v.run(time.Second)
 	must.SliceNotEmpty(t, v.stops)
 	must.Eq(t, 1, v.recorded)
@@ -65,16 +65,16 @@
 // started again.
 func TestOrphanedEndCountsWhenItsTimeFallsDue(t *testing.T) {
 	t.Parallel()
-	v := newLives()
+	v := newRestartingWorker()
 	ended, runs := "0000000000000001.0.0.0", "0000000000000001.0.0.1"
 	v.active = []workers.Active{{Task: runs, Run: 8, Percent: 10}}
 	v.ended = []workers.End{{Number: 1, Task: ended, Run: 7, How: workers.EndedDone}}
-	v.state.Take(v.now, cell.Accepted{Spec: &wire.JobSpec{
+	v.state.Take(v.now, cell.JobAccepted{Spec: &wire.JobSpec{
 		Id: "0000000000000001", Queue: "offers", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{{Count: 2, Millicores: 1000, EstimateMs: 500}},
 		Repeats: 1, FirstUnixMs: v.now.Add(time.Second).UnixMilli(), IntervalMs: 1000,
 	}})
 	v.run(500 * time.Millisecond)
-	v.state.Take(v.now, cell.Followed{At: v.now})
+	v.state.Take(v.now, cell.TableCaughtUp{At: v.now})
 	v.run(300 * time.Millisecond)
 	must.Eq(t, 0, v.recorded)
 	must.SliceEmpty(t, v.stops)
@@ -87,7 +87,7 @@
 // and has started it. Its run must be taken over when the delegation becomes known here, and not started a second time.
 func TestOrphanedRunIsAdoptedWhenItsTimeIsDelegated(t *testing.T) {
 	t.Parallel()
-	v := newLives()
+	v := newRestartingWorker()
 	spec := func(times int32) *wire.JobSpec {
 		s := &wire.JobSpec{
 			Id: "0000000000000001", Cell: "hall", Home: "other", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}},
@@ -98,13 +98,13 @@
 		}
 		return s
 	}
-	v.state.Take(v.now, cell.Accepted{Spec: spec(1)})
+	v.state.Take(v.now, cell.JobAccepted{Spec: spec(1)})
 	v.run(300 * time.Millisecond)
-	v.finish()
+	v.finishAll()
 	later := "0000000000000001.1.0.0"
 	v.active = append(v.active, workers.Active{Task: later, Run: 99, Percent: 10})
 	v.run(300 * time.Millisecond)
-	v.state.Take(v.now, cell.Accepted{Spec: spec(2)})
+	v.state.Take(v.now, cell.JobAccepted{Spec: spec(2)})
 	v.run(time.Second)
 	must.Eq(t, 0, v.startsOf(later))
 	must.SliceEmpty(t, v.stops)
--- a/pkg/process/cell/ends.go
+++ b/pkg/process/cell/ends.go
@@ -12,31 +12,31 @@
 // takeEnd processes one end of a run that a worker lists. A worker lists each end until the leader
 // acknowledges that it is recorded, so an end whose number is not new is skipped.
 func (s *State) takeEnd(now time.Time, w *workers.Worker, e workers.End) {
-	if e.Number <= w.Seen {
+	if e.Number <= w.LastEnd {
 		s.noteSkippedEnd(w, e)
 		return
 	}
-	w.Seen = e.Number
-	if s.task(e.Task) == nil {
-		s.holdEnd(now, w, e)
+	w.LastEnd = e.Number
+	if s.taskNamed(e.Task) == nil {
+		s.keepOrphanedEnd(now, w, e)
 		return
 	}
-	s.countEnd(now, w, e)
+	s.applyEnd(now, w, e)
 }
 
-// countEnd applies the end of a run to its task and job, which are known here.
-func (s *State) countEnd(now time.Time, w *workers.Worker, e workers.End) {
-	t := s.task(e.Task)
+// applyEnd applies the end of a run to its task and job, which are known here.
+func (s *State) applyEnd(now time.Time, w *workers.Worker, e workers.End) {
+	t := s.taskNamed(e.Task)
 	j := t.Unit.Job
 	r := t.Run(e.Run, w.ID)
 	s.note(Note{
-		What: NoteEnd, Job: j.Spec.GetId(), Task: e.Task, Run: e.Run, Worker: w.ID,
+		Kind: NoteEnd, Job: j.Spec.GetId(), Task: e.Task, Run: e.Run, Worker: w.ID,
 		Detail: endDetail(e.How, r), AgeMs: runAgeMs(now, r),
 	})
 	if r != nil {
 		w.Remove(r)
 		t.Drop(r)
-		t.WaitsSince, t.HereSince = now, now
+		t.WaitingSince, t.InCellSince = now, now
 	}
 	s.endedWithoutCrash(w, t, r)
 	if e.Checkpoint != "" && !t.Done {
@@ -55,15 +55,15 @@
 	}
 	s.markDirty(j, false)
 	s.holdAcknowledgement(w, e.Number, j.Spec.GetId())
-	s.touch(now, j)
+	s.updateWaiting(now, j)
 }
 
 // noteSkippedEnd logs an end that was skipped by its number although its run still counts as running.
 func (s *State) noteSkippedEnd(w *workers.Worker, e workers.End) {
-	if t := s.task(e.Task); t != nil && t.Run(e.Run, w.ID) != nil {
+	if t := s.taskNamed(e.Task); t != nil && t.Run(e.Run, w.ID) != nil {
 		s.note(Note{
-			What: NoteEndPassed, Job: t.Unit.Job.Spec.GetId(), Task: e.Task, Run: e.Run, Worker: w.ID, AgeMs: -1,
-			Detail: fmt.Sprintf("%s, number %d; newest processed number %d", e.How, e.Number, w.Seen),
+			Kind: NoteEndPassed, Job: t.Unit.Job.Spec.GetId(), Task: e.Task, Run: e.Run, Worker: w.ID, AgeMs: -1,
+			Detail: fmt.Sprintf("%s, number %d; newest processed number %d", e.How, e.Number, w.LastEnd),
 		})
 	}
 }
@@ -88,7 +88,7 @@
 func (s *State) handleSuccess(now time.Time, w *workers.Worker, t *jobs.Task, r *jobs.Run) {
 	s.learnRunTime(now, t.Unit, r)
 	if w.Health.Worked() {
-		s.note(Note{What: NoteWorkerBack, Worker: w.ID, Detail: "a run ended well", AgeMs: -1})
+		s.note(Note{Kind: NoteWorkerBack, Worker: w.ID, Detail: "a run ended well", AgeMs: -1})
 	}
 	if t.Unit.Lasting() {
 		return // a lasting task is started again however its run ends
@@ -108,8 +108,8 @@
 // cell; here its progress is recorded at once, with a report to the home cell.
 func (s *State) completeIfDone(now time.Time, j *jobs.Job) {
 	switch {
-	case j.Guest():
-		if j.LentDone() {
+	case j.Delegated():
+		if j.DelegatedDone() {
 			s.markDirty(j, true)
 		}
 	case j.AllDone():
@@ -128,7 +128,7 @@
 	u.FailedAt[w.ID] = true
 	t.AvoidWorker = w.ID
 	if len(u.FailedAt) < 2 && w.Health.Failed(u.Name(), now) {
-		s.noteAside(w)
+		s.noteQuarantined(w)
 	}
 	if u.Lasting() {
 		return
@@ -154,9 +154,9 @@
 	return defaultMaxAttempts
 }
 
-// service returns the name of the service whose workers run a job: the one that the manifest names for
+// serviceOf returns the name of the service whose workers run a job: the one that the manifest names for
 // the job's queue or, if the queue is gone, the one that it named when the job was accepted.
-func (s *State) service(j *jobs.Job) string {
+func (s *State) serviceOf(j *jobs.Job) string {
 	if s.manifest != nil {
 		if q, ok := s.manifest.Queue(j.Spec.GetQueue()); ok {
 			return q.Service
@@ -165,8 +165,8 @@
 	return j.Spec.GetService()
 }
 
-// guards reports whether the workers of a service refuse a start that exceeds their capacity.
-func (s *State) guards(service string) bool {
+// enforcesCapacity reports whether the workers of a service refuse a start that exceeds their capacity.
+func (s *State) enforcesCapacity(service string) bool {
 	if s.manifest != nil {
 		if v, ok := s.manifest.Service(service); ok {
 			return v.Guards
@@ -180,41 +180,41 @@
 // stopRetryAfter is how long after a stop order it is sent again if the run has not ended.
 const stopRetryAfter = 500 * time.Millisecond
 
-// stop orders a worker to end a run. The run counts as running until the worker lists its end.
-func (s *State) stop(now time.Time, w *workers.Worker, r *jobs.Run, why string) {
+// stopRun orders a worker to end a run. The run counts as running until the worker lists its end.
+func (s *State) stopRun(now time.Time, w *workers.Worker, r *jobs.Run, why string) {
 	if r.State == jobs.Stopping && now.Sub(r.StopSentAt) < stopRetryAfter {
 		return
 	}
 	if r.State != jobs.Stopping {
 		s.note(Note{
-			What: NoteStop, Job: r.Task.Unit.Job.Spec.GetId(), Task: r.Task.Name(), Run: r.Number, Worker: w.ID,
+			Kind: NoteStop, Job: r.Task.Unit.Job.Spec.GetId(), Task: r.Task.Name(), Run: r.Number, Worker: w.ID,
 			Detail: fmt.Sprintf("%s, at %d%%", why, r.Percent), AgeMs: runAgeMs(now, r),
 		})
 	}
 	if r.AckedAt.IsZero() {
 		r.AckedAt = now
 	}
-	r.State, r.StopSentAt, r.Why = jobs.Stopping, now, why
-	s.emit(SendStop{To: target(w), Stop: workers.Stop{Fence: s.epoch, Task: r.Task.Name(), Run: r.Number}, Timeout: s.orders.Timeout()})
+	r.State, r.StopSentAt, r.StopReason = jobs.Stopping, now, why
+	s.emit(SendStop{To: target(w), Stop: workers.Stop{Fence: s.epoch, Task: r.Task.Name(), Run: r.Number}, Timeout: s.startWindow.Timeout()})
 }
 
-// stopUnwanted stops runs whose job has ended or whose task is done, and repeats stop orders that had no
+// stopObsoleteRuns stops runs whose job has ended or whose task is done, and repeats stop orders that had no
 // effect.
-func (s *State) stopUnwanted(now time.Time) {
-	for _, w := range s.sorted() {
+func (s *State) stopObsoleteRuns(now time.Time) {
+	for _, w := range s.workersByID() {
 		if w.Gone || !w.SilentSince.IsZero() {
 			continue
 		}
 		for _, r := range w.Runs {
 			switch {
 			case r.State == jobs.Stopping:
-				s.stop(now, w, r, r.Why)
+				s.stopRun(now, w, r, r.StopReason)
 			case r.State == jobs.Sent || r.State == jobs.Unsure:
 				// A stop order that arrives before the start order has no effect.
 			case r.Task.Unit.Job.Ended():
-				s.stop(now, w, r, "its job has ended")
+				s.stopRun(now, w, r, "its job has ended")
 			case r.Task.Done && !r.Task.Unit.Spec.GetGang():
-				s.stop(now, w, r, "its task is done")
+				s.stopRun(now, w, r, "its task is done")
 			}
 		}
 	}
@@ -237,11 +237,11 @@
 	switch r.Refusal {
 	case workers.RefusedFence:
 		s.emit(StepDown{Why: "worker " + w.ID + " knows a higher epoch"})
-	case workers.RefusedLife:
-		s.lifeOver(now, w, "another worker answers at its address")
-	case workers.RefusedBegun:
-		s.lookFailed(now, w, "another incarnation answers under its id")
-		w.LookAnew(now)
+	case workers.RefusedIncarnation:
+		s.endIncarnation(now, w, "another worker answers at its address")
+	case workers.RefusedRestarted:
+		s.pollFailed(now, w, "another incarnation answers under its id")
+		w.PollNow(now)
 	default:
 	}
 }
--- a/pkg/process/cell/events.go
+++ b/pkg/process/cell/events.go
@@ -25,41 +25,41 @@
 // WorkersListed carries all workers of the cell that are in the worker registry.
 type WorkersListed struct{ Records []workers.Record }
 
-// Led says that this process leads the cell from now on, in a new epoch.
-type Led struct {
+// LeadershipGained says that this process leads the cell from now on, in a new epoch.
+type LeadershipGained struct {
 	Epoch int64
-	// RosterUntil is when the last lease expires that was granted by leaders known to have ended.
-	RosterUntil time.Time
+	// LeasesEndAt is when the last lease expires that was granted by leaders known to have ended.
+	LeasesEndAt time.Time
 	// Predecessors are the earlier leaders that are not known to have ended, by incarnation, with the
 	// time at which the last lease that each could grant expires.
 	Predecessors map[string]time.Time
 }
 
-// Confirmed says that a renewal of the leadership took effect which this process sent at At. It still led
+// LeadershipConfirmed says that a renewal of the leadership took effect which this process sent at At. It still led
 // the cell then, so no later leader can have granted anything before At. Until is when this process must
 // stop without another renewal; zero: no limit.
-type Confirmed struct{ At, Until time.Time }
+type LeadershipConfirmed struct{ SentAt, Until time.Time }
 
-// PredecessorOver says that a leader of an earlier epoch grants no more leases: it has said so, or its
+// PredecessorEnded says that a leader of an earlier epoch grants no more leases: it has said so, or its
 // process has ended.
-type PredecessorOver struct {
+type PredecessorEnded struct {
 	// Epoch is the epoch of this process's leadership.
 	Epoch int64
 	// Holder is the incarnation of the earlier leader.
 	Holder string
 	// Grants are the remaining times of leases that it granted, by worker, if GrantsKnown is set. Own says that
 	// it was an earlier leadership of this process.
-	Grants           map[string]time.Duration
-	GrantsKnown, Own bool
-	// Since is a time since which it has granted nothing, because a later process runs in its place; zero: unknown.
-	Since time.Time
+	Grants                   map[string]time.Duration
+	GrantsKnown, SameProcess bool
+	// EndedAt is a time since which it has granted nothing, because a later process runs in its place; zero: unknown.
+	EndedAt time.Time
 }
 
-// Deposed says that this process no longer leads the cell.
-type Deposed struct{ Why string }
+// LeadershipLost says that this process no longer leads the cell.
+type LeadershipLost struct{ Why string }
 
-// RosterRecorded says which workers the cell's membership row in the table now names.
-type RosterRecorded struct{ IDs []string }
+// MembershipRecorded says which workers the cell's membership row in the table now names.
+type MembershipRecorded struct{ IDs []string }
 
 // LoadedJob is one job as it was read from the table.
 type LoadedJob struct {
@@ -72,10 +72,10 @@
 // Loaded carries the cell's rows, read after this leader's fence was written in every part.
 type Loaded struct {
 	Epoch int64
-	// Roster are the members: the workers that may hold runs of earlier leaders, read after this epoch
+	// Members are the members: the workers that may hold runs of earlier leaders, read after this epoch
 	// began.
-	Roster []*wire.RosterEntry
-	Jobs   []LoadedJob
+	Members []*wire.RosterEntry
+	Jobs    []LoadedJob
 	// Cancels are the ids of jobs to cancel.
 	Cancels []string
 	// Returned are reports of other cells on tasks that were delegated to them.
@@ -88,20 +88,20 @@
 	StoreNow time.Duration
 }
 
-// Accepted carries a job whose specification is in the table.
-type Accepted struct {
+// JobAccepted carries a job whose specification is in the table.
+type JobAccepted struct {
 	Spec     *wire.JobSpec
 	StoreNow time.Duration
 }
 
-// CancelAsked carries the id of a job whose cancel is in the table.
-type CancelAsked struct{ ID string }
+// CancelRequested carries the id of a job whose cancel is in the table.
+type CancelRequested struct{ ID string }
 
-// Returned carries another cell's report, already in the table, on tasks that were delegated to it.
-type Returned struct{ Tasks *wire.ReturnedTasks }
+// TasksReturned carries another cell's report, already in the table, on tasks that were delegated to it.
+type TasksReturned struct{ Tasks *wire.ReturnedTasks }
 
-// Looked is the outcome of a poll of a worker.
-type Looked struct {
+// PollAnswered is the outcome of a poll of a worker.
+type PollAnswered struct {
 	Worker  string
 	SentAt  time.Time
 	Report  workers.Report
@@ -109,16 +109,16 @@
 	Err     error
 }
 
-// Started is the outcome of a start order.
-type Started struct {
+// StartAnswered is the outcome of a start order.
+type StartAnswered struct {
 	Worker string
 	Task   string
 	Run    int64
 	Reply  workers.Reply
 	Err    error
-	// Took is how long the call took. Bytes is the size of the order, as in SendStart.
-	Took  time.Duration
-	Bytes int
+	// RoundTrip is how long the call took. Bytes is the size of the order, as in SendStart.
+	RoundTrip time.Duration
+	Bytes     int
 }
 
 // StopAnswered is the outcome of a stop order.
@@ -138,40 +138,40 @@
 	Err     error
 }
 
-// RecordAnswered is the outcome of a transaction in one part of the table.
-type RecordAnswered struct {
+// WriteAnswered is the outcome of a transaction in one part of the table.
+type WriteAnswered struct {
 	Part      string
 	Serial    int64
 	Committed table.Committed
 	Err       error
 }
 
-// OtherLoad carries a load that the leader of another cell reports.
-type OtherLoad struct{ Load *wire.CellLoad }
-
-// Release asks the leader to hand the cell over. The leader starts no more runs.
-type Release struct{}
-
-func (Tick) event()            {}
-func (ManifestChanged) event() {}
-func (BoundsChanged) event()   {}
-func (WorkersListed) event()   {}
-func (Led) event()             {}
-func (Deposed) event()         {}
-func (PredecessorOver) event() {}
-func (Confirmed) event()       {}
-func (RosterRecorded) event()  {}
-func (Loaded) event()          {}
-func (Accepted) event()        {}
-func (CancelAsked) event()     {}
-func (Returned) event()        {}
-func (Looked) event()          {}
-func (Started) event()         {}
-func (StopAnswered) event()    {}
-func (PaceAnswered) event()    {}
-func (RecordAnswered) event()  {}
-func (Release) event()         {}
-func (OtherLoad) event()       {}
+// PeerLoad carries a load that the leader of another cell reports.
+type PeerLoad struct{ Load *wire.CellLoad }
+
+// ReleaseRequested asks the leader to hand the cell over. The leader starts no more runs.
+type ReleaseRequested struct{}
+
+func (Tick) event()                {}
+func (ManifestChanged) event()     {}
+func (BoundsChanged) event()       {}
+func (WorkersListed) event()       {}
+func (LeadershipGained) event()    {}
+func (LeadershipLost) event()      {}
+func (PredecessorEnded) event()    {}
+func (LeadershipConfirmed) event() {}
+func (MembershipRecorded) event()  {}
+func (Loaded) event()              {}
+func (JobAccepted) event()         {}
+func (CancelRequested) event()     {}
+func (TasksReturned) event()       {}
+func (PollAnswered) event()        {}
+func (StartAnswered) event()       {}
+func (StopAnswered) event()        {}
+func (PaceAnswered) event()        {}
+func (WriteAnswered) event()       {}
+func (ReleaseRequested) event()    {}
+func (PeerLoad) event()            {}
 
 // Effect is an action that a State asks its caller to carry out.
 type Effect interface{ effect() }
@@ -179,10 +179,10 @@
 // Load asks to write the fences of an epoch and then read the cell's rows. The answer is Loaded.
 type Load struct{ Epoch int64 }
 
-// SendLook asks to poll a worker. The answer is Looked.
-type SendLook struct {
+// SendPoll asks to poll a worker. The answer is Looked.
+type SendPoll struct {
 	To   workers.Target
-	Look workers.Look
+	Poll workers.Poll
 	// Timeout is how long to wait for the answer. It includes the poll's own wait.
 	Timeout time.Duration
 }
@@ -210,17 +210,17 @@
 	Timeout time.Duration
 }
 
-// Record asks to commit a transaction with the progress of jobs. The answer is RecordAnswered.
-type Record struct {
+// WriteProgress asks to commit a transaction with the progress of jobs. The answer is RecordAnswered.
+type WriteProgress struct {
 	Part        string
 	Serial      int64
 	Transaction table.Transaction
 }
 
-// Tell asks to notify the leader of another cell of a row that is in the table: tasks that are delegated
+// NotifyLeader asks to notify the leader of another cell of a row that is in the table: tasks that are delegated
 // to its cell, a report on tasks that its cell has delegated, or the cancel of a job of which its cell has
 // tasks. The leader follows the table anyway; the notification is only faster.
-type Tell struct {
+type NotifyLeader struct {
 	Cell      string
 	Lent      *wire.JobSpec
 	Returned  *wire.ReturnedTasks
@@ -232,7 +232,7 @@
 
 // Note is a log line: one decision, with the information that it is based on.
 type Note struct {
-	What   What
+	Kind   NoteKind
 	Job    string
 	Task   string
 	Run    int64
@@ -248,12 +248,12 @@
 	FitsHere, FitsElsewhere int64
 }
 
-func (Load) effect()      {}
-func (SendLook) effect()  {}
-func (SendStart) effect() {}
-func (SendStop) effect()  {}
-func (SendPace) effect()  {}
-func (Record) effect()    {}
-func (Tell) effect()      {}
-func (StepDown) effect()  {}
-func (Note) effect()      {}
+func (Load) effect()          {}
+func (SendPoll) effect()      {}
+func (SendStart) effect()     {}
+func (SendStop) effect()      {}
+func (SendPace) effect()      {}
+func (WriteProgress) effect() {}
+func (NotifyLeader) effect()  {}
+func (StepDown) effect()      {}
+func (Note) effect()          {}
--- a/pkg/process/cell/fillers.go
+++ b/pkg/process/cell/fillers.go
@@ -25,24 +25,24 @@
 	minUnusedShare = 0.7
 )
 
-// mayCost returns the highest net cost (fillerHarm) at which a filler may start. It grows with the wait, so
+// maxNetCost returns the highest net cost (fillerHarm) at which a filler may start. It grows with the wait, so
 // that no filler waits forever, whatever its job still earns.
-func (s *State) mayCost(now time.Time, u *jobs.Unit) float64 {
+func (s *State) maxNetCost(now time.Time, u *jobs.Unit) float64 {
 	waits := now.Sub(u.ReadyAt)
-	if !s.has(WaitForCheapPlaces) {
+	if !s.enabled(WaitForCheapPlaces) {
 		return math.Inf(1)
 	}
-	if s.roomy && waits >= harmfulPlaceAfter {
+	if s.mostlyFree && waits >= harmfulPlaceAfter {
 		return math.Inf(1)
 	}
-	return fullEarns(u) * waits.Seconds() / harmPatience.Seconds()
+	return fullValueRate(u) * waits.Seconds() / harmPatience.Seconds()
 }
 
-// isRoomy reports whether there is spare capacity: in this cell, or in all cells together of which this
+// isMostlyFree reports whether there is spare capacity: in this cell, or in all cells together of which this
 // process has a recent load.
-func (s *State) isRoomy(now time.Time) bool {
+func (s *State) isMostlyFree(now time.Time) bool {
 	taken, all := int64(0), int64(0)
-	for _, w := range s.sorted() {
+	for _, w := range s.workersByID() {
 		if !w.Gone {
 			all += w.Capacity.Millicores
 			taken += w.Capacity.Millicores - w.Free().Millicores
@@ -51,8 +51,8 @@
 	if float64(taken) < mostlyFreeBelow*float64(all) {
 		return true
 	}
-	for name, o := range s.others {
-		if name != s.name && now.Sub(o.at) <= othersFresh {
+	for name, o := range s.peerLoads {
+		if name != s.name && now.Sub(o.receivedAt) <= peerLoadMaxAge {
 			all += o.load.GetCapacityMillicores()
 			taken += o.load.GetCapacityMillicores() - o.load.GetFreeMillicores()
 		}
@@ -60,8 +60,8 @@
 	return float64(taken) < mostlyFreeBelow*float64(all)
 }
 
-// fillerFits reports whether a filler would get enough unused CPU at a worker, and whether fillers may
+// enoughUnusedCPU reports whether a filler would get enough unused CPU at a worker, and whether fillers may
 // join there at all.
-func fillerFits(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
+func enoughUnusedCPU(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
 	return !now.Before(w.NoFillersUntil) && float64(w.Unused()) >= minUnusedShare*float64(u.Size.Millicores)
 }
--- a/pkg/process/cell/grants.go
+++ b/pkg/process/cell/grants.go
@@ -39,7 +39,7 @@
 			list[id] = until
 		}
 	}
-	for id := range s.unsettled {
+	for id := range s.awaitedMembers {
 		// The leadership row names the predecessors that may still act, so a successor allows for their leases itself.
 		for _, until := range []time.Time{s.otherLeasesUntil, s.reportedLeases[id]} {
 			if !s.settled && until.After(now) && until.After(list[id]) {
@@ -71,7 +71,7 @@
 // lastLeaseEnd returns when the last lease of earlier leaders ends at any member that has not answered.
 func (s *State) lastLeaseEnd() time.Time {
 	last := s.lastCommonLeaseEnd()
-	for id := range s.unsettled {
+	for id := range s.awaitedMembers {
 		if at := s.reportedLeases[id]; at.After(last) {
 			last = at
 		}
--- a/pkg/process/cell/grants_test.go
+++ b/pkg/process/cell/grants_test.go
@@ -14,21 +14,21 @@
 func TestSuccessorWaitsForTheLeaseThatItsPredecessorGranted(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		over        cell.PredecessorOver
+		over        cell.PredecessorEnded
 		least, most time.Duration
 	}{
-		"none":             {cell.PredecessorOver{GrantsKnown: true, Grants: map[string]time.Duration{"heard": 4 * time.Second}}, 0, time.Second},
-		"two seconds":      {cell.PredecessorOver{GrantsKnown: true, Grants: map[string]time.Duration{"dark": 2 * time.Second}}, 2 * time.Second, 2500 * time.Millisecond},
-		"own, none":        {cell.PredecessorOver{Own: true}, 0, time.Second},
-		"a later process":  {cell.PredecessorOver{Since: time.Unix(1000, 0).Add(-3 * time.Second)}, 1500 * time.Millisecond, 2500 * time.Millisecond},
-		"nothing is known": {cell.PredecessorOver{}, cell.LongestLease, 6 * time.Second},
+		"none":             {cell.PredecessorEnded{GrantsKnown: true, Grants: map[string]time.Duration{"heard": 4 * time.Second}}, 0, time.Second},
+		"two seconds":      {cell.PredecessorEnded{GrantsKnown: true, Grants: map[string]time.Duration{"dark": 2 * time.Second}}, 2 * time.Second, 2500 * time.Millisecond},
+		"own, none":        {cell.PredecessorEnded{SameProcess: true}, 0, time.Second},
+		"a later process":  {cell.PredecessorEnded{EndedAt: time.Unix(1000, 0).Add(-3 * time.Second)}, 1500 * time.Millisecond, 2500 * time.Millisecond},
+		"nothing is known": {cell.PredecessorEnded{}, cell.LongestLease, 6 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			v := newTakeover(15 * time.Second)
 			c.over.Epoch, c.over.Holder = 2, "before/1"
 			v.state.Take(v.now, c.over)
-			after, started := v.run(8 * time.Second)
+			after, started := v.runUntilStart(8 * time.Second)
 			must.True(t, started)
 			must.Between(t, c.least, after, c.most)
 		})
@@ -44,7 +44,7 @@
 	for range 45 {
 		b.step(100 * time.Millisecond)
 	}
-	b.state.Take(b.now, cell.Deposed{Why: "another leads"})
+	b.state.Take(b.now, cell.LeadershipLost{Why: "another leads"})
 	grants, known := b.state.Grants(b.now)
 	must.True(t, known)
 	must.MapLen(t, 15, grants)
@@ -60,12 +60,12 @@
 	t.Parallel()
 	b := newEmptyCell()
 	b.step(100 * time.Millisecond)
-	members := b.state.Roster()
-	b.state.Take(b.now, cell.Deposed{Why: "another leads"})
+	members := b.state.Members()
+	b.state.Take(b.now, cell.LeadershipLost{Why: "another leads"})
 	b.silent["w00"] = true
-	b.state.Take(b.now, cell.Led{Epoch: 3, RosterUntil: b.now, Predecessors: map[string]time.Time{"self/1": b.now.Add(15 * time.Second)}})
-	b.state.Take(b.now, cell.Loaded{Epoch: 3, Wall: b.now, Fences: someFences(), Roster: members, Jobs: []cell.LoadedJob{{Spec: lastingJob("00000000000000ff")}}})
-	b.state.Take(b.now, cell.PredecessorOver{Epoch: 3, Holder: "self/1", Own: true})
+	b.state.Take(b.now, cell.LeadershipGained{Epoch: 3, LeasesEndAt: b.now, Predecessors: map[string]time.Time{"self/1": b.now.Add(15 * time.Second)}})
+	b.state.Take(b.now, cell.Loaded{Epoch: 3, Wall: b.now, Fences: testFences(), Members: members, Jobs: []cell.LoadedJob{{Spec: lastingJob("00000000000000ff")}}})
+	b.state.Take(b.now, cell.PredecessorEnded{Epoch: 3, Holder: "self/1", SameProcess: true})
 	for range 30 {
 		b.step(100 * time.Millisecond)
 	}
@@ -81,7 +81,7 @@
 func TestLoadReportsFromTheTakeoverOnThatACellIsNotSettled(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
-	v.run(100 * time.Millisecond)
+	v.runUntilStart(100 * time.Millisecond)
 	must.Positive(t, v.state.Load(v.now, false).GetSettlesInMs())
 }
 
@@ -90,9 +90,9 @@
 func TestDeposedLeaderReportsTheLeasesThatItWaitedFor(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
-	v.state.Take(v.now, cell.PredecessorOver{Epoch: 2, Holder: "before/1"})
-	v.run(time.Second)
-	v.state.Take(v.now, cell.Deposed{Why: "another leads"})
+	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "before/1"})
+	v.runUntilStart(time.Second)
+	v.state.Take(v.now, cell.LeadershipLost{Why: "another leads"})
 	grants, known := v.state.Grants(v.now)
 	must.True(t, known)
 	must.Between(t, 3*time.Second, grants["dark"], 4*time.Second)
@@ -103,9 +103,9 @@
 func TestLeaderDeposedBeforeLoadingReportsUnknownLeases(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.state.Take(b.now, cell.Deposed{Why: "another leads"})
-	b.state.Take(b.now, cell.Led{Epoch: 3, RosterUntil: b.now.Add(3 * time.Second)})
-	b.state.Take(b.now, cell.Deposed{Why: "another leads"})
+	b.state.Take(b.now, cell.LeadershipLost{Why: "another leads"})
+	b.state.Take(b.now, cell.LeadershipGained{Epoch: 3, LeasesEndAt: b.now.Add(3 * time.Second)})
+	b.state.Take(b.now, cell.LeadershipLost{Why: "another leads"})
 	_, known := b.state.Grants(b.now)
 	must.False(t, known)
 	_, known = b.state.Grants(b.now.Add(4 * time.Second))
@@ -117,8 +117,8 @@
 func TestDeposedLeaderOmitsLeasesOfPredecessorsInTheLeadershipRow(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
-	v.run(time.Second)
-	v.state.Take(v.now, cell.Deposed{Why: "another leads"})
+	v.runUntilStart(time.Second)
+	v.state.Take(v.now, cell.LeadershipLost{Why: "another leads"})
 	grants, _ := v.state.Grants(v.now)
 	must.MapNotContainsKey(t, grants, "dark")
 }
--- a/pkg/process/cell/harm.go
+++ b/pkg/process/cell/harm.go
@@ -42,14 +42,14 @@
 func (s *State) overTargetRise(serving []servingNeighbour, filler string, more, deviation float64) float64 {
 	cost := 0.0
 	for _, t := range serving {
-		rise := s.press.Coefficient(t.image, filler) * more
+		rise := s.interference.Coefficient(t.image, filler) * more
 		cost += overTargetProbability(t.level+rise, deviation) - overTargetProbability(t.level, deviation)
 	}
 	return cost
 }
 
-// neighbours are the runs beside which a filler would run on a worker.
-type neighbours struct {
+// workerNeighbours are the runs beside which a filler would run on a worker.
+type workerNeighbours struct {
 	// fillerPressures is the share of the worker's processors that its fillers use at full pace, by image.
 	fillerPressures map[string]float64
 	// serving are the serving tasks, with the levels that are predicted for them beside these fillers.
@@ -63,9 +63,9 @@
 }
 
 // neighboursOf returns the neighbours that a filler would have on a worker.
-func (s *State) neighboursOf(w *workers.Worker) neighbours {
-	n := neighbours{fillerPressures: map[string]float64{}}
-	scale := fillerScale(w, 0)
+func (s *State) neighboursOf(w *workers.Worker) workerNeighbours {
+	n := workerNeighbours{fillerPressures: map[string]float64{}}
+	scale := fillerCPUFraction(w, 0)
 	for _, r := range w.Runs {
 		if r.Task.Unit.Spec.GetFiller() {
 			n.fillerPressures[r.Task.Unit.Image()] += pressure(w, r.Task.Unit) * scale
@@ -74,36 +74,36 @@
 	for _, r := range w.Runs {
 		if r.Task.Unit.Spec.GetTailTargetMs() > 0 {
 			image := r.Task.Unit.Image()
-			n.serving = append(n.serving, servingNeighbour{image, s.press.Predict(image, n.fillerPressures) + r.OwnLoad.Expect(predictionHorizon)})
+			n.serving = append(n.serving, servingNeighbour{image, s.interference.Predict(image, n.fillerPressures) + r.OwnLoad.Expect(predictionHorizon)})
 		}
 	}
 	return n
 }
 
-// place is a unit on a worker, the key under which its net cost is cached.
-type place struct {
+// fillerPlace is a unit on a worker, the key under which its net cost is cached.
+type fillerPlace struct {
 	worker *workers.Worker
 	unit   *jobs.Unit
 }
 
-// fillerHarm returns the net cost per second of starting a filler of a unit on a worker: what it costs its neighbours,
+// fillerNetCost returns the net cost per second of starting a filler of a unit on a worker: what it costs its neighbours,
 // less what it earns. Above 0, the start loses more than it gains. The result is cached for the unit and the worker
 // until the next round of placement, or until a task starts on the worker.
-func (s *State) fillerHarm(u *jobs.Unit, w *workers.Worker) float64 {
-	if !s.has(WeighedPlaces) {
+func (s *State) fillerNetCost(u *jobs.Unit, w *workers.Worker) float64 {
+	if !s.enabled(WeighedPlaces) {
 		return -valueRate(u)
 	}
-	if harm, ok := s.harms[place{w, u}]; ok {
+	if harm, ok := s.fillerNetCosts[fillerPlace{w, u}]; ok {
 		return harm
 	}
-	n, ok := s.neighbours[w]
+	n, ok := s.neighboursByWorker[w]
 	if !ok {
 		n = s.neighboursOf(w)
-		s.neighbours[w] = n
+		s.neighboursByWorker[w] = n
 	}
-	more := pressure(w, u) * fillerScale(w, u.Size.Millicores)
+	more := pressure(w, u) * fillerCPUFraction(w, u.Size.Millicores)
 	harm := overTargetCost*s.overTargetRise(n.serving, u.Image(), more, predictionSD) - valueRate(u)
-	s.harms[place{w, u}] = harm
+	s.fillerNetCosts[fillerPlace{w, u}] = harm
 	return harm
 }
 
@@ -114,14 +114,14 @@
 	harmlessShare           = 0.5
 )
 
-// fillerRoom returns, for each known filler image, the millicores that tasks other than fillers leave unused on the
+// sumHarmlessFillerCapacity returns, for each known filler image, the millicores that tasks other than fillers leave unused on the
 // workers where a filler of the image is harmless at the usual load of its neighbours.
-func (s *State) fillerRoom() map[string]int64 {
+func (s *State) sumHarmlessFillerCapacity() map[string]int64 {
 	millicores := map[string]int64{}
-	for _, image := range s.press.Fillers() {
-		for _, w := range s.sorted() {
+	for _, image := range s.interference.Fillers() {
+		for _, w := range s.workersByID() {
 			if unused := w.Unused(); w.Listed && !w.Leaving && !w.Gone && s.fillerHarmless(image, w) {
-				millicores[image] += max(0, unused+w.FillersAsk())
+				millicores[image] += max(0, unused+w.FillersRequested())
 			}
 		}
 	}
@@ -131,13 +131,13 @@
 // maxFillersCounted is the most fillers that fillerFree counts for one worker.
 const maxFillersCounted = 4
 
-// fillerFree returns, for each known filler image, the millicores of fillers that could start in this cell at once
+// sumStartableFillerCapacity returns, for each known filler image, the millicores of fillers that could start in this cell at once
 // without costing their neighbours more than they earn, less the fillers that already wait here.
-func (s *State) fillerFree() map[string]int64 {
+func (s *State) sumStartableFillerCapacity() map[string]int64 {
 	free := map[string]int64{}
-	images := s.press.Fillers()
-	for _, w := range s.sorted() {
-		if !w.Listed || w.Leaving || w.Gone || !w.SilentSince.IsZero() || !s.roster[w.ID] {
+	images := s.interference.Fillers()
+	for _, w := range s.workersByID() {
+		if !w.Listed || w.Leaving || w.Gone || !w.SilentSince.IsZero() || !s.recordedMembers[w.ID] {
 			continue
 		}
 		n := s.neighboursOf(w)
@@ -145,12 +145,12 @@
 			free[image] += typicalFillerMillicores * s.fillersThatFit(w, n, image)
 		}
 	}
-	for u := range s.waiting {
+	for u := range s.waitingUnits {
 		if !u.Spec.GetFiller() {
 			continue
 		}
 		for _, t := range u.Tasks {
-			if !t.Done && t.LentTo == "" && len(t.Runs) == 0 {
+			if !t.Done && t.DelegatedTo == "" && len(t.Runs) == 0 {
 				free[u.Image()] -= u.Size.Millicores
 			}
 		}
@@ -160,11 +160,11 @@
 
 // fillersThatFit returns how many more fillers of typicalFillerMillicores a worker takes without costing its
 // neighbours more than they earn, at most maxFillersCounted.
-func (s *State) fillersThatFit(w *workers.Worker, n neighbours, image string) int64 {
+func (s *State) fillersThatFit(w *workers.Worker, n workerNeighbours, image string) int64 {
 	fit := int64(0)
 	for fit < maxFillersCounted && w.Unused() >= (fit+1)*typicalFillerMillicores {
 		asks := (fit + 1) * typicalFillerMillicores
-		more := float64(asks) / float64(max(1, w.Capacity.Millicores)) * fillerScale(w, asks)
+		more := float64(asks) / float64(max(1, w.Capacity.Millicores)) * fillerCPUFraction(w, asks)
 		if overTargetCost*s.overTargetRise(n.serving, image, more, predictionSD) > fillerCoreValue*float64(asks)/1000 {
 			break
 		}
@@ -180,7 +180,7 @@
 	var usual []servingNeighbour
 	for _, r := range w.Runs {
 		if serving := r.Task.Unit; serving.Spec.GetTailTargetMs() > 0 {
-			usual = append(usual, servingNeighbour{serving.Image(), s.press.Alone(serving.Image())})
+			usual = append(usual, servingNeighbour{serving.Image(), s.interference.Alone(serving.Image())})
 		}
 	}
 	return overTargetCost*s.overTargetRise(usual, image, more, usualLevelSD) <= harmlessShare*fillerCoreValue*typicalFillerMillicores/1000
@@ -194,12 +194,12 @@
 	hopelessValueShare = 0.2
 )
 
-// fullEarns returns what a filler earns per second at full pace while its job can still meet its objective.
-func fullEarns(u *jobs.Unit) float64 { return fillerCoreValue * float64(u.Size.Millicores) / 1000 }
+// fullValueRate returns what a filler earns per second at full pace while its job can still meet its objective.
+func fullValueRate(u *jobs.Unit) float64 { return fillerCoreValue * float64(u.Size.Millicores) / 1000 }
 
 // valueRate returns what a filler earns per second at full pace, by its job's outlook.
 func valueRate(u *jobs.Unit) float64 {
-	full := fullEarns(u)
+	full := fullValueRate(u)
 	switch u.Outlook {
 	case jobs.Late:
 		return full * lateValueShare
--- a/pkg/process/cell/lacks.go
+++ b/pkg/process/cell/lacks.go
@@ -14,7 +14,7 @@
 type blocker string
 
 const (
-	lacksNothing            blocker = ""
+	notBlocked              blocker = ""
 	blockedByLabel          blocker = "label"
 	blockedByCapacity       blocker = "room"
 	blockedByMemory         blocker = "memory"
@@ -26,29 +26,29 @@
 	blockedByIsolatedRun    blocker = "reserved for an isolated run"
 )
 
-// lacks returns the first condition that blocks the placement of one more task of a unit on a worker, or lacksNothing.
-func (s *State) lacks(now time.Time, u *jobs.Unit, service string, w *workers.Worker) blocker {
+// placementBlocker returns the first condition that blocks the placement of one more task of a unit on a worker, or lacksNothing.
+func (s *State) placementBlocker(now time.Time, u *jobs.Unit, service string, w *workers.Worker) blocker {
 	switch {
 	case w.Service != service || !w.HasLabel(u.Spec.GetLabel()):
 		return blockedByLabel
 	case !workers.Reserved(u).Fits(w.Free()):
 		return capacityBlocker(u, w)
-	case len(s.closed) > 0 && s.closed[w] && !s.mayJoinIsolated(now, u, w):
+	case len(s.closedWorkers) > 0 && s.closedWorkers[w] && !s.mayJoinIsolated(now, u, w):
 		return blockedByIsolatedRun
-	case len(w.Strays) > 0 && !s.guards(service) && !s.unsafe.NoStrayRoom:
+	case len(w.OrphanedRuns) > 0 && !s.enforcesCapacity(service) && !s.unsafe.NoStrayRoom:
 		return blockedByCapacity // it is unknown how much capacity the orphaned runs there take
-	case s.held[w] && !u.Lasting():
+	case s.reservedForLasting[w] && !u.Lasting():
 		return blockedByReservation
-	case u.Spec.GetFiller() && !fillerFits(now, u, w):
+	case u.Spec.GetFiller() && !enoughUnusedCPU(now, u, w):
 		return blockedByBusyProcessors
-	case u.Spec.GetFiller() && s.fillerHarm(u, w) > s.mayCost(now, u):
+	case u.Spec.GetFiller() && s.fillerNetCost(u, w) > s.maxNetCost(now, u):
 		return blockedByFillerCost
 	case u.Spec.GetSpread() > 0 && w.CountOf(u) >= int(u.Spec.GetSpread()):
 		return blockedBySpread
-	case s.aside(now, w): // after its time in quarantine, a worker gets a single run as a trial
+	case s.quarantined(now, w): // after its time in quarantine, a worker gets a single run as a trial
 		return blockedByQuarantine
 	}
-	return lacksNothing
+	return notBlocked
 }
 
 // capacityBlocker returns blockedByMemory for a worker on which a task would fit but for its memory, else
@@ -69,20 +69,20 @@
 	waitLogInterval = 5 * time.Second
 )
 
-// tellWait logs, for a task that has waited for long, on how many usable workers each condition blocks its placement.
-func (s *State) tellWait(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) {
+// logWait logs, for a task that has waited for long, on how many usable workers each condition blocks its placement.
+func (s *State) logWait(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) {
 	u := t.Unit
 	waited := now.Sub(u.ReadyAt)
-	if waited < waitLogAfter || now.Sub(u.WaitToldAt) < waitLogInterval {
+	if waited < waitLogAfter || now.Sub(u.WaitLoggedAt) < waitLogInterval {
 		return
 	}
-	u.WaitToldAt = now
+	u.WaitLoggedAt = now
 	counts := map[blocker]int{}
 	for _, w := range usable {
-		counts[s.lacks(now, u, service, w)]++
+		counts[s.placementBlocker(now, u, service, w)]++
 	}
 	s.note(Note{
-		What: NoteWaits, Job: u.Job.Spec.GetId(), Task: t.Name(), AgeMs: waited.Milliseconds(),
+		Kind: NoteWaits, Job: u.Job.Spec.GetId(), Task: t.Name(), AgeMs: waited.Milliseconds(),
 		Detail: fmt.Sprintf("%d usable workers lack: %v", len(usable), counts),
 	})
 }
--- a/pkg/process/cell/leaving.go
+++ b/pkg/process/cell/leaving.go
@@ -11,10 +11,10 @@
 // run to go on there. A stop takes part of that time.
 const leavingMargin = 300 * time.Millisecond
 
-// leave stops the runs that leaving workers can't finish in the time they have left. Their tasks go on elsewhere from a
+// stopOnLeavingWorkers stops the runs that leaving workers can't finish in the time they have left. Their tasks go on elsewhere from a
 // checkpoint. Runs that can finish there stay.
-func (s *State) leave(now time.Time) {
-	for _, w := range s.sorted() {
+func (s *State) stopOnLeavingWorkers(now time.Time) {
+	for _, w := range s.workersByID() {
 		if !w.Leaving || w.Gone || !w.SilentSince.IsZero() {
 			continue
 		}
@@ -23,7 +23,7 @@
 			if r.State != jobs.Running || !s.cannotFinish(now, r, left) || s.settlesSoon(now, w, r, left) {
 				continue
 			}
-			s.stop(now, w, r, "its worker is leaving")
+			s.stopRun(now, w, r, "its worker is leaving")
 		}
 	}
 }
@@ -34,7 +34,7 @@
 // settlesSoon returns whether a run is better stopped a little later: its lasting task settles soon and may then start
 // elsewhere at once, and the worker has enough time left to wait for that.
 func (s *State) settlesSoon(now time.Time, w *workers.Worker, r *jobs.Run, left time.Duration) bool {
-	wait := earlierPollWindow + lookWait - now.Sub(w.HeardAt)
+	wait := earlierPollWindow + pollWait - now.Sub(w.FirstAnswerAt)
 	return r.Task.Unit.Lasting() && !r.Task.Settled && wait > 0 && left-wait > stopDuration
 }
 
@@ -49,7 +49,7 @@
 // remainingTime estimates how much longer a run takes: from its progress so far or, while it has made none, from the run
 // times learned for its queue and the estimate that its caller declared.
 func (s *State) remainingTime(now time.Time, r *jobs.Run) time.Duration {
-	guess := s.taskTime(r.Task.Unit)
+	guess := s.estimatedTaskTime(r.Task.Unit)
 	if r.Percent <= 0 {
 		return max(0, guess-now.Sub(r.BeganAt))
 	}
--- a/pkg/process/cell/lend.go
+++ b/pkg/process/cell/lend.go
@@ -49,44 +49,44 @@
 	// room for it. That cell keeps short tasks off a worker until the task fits, which a cell full of lasting tasks
 	// can't do. It costs short tasks their capacity, so it is only for a wait that would not end otherwise.
 	delegateToMakeRoomAfter = 10 * time.Second
-	// othersFresh is the greatest age at which another cell's load message is used.
-	othersFresh = 3 * time.Second
+	// peerLoadMaxAge is the greatest age at which another cell's load message is used.
+	peerLoadMaxAge = 3 * time.Second
 	// tableConfirmedWithin is the greatest age of the last leadership renewal at which the table counts as available.
 	// Renewals come every 0.4 s.
 	tableConfirmedWithin = time.Second
 )
 
-// otherLoad is the last load message from the leader of another cell.
-type otherLoad struct {
+// peerLoad is the last load message from the leader of another cell.
+type peerLoad struct {
 	load *wire.CellLoad
-	// at is when the message was received.
-	at time.Time
+	// receivedAt is when the message was received.
+	receivedAt time.Time
 	// delegatedLasting, delegatedFillers and delegatedShort are the millicores of lasting tasks, fillers and other
 	// short tasks that were delegated to the cell since the message.
 	delegatedLasting, delegatedFillers, delegatedShort int64
 }
 
-// tableAnswers returns whether a write to the table is likely to succeed soon: no part of the table failed its last
+// tableAvailable returns whether a write to the table is likely to succeed soon: no part of the table failed its last
 // write, and the leadership was renewed within
 // tableConfirmedWithin.
-func (s *State) tableAnswers(now time.Time) bool {
-	for _, p := range s.parts {
+func (s *State) tableAvailable(now time.Time) bool {
+	for _, p := range s.writers {
 		if p.failing {
 			return false
 		}
 	}
-	return now.Sub(s.confirmedAt) <= tableConfirmedWithin
+	return now.Sub(s.leadershipConfirmedAt) <= tableConfirmedWithin
 }
 
-// lend delegates tasks that have waited long enough to cells with free capacity. Lasting tasks and gangs that were
+// delegateWaiting delegates tasks that have waited long enough to cells with free capacity. Lasting tasks and gangs that were
 // delegated to this cell and wait too long are returned.
-func (s *State) lend(now time.Time) {
-	if !s.tableAnswers(now) {
+func (s *State) delegateWaiting(now time.Time) {
+	if !s.tableAvailable(now) {
 		return
 	}
 	var units []*jobs.Unit
-	for u := range s.waiting {
-		if (u.Lasting() && s.has(LendLasting)) || s.mayDelegateShort(u) || s.mayDelegateGang(u) {
+	for u := range s.waitingUnits {
+		if (u.Lasting() && s.enabled(LendLasting)) || s.mayDelegateShort(u) || s.mayDelegateGang(u) {
 			units = append(units, u)
 		}
 	}
@@ -106,60 +106,60 @@
 			continue
 		}
 		for _, t := range u.Waiting(now) {
-			waited := now.Sub(waitsSince(t))
+			waited := now.Sub(waitingSince(t))
 			switch {
-			case u.Job.Guest() && now.Sub(waitingHereSince(t)) >= returnAfter:
+			case u.Job.Delegated() && now.Sub(waitingHereSince(t)) >= returnAfter:
 				s.returnTask(now, t)
-			case s.awaitsWord(now, t) && t.Level() >= blame.OnTrial:
+			case s.awaitsCrashOutcome(now, t) && t.Level() >= blame.NeedsIsolation:
 				// The task may be given up once it is known whether its silent worker crashed.
-			case !u.Job.Guest() && waited >= delegateAfter && now.Sub(waitingHereSince(t)) >= ownCellGrace:
+			case !u.Job.Delegated() && waited >= delegateAfter && now.Sub(waitingHereSince(t)) >= ownCellGrace:
 				s.delegateTask(now, t)
 			}
 		}
 	}
 }
 
-// waitsSince returns since when a task has had no run in any cell. For a task that never had one, that is the time at
+// waitingSince returns since when a task has had no run in any cell. For a task that never had one, that is the time at
 // which its job was accepted.
-func waitsSince(t *jobs.Task) time.Time {
-	if t.WaitsSince.IsZero() {
+func waitingSince(t *jobs.Task) time.Time {
+	if t.WaitingSince.IsZero() {
 		return t.Unit.Job.AcceptedAt
 	}
-	return t.WaitsSince
+	return t.WaitingSince
 }
 
 // waitingHereSince returns since when a task has waited in this cell. Where that is not known, it is the time at which
 // this leader found the task's unit ready.
 func waitingHereSince(t *jobs.Task) time.Time {
-	if t.HereSince.IsZero() {
+	if t.InCellSince.IsZero() {
 		return t.Unit.ReadyAt
 	}
-	return t.HereSince
+	return t.InCellSince
 }
 
 // delegateTask delegates a lasting task to another cell, if one can take it.
 func (s *State) delegateTask(now time.Time, t *jobs.Task) {
 	size := t.Unit.Size.Millicores
-	name := s.peerForTask(now, t.Unit, t.RefusedAt)
-	if name == "" && now.Sub(waitsSince(t)) >= delegateToMakeRoomAfter {
-		name = s.peerToMakeRoom(now, t.Unit, t.RefusedAt)
+	name := s.peerForTask(now, t.Unit, t.ReturnedAt)
+	if name == "" && now.Sub(waitingSince(t)) >= delegateToMakeRoomAfter {
+		name = s.peerToMakeRoom(now, t.Unit, t.ReturnedAt)
 	}
 	if name == "" {
 		return
 	}
-	o := s.others[name]
+	o := s.peerLoads[name]
 	o.delegatedLasting += size
-	s.others[name] = o
+	s.peerLoads[name] = o
 	j := t.Unit.Job
-	t.Waited = now.Sub(waitsSince(t))
-	s.lent[j] = append(s.lent[j], j.Lend(name, t))
+	t.WaitedBeforeHandover = now.Sub(waitingSince(t))
+	s.pendingDelegations[j] = append(s.pendingDelegations[j], j.Delegate(name, t))
 	s.markDirty(j, true)
-	s.touch(now, j)
+	s.updateWaiting(now, j)
 	s.note(Note{
-		What: NoteLent, Job: j.Spec.GetId(), Task: t.Name(), AgeMs: now.Sub(o.at).Milliseconds(),
+		Kind: NoteLent, Job: j.Spec.GetId(), Task: t.Name(), AgeMs: now.Sub(o.receivedAt).Milliseconds(),
 		Detail: fmt.Sprintf(
 			"to %s with %d millicores free, %d delegated since that report, waited %s",
-			name, o.load.GetFreeMillicores(), o.delegatedLasting, now.Sub(waitsSince(t)).Round(time.Millisecond),
+			name, o.load.GetFreeMillicores(), o.delegatedLasting, now.Sub(waitingSince(t)).Round(time.Millisecond),
 		),
 	})
 }
@@ -171,61 +171,61 @@
 	if name == "" || j.Spec.GetHome() == "" || len(t.Runs) > 0 {
 		return
 	}
-	t.Waited = now.Sub(waitsSince(t))
-	j.GiveBack(t)
+	t.WaitedBeforeHandover = now.Sub(waitingSince(t))
+	j.ReturnTask(t)
 	s.markDirty(j, true)
-	s.touch(now, j)
+	s.updateWaiting(now, j)
 	s.note(Note{
-		What: NoteGivenBack, Job: j.Spec.GetId(), Task: t.Name(), AgeMs: now.Sub(s.others[name].at).Milliseconds(),
-		Detail: fmt.Sprintf("to %s, capacity in %s, waited %s", j.Spec.GetHome(), name, now.Sub(waitsSince(t)).Round(time.Millisecond)),
+		Kind: NoteGivenBack, Job: j.Spec.GetId(), Task: t.Name(), AgeMs: now.Sub(s.peerLoads[name].receivedAt).Milliseconds(),
+		Detail: fmt.Sprintf("to %s, capacity in %s, waited %s", j.Spec.GetHome(), name, now.Sub(waitingSince(t)).Round(time.Millisecond)),
 	})
 }
 
-// takeReturned applies the report of another cell on tasks that were delegated there: tasks that it returns, tasks
+// takeTasksReturned applies the report of another cell on tasks that were delegated there: tasks that it returns, tasks
 // that are done, and a final failure, which fails the job.
-func (s *State) takeReturned(now time.Time, r *wire.ReturnedTasks) {
+func (s *State) takeTasksReturned(now time.Time, r *wire.ReturnedTasks) {
 	j := s.jobs[r.GetId()]
 	if j == nil || s.phase != leading {
 		return
 	}
 	if j.Ended() {
-		j.TakeBack(r, now, s.newSettled())
+		j.ApplyReturned(r, now, s.newTasksSettled())
 		s.markDirty(j, false) // the transaction that records the end removes the report's row
 		return
 	}
-	news := j.TakeBack(r, now, s.newSettled())
+	news := j.ApplyReturned(r, now, s.newTasksSettled())
 	if !news && r.GetFailed() == "" {
 		return
 	}
 	s.note(Note{
-		What: NoteTakenBack, Job: r.GetId(), AgeMs: -1,
+		Kind: NoteTakenBack, Job: r.GetId(), AgeMs: -1,
 		Detail: fmt.Sprintf("%d tasks returned, %d done, by %s %s", len(r.GetTasks()), len(r.GetDone()), r.GetFrom(), r.GetFailed()),
 	})
 	if r.GetFailed() != "" {
 		s.endJob(now, j, wire.JobPhase_JOB_PHASE_FAILED, r.GetFailed())
 		return
 	}
-	s.recall(now, j)
-	s.holdBackNamed(j)
+	s.restoreEvidence(now, j)
+	s.holdBackTasks(j)
 	s.markDirty(j, true)
-	s.touch(now, j)
+	s.updateWaiting(now, j)
 	s.completeIfDone(now, j)
 }
 
 // mayReceive returns whether a task may be delegated on the load message: it is recent, and its cell has settled, so
 // that a delegated task may start there at once.
-func (o otherLoad) mayReceive(now time.Time) bool {
-	return now.Sub(o.at) <= othersFresh && o.load.GetSettlesInMs() == 0
+func (o peerLoad) mayReceive(now time.Time) bool {
+	return now.Sub(o.receivedAt) <= peerLoadMaxAge && o.load.GetSettlesInMs() == 0
 }
 
 // hasLabelFor returns whether the cell has workers with the label that the unit requires, if it requires one.
-func (o otherLoad) hasLabelFor(u *jobs.Unit) bool {
+func (o peerLoad) hasLabelFor(u *jobs.Unit) bool {
 	return u.Spec.GetLabel() == "" || slices.Contains(o.load.GetLabels(), u.Spec.GetLabel())
 }
 
 // freeEachFor returns the free millicores of each worker of the cell that may take tasks of the unit. Lasting tasks may
 // also take workers that they would share with an isolated run.
-func (o otherLoad) freeEachFor(u *jobs.Unit) []int64 {
+func (o peerLoad) freeEachFor(u *jobs.Unit) []int64 {
 	if each := o.load.GetLastingFreeEach(); u.Lasting() && len(each) > 0 {
 		return each
 	}
@@ -237,7 +237,7 @@
 func (s *State) fitsElsewhere(now time.Time, u *jobs.Unit) int64 {
 	size := max(1, u.Size.Millicores)
 	fits := int64(0)
-	for name, o := range s.others {
+	for name, o := range s.peerLoads {
 		if name == s.name || !o.mayReceive(now) || !o.hasLabelFor(u) {
 			continue
 		}
@@ -258,8 +258,8 @@
 	}
 	size := u.Size.Millicores
 	best, most := "", int64(-1)
-	for _, name := range slices.Sorted(maps.Keys(s.others)) {
-		o := s.others[name]
+	for _, name := range slices.Sorted(maps.Keys(s.peerLoads)) {
+		o := s.peerLoads[name]
 		if name == s.name || now.Sub(returnedAt[name]) < returnBackoff || !o.mayReceive(now) || !o.hasLabelFor(u) {
 			continue
 		}
@@ -283,8 +283,8 @@
 // per message.
 func (s *State) peerToMakeRoom(now time.Time, u *jobs.Unit, returnedAt map[string]time.Time) string {
 	best, most := "", u.Size.Millicores-1
-	for _, name := range slices.Sorted(maps.Keys(s.others)) {
-		o := s.others[name]
+	for _, name := range slices.Sorted(maps.Keys(s.peerLoads)) {
+		o := s.peerLoads[name]
 		if name == s.name || o.delegatedLasting > 0 || !o.hasLabelFor(u) || now.Sub(returnedAt[name]) < returnBackoff || !o.mayReceive(now) {
 			continue
 		}
--- a/pkg/process/cell/lend_gang.go
+++ b/pkg/process/cell/lend_gang.go
@@ -21,8 +21,8 @@
 // mayDelegateGang returns whether a unit is a gang that another cell may run. Gangs of fillers, lasting gangs and gangs
 // whose starts need an advice ticket stay in their cell.
 func (s *State) mayDelegateGang(u *jobs.Unit) bool {
-	_, advised := s.advised(u)
-	return u.Spec.GetGang() && !u.Spec.GetFiller() && !u.Lasting() && !advised && s.has(LendPlain)
+	_, advised := s.ticketValidity(u)
+	return u.Spec.GetGang() && !u.Spec.GetFiller() && !u.Lasting() && !advised && s.enabled(LendPlain)
 }
 
 // delegateGang delegates a gang that has waited long enough to a cell with capacity for all of its tasks. A gang that
@@ -36,14 +36,14 @@
 	if slices.ContainsFunc(u.Tasks, mayHaveRunBefore) {
 		after = delegateRanGangAfter
 	}
-	if slices.ContainsFunc(u.Tasks, s.triedAlone) {
-		after = otherHostFor // another cell would have to run it isolated, too
+	if slices.ContainsFunc(u.Tasks, s.needsIsolation) {
+		after = isolatedOtherHostWait // another cell would have to run it isolated, too
 	}
-	if slices.ContainsFunc(u.Tasks, func(t *jobs.Task) bool { return s.awaitsWord(now, t) }) {
+	if slices.ContainsFunc(u.Tasks, func(t *jobs.Task) bool { return s.awaitsCrashOutcome(now, t) }) {
 		return // the gang may be given up once it is known whether a silent worker crashed
 	}
-	if u.Job.Guest() {
-		if now.Sub(waitsSince(first)) >= returnAfter {
+	if u.Job.Delegated() {
+		if now.Sub(waitingSince(first)) >= returnAfter {
 			for _, t := range u.Tasks {
 				s.returnTask(now, t)
 			}
@@ -53,17 +53,17 @@
 	if waited < after {
 		return
 	}
-	name, fits := s.peerForGang(now, u, first.RefusedAt)
+	name, fits := s.peerForGang(now, u, first.ReturnedAt)
 	if name == "" {
 		return
 	}
 	s.countDelegated(name, u, len(u.Tasks))
 	j := u.Job
-	s.lent[j] = append(s.lent[j], j.Lend(name, u.Tasks...))
+	s.pendingDelegations[j] = append(s.pendingDelegations[j], j.Delegate(name, u.Tasks...))
 	s.markDirty(j, true)
-	s.touch(now, j)
+	s.updateWaiting(now, j)
 	s.note(Note{
-		What: NoteLent, Job: j.Spec.GetId(), Task: first.Name(), AgeMs: now.Sub(s.others[name].at).Milliseconds(),
+		Kind: NoteLent, Job: j.Spec.GetId(), Task: first.Name(), AgeMs: now.Sub(s.peerLoads[name].receivedAt).Milliseconds(),
 		Detail: fmt.Sprintf("gang of %d to %s with capacity for %d, waited %s", len(u.Tasks), name, fits, waited.Round(time.Millisecond)),
 	})
 }
@@ -71,7 +71,7 @@
 // mayHaveRunBefore returns whether a task has run, or may have: it may have been started here, or a crash, a failed run
 // or a checkpoint of it is known.
 func mayHaveRunBefore(t *jobs.Task) bool {
-	return t.Tried || len(t.Crashes) > 0 || len(t.FailedRuns) > 0 || t.Checkpoint != ""
+	return t.MayHaveRun || len(t.Crashes) > 0 || len(t.FailedRuns) > 0 || t.Checkpoint != ""
 }
 
 // peerForGang returns the cell with capacity for the most tasks of a gang, and for how many. It returns "" if no cell
@@ -79,8 +79,8 @@
 // are skipped.
 func (s *State) peerForGang(now time.Time, u *jobs.Unit, returnedAt map[string]time.Time) (best string, most int64) {
 	size := max(1, u.Size.Millicores)
-	for _, name := range slices.Sorted(maps.Keys(s.others)) {
-		o := s.others[name]
+	for _, name := range slices.Sorted(maps.Keys(s.peerLoads)) {
+		o := s.peerLoads[name]
 		if name == s.name || now.Sub(returnedAt[name]) < returnBackoff || !o.mayReceive(now) || !o.hasLabelFor(u) {
 			continue
 		}
--- a/pkg/process/cell/lend_short.go
+++ b/pkg/process/cell/lend_short.go
@@ -25,12 +25,12 @@
 // mayDelegateShort returns whether each task of a unit may run by itself in any cell. Lasting tasks, gangs, tasks that
 // require a label or rack, tasks whose starts need an advice ticket, and tasks delegated to this cell may not.
 func (s *State) mayDelegateShort(u *jobs.Unit) bool {
-	if (u.Spec.GetFiller() && !s.has(LendFillers)) || (!u.Spec.GetFiller() && !s.has(LendPlain)) {
+	if (u.Spec.GetFiller() && !s.enabled(LendFillers)) || (!u.Spec.GetFiller() && !s.enabled(LendPlain)) {
 		return false
 	}
-	_, advised := s.advised(u)
+	_, advised := s.ticketValidity(u)
 	bound := u.Spec.GetGang() || u.Spec.GetLabel() != "" || u.Spec.GetRack() != ""
-	return !u.Lasting() && !bound && !advised && !u.Job.Guest()
+	return !u.Lasting() && !bound && !advised && !u.Job.Delegated()
 }
 
 // delegateShort delegates waiting tasks of a unit to the cell where most of them could start at once. Only tasks that
@@ -59,31 +59,31 @@
 	}
 	s.countDelegated(name, u, n)
 	j := u.Job
-	s.lent[j] = append(s.lent[j], j.Lend(name, neverRun[:n]...))
+	s.pendingDelegations[j] = append(s.pendingDelegations[j], j.Delegate(name, neverRun[:n]...))
 	s.markDirty(j, true)
-	s.touch(now, j)
+	s.updateWaiting(now, j)
 	s.note(Note{
-		What: NoteLent, Job: j.Spec.GetId(), Task: neverRun[0].Name(), AgeMs: now.Sub(s.others[name].at).Milliseconds(),
+		Kind: NoteLent, Job: j.Spec.GetId(), Task: neverRun[0].Name(), AgeMs: now.Sub(s.peerLoads[name].receivedAt).Milliseconds(),
 		Detail: fmt.Sprintf("%d of %d waiting tasks to %s with capacity for %d, waited %s", n, len(neverRun), name, delegable, waited.Round(time.Millisecond)),
 	})
 }
 
 // countDelegated adds n short tasks of a unit to what was delegated to a cell since its last load message.
 func (s *State) countDelegated(name string, u *jobs.Unit, n int) {
-	o := s.others[name]
+	o := s.peerLoads[name]
 	if u.Spec.GetFiller() {
 		o.delegatedFillers += int64(n) * u.Size.Millicores
 	} else {
 		o.delegatedShort += int64(n) * u.Size.Millicores
 	}
-	s.others[name] = o
+	s.peerLoads[name] = o
 }
 
 // peerForShort returns the cell where most tasks of a unit could start at once, and how many may be delegated to it
 // on its last load message; "" and 0 if there is none.
 func (s *State) peerForShort(now time.Time, u *jobs.Unit) (best string, most int) {
-	for _, name := range slices.Sorted(maps.Keys(s.others)) {
-		o := s.others[name]
+	for _, name := range slices.Sorted(maps.Keys(s.peerLoads)) {
+		o := s.peerLoads[name]
 		if name == s.name || !o.mayReceive(now) {
 			continue
 		}
@@ -95,7 +95,7 @@
 }
 
 // delegableTasks returns how many more tasks of a unit may be delegated to the cell on its last load message.
-func (o otherLoad) delegableTasks(u *jobs.Unit) int {
+func (o peerLoad) delegableTasks(u *jobs.Unit) int {
 	size := max(1, u.Size.Millicores)
 	if u.Spec.GetFiller() {
 		return int((o.load.GetFillerFreeMillicores()[u.Image()] - o.delegatedFillers) / size)
--- a/pkg/process/cell/lend_short_test.go
+++ b/pkg/process/cell/lend_short_test.go
@@ -14,8 +14,8 @@
 )
 
 // loadWithFillerCapacity returns a load message in which the named cell has free millicores for fillers of an image.
-func loadWithFillerCapacity(name, image string, millicores int64) cell.OtherLoad {
-	return cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: name, FillerFreeMillicores: map[string]int64{image: millicores}}}
+func loadWithFillerCapacity(name, image string, millicores int64) cell.PeerLoad {
+	return cell.PeerLoad{Load: &wire.CellLoad{Leading: true, Cell: name, FillerFreeMillicores: map[string]int64{image: millicores}}}
 }
 
 // twoFillerSteps are two steps of fillers of different images, the second after the first.
@@ -27,7 +27,7 @@
 }
 
 // fillWorkers fills all workers with lasting tasks and fillers, so that no processors are unused.
-func (b *busyCell) fillWorkers() {
+func (b *testCell) fillWorkers() {
 	b.accept("00000000000000aa", "watches", &wire.StepSpec{Count: 16, Millicores: 32000, Lasting: true, TailTargetMs: 100, Image: "s1"})
 	b.accept("00000000000000ab", "offers", &wire.StepSpec{Count: 64, Millicores: 4000, Filler: true, EstimateMs: 60_000, Image: "f9"})
 	for range 20 {
@@ -41,18 +41,18 @@
 	t.Parallel()
 	b := newEmptyCell()
 	b.fillWorkers()
-	b.accept(lentJob, "offers", twoFillerSteps()...)
+	b.accept(delegatedJob, "offers", twoFillerSteps()...)
 	for range 20 {
 		b.state.Take(b.now, loadWithFillerCapacity("other", "f1", 8000))
 		b.step(50 * time.Millisecond)
 	}
 	delegated := &wire.JobSpec{}
-	b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, delegated)) })
+	b.eachPut(t, rows.SpecKey("other", delegatedJob), func(r table.Row) { must.NoError(t, rows.Read(r, delegated)) })
 	must.Eq(t, "hall", delegated.GetHome())
 	must.Len(t, 3, delegated.GetGuest(), must.Sprint("two on one load message, the third on a later one; the second step isn't ready"))
-	must.False(t, b.started[lentJob+".0.0.0"])
+	must.False(t, b.started[delegatedJob+".0.0.0"])
 	var notified int
-	for _, w := range b.words {
+	for _, w := range b.notifications {
 		if w.Lent != nil {
 			notified++
 			must.Eq(t, "other", w.Cell)
@@ -61,35 +61,35 @@
 	must.Positive(t, notified, must.Sprint("the other cell's leader is notified at once"))
 
 	// Tasks that the other cell reports as done count as done here, and the next step follows.
-	done := &wire.ReturnedTasks{Id: lentJob, From: "other", Home: "hall", Done: delegated.GetGuest()}
-	b.state.Take(b.now, cell.Returned{Tasks: done})
-	b.state.Take(b.now, cell.Returned{Tasks: done})
+	done := &wire.ReturnedTasks{Id: delegatedJob, From: "other", Home: "hall", Done: delegated.GetGuest()}
+	b.state.Take(b.now, cell.TasksReturned{Tasks: done})
+	b.state.Take(b.now, cell.TasksReturned{Tasks: done})
 	var second *wire.JobSpec
 	for range 20 {
 		b.state.Take(b.now, loadWithFillerCapacity("other", "f2", 8000))
 		b.step(50 * time.Millisecond)
-		b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) {
+		b.eachPut(t, rows.SpecKey("other", delegatedJob), func(r table.Row) {
 			second = &wire.JobSpec{}
 			must.NoError(t, rows.Read(r, second))
 		})
 	}
 	must.Len(t, 2, second.GetGuest())
 	must.Eq(t, 1, second.GetGuest()[0].GetStep())
-	b.state.Take(b.now, cell.Returned{Tasks: &wire.ReturnedTasks{Id: lentJob, From: "other", Home: "hall", Done: second.GetGuest()}})
+	b.state.Take(b.now, cell.TasksReturned{Tasks: &wire.ReturnedTasks{Id: delegatedJob, From: "other", Home: "hall", Done: second.GetGuest()}})
 	b.step(200 * time.Millisecond)
 	progress := &wire.JobProgress{}
-	b.putsOf(t, rows.ProgressKey("hall", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, progress)) })
+	b.eachPut(t, rows.ProgressKey("hall", delegatedJob), func(r table.Row) { must.NoError(t, rows.Read(r, progress)) })
 	must.Eq(t, wire.JobPhase_JOB_PHASE_COMPLETED, progress.GetPhase())
-	must.True(t, b.removed(rows.ReturnKey("hall", lentJob, "other")))
+	must.True(t, b.rowRemoved(rows.ReturnKey("hall", delegatedJob, "other")))
 	cancelled := false
-	b.putsOf(t, rows.CancelKey("other", lentJob), func(table.Row) { cancelled = true })
+	b.eachPut(t, rows.CancelKey("other", delegatedJob), func(table.Row) { cancelled = true })
 	must.True(t, cancelled, must.Sprint("the other cell is told to drop the job"))
 }
 
 // delegatedSpec is the specification that cell "home" writes when it delegates two tasks to cell "hall".
 func delegatedSpec() *wire.JobSpec {
 	return &wire.JobSpec{
-		Id: lentJob, Queue: "offers", Service: "quotes", Cell: "hall", Home: "home", Steps: twoFillerSteps(),
+		Id: delegatedJob, Queue: "offers", Service: "quotes", Cell: "hall", Home: "home", Steps: twoFillerSteps(),
 		Guest: []*wire.TaskRef{{Step: 1, Lending: 1}, {Step: 1, Index: 1, Lending: 1}},
 	}
 }
@@ -98,22 +98,22 @@
 func TestTargetCellReportsDoneTasks(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.state.Take(b.now, cell.Accepted{Spec: delegatedSpec()})
+	b.state.Take(b.now, cell.JobAccepted{Spec: delegatedSpec()})
 	b.step(50 * time.Millisecond)
-	must.True(t, b.started[lentJob+".0.1.0"], must.Sprint("its step was ready when the task was delegated"))
-	must.False(t, b.started[lentJob+".0.0.0"])
-	b.finish(lentJob+".0.1.0", workers.EndedDone)
-	b.finish(lentJob+".0.1.1", workers.EndedDone)
+	must.True(t, b.started[delegatedJob+".0.1.0"], must.Sprint("its step was ready when the task was delegated"))
+	must.False(t, b.started[delegatedJob+".0.0.0"])
+	b.finish(delegatedJob+".0.1.0", workers.EndedDone)
+	b.finish(delegatedJob+".0.1.1", workers.EndedDone)
 	for range 10 {
 		b.step(50 * time.Millisecond)
 	}
 	report := &wire.ReturnedTasks{}
-	b.putsOf(t, rows.ReturnKey("home", lentJob, "hall"), func(r table.Row) { must.NoError(t, rows.Read(r, report)) })
+	b.eachPut(t, rows.ReturnKey("home", delegatedJob, "hall"), func(r table.Row) { must.NoError(t, rows.Read(r, report)) })
 	must.Eq(t, "home", report.GetHome())
 	must.Len(t, 2, report.GetDone())
 	must.Len(t, 0, report.GetTasks())
 	var notified *wire.ReturnedTasks
-	for _, w := range b.words {
+	for _, w := range b.notifications {
 		if w.Returned != nil {
 			must.Eq(t, "home", w.Cell)
 			notified = w.Returned
@@ -122,7 +122,7 @@
 	must.NotNil(t, notified)
 	must.Len(t, 2, notified.GetDone())
 	progress := &wire.JobProgress{}
-	b.putsOf(t, rows.ProgressKey("hall", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, progress)) })
+	b.eachPut(t, rows.ProgressKey("hall", delegatedJob), func(r table.Row) { must.NoError(t, rows.Read(r, progress)) })
 	must.NotEq(t, wire.JobPhase_JOB_PHASE_COMPLETED, progress.GetPhase(), must.Sprint("only the home cell ends the job"))
 }
 
@@ -130,26 +130,26 @@
 func TestFinalFailureInTargetCellFailsJob(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.state.Take(b.now, cell.Accepted{Spec: delegatedSpec()})
+	b.state.Take(b.now, cell.JobAccepted{Spec: delegatedSpec()})
 	for range 3 { // the queue's MaxAttempts
 		b.step(50 * time.Millisecond)
-		b.finish(lentJob+".0.1.0", workers.EndedFailed)
+		b.finish(delegatedJob+".0.1.0", workers.EndedFailed)
 		for range 10 {
 			b.step(50 * time.Millisecond)
 		}
 	}
 	report := &wire.ReturnedTasks{}
-	b.putsOf(t, rows.ReturnKey("home", lentJob, "hall"), func(r table.Row) { must.NoError(t, rows.Read(r, report)) })
+	b.eachPut(t, rows.ReturnKey("home", delegatedJob, "hall"), func(r table.Row) { must.NoError(t, rows.Read(r, report)) })
 	must.StrContains(t, report.GetFailed(), "failed 3 times of 3")
 
 	home := newEmptyCell()
 	home.fillWorkers()
-	home.accept(lentJob, "offers", twoFillerSteps()...)
+	home.accept(delegatedJob, "offers", twoFillerSteps()...)
 	home.step(50 * time.Millisecond)
-	home.state.Take(home.now, cell.Returned{Tasks: &wire.ReturnedTasks{Id: lentJob, From: "other", Home: "hall", Failed: report.GetFailed()}})
+	home.state.Take(home.now, cell.TasksReturned{Tasks: &wire.ReturnedTasks{Id: delegatedJob, From: "other", Home: "hall", Failed: report.GetFailed()}})
 	home.step(200 * time.Millisecond)
 	progress := &wire.JobProgress{}
-	home.putsOf(t, rows.ProgressKey("hall", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, progress)) })
+	home.eachPut(t, rows.ProgressKey("hall", delegatedJob), func(r table.Row) { must.NoError(t, rows.Read(r, progress)) })
 	must.Eq(t, wire.JobPhase_JOB_PHASE_FAILED, progress.GetPhase())
 }
 
@@ -157,15 +157,15 @@
 func TestFailedFillerIsNotDelegated(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.accept(lentJob, "offers", &wire.StepSpec{Count: 1, Millicores: 3500, Filler: true, EstimateMs: 1000, Image: "f1"})
+	b.accept(delegatedJob, "offers", &wire.StepSpec{Count: 1, Millicores: 3500, Filler: true, EstimateMs: 1000, Image: "f1"})
 	b.step(50 * time.Millisecond)
 	b.fillWorkers()
-	b.finish(lentJob+".0.0.0", workers.EndedFailed)
+	b.finish(delegatedJob+".0.0.0", workers.EndedFailed)
 	for range 40 {
 		b.state.Take(b.now, loadWithFillerCapacity("other", "f1", 100_000))
 		b.step(50 * time.Millisecond)
 	}
-	for _, w := range b.words {
+	for _, w := range b.notifications {
 		must.Nil(t, w.Lent, must.Sprint("delegated after a failure"))
 	}
 }
@@ -176,24 +176,24 @@
 	t.Parallel()
 	b := newEmptyCell()
 	b.fillWorkers()
-	b.accept(lentJob, "offers", &wire.StepSpec{Count: 8, Millicores: 3000, EstimateMs: 500})
+	b.accept(delegatedJob, "offers", &wire.StepSpec{Count: 8, Millicores: 3000, EstimateMs: 500})
 	for range 6 {
-		b.state.Take(b.now, cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{7000, 2900, 6100, 500}}})
+		b.state.Take(b.now, cell.PeerLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{7000, 2900, 6100, 500}}})
 		b.step(50 * time.Millisecond)
 	}
 	delegated := &wire.JobSpec{}
-	b.putsOf(t, rows.SpecKey("other", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, delegated)) })
+	b.eachPut(t, rows.SpecKey("other", delegatedJob), func(r table.Row) { must.NoError(t, rows.Read(r, delegated)) })
 	must.Positive(t, len(delegated.GetGuest()))
 	must.Eq(t, "hall", delegated.GetHome())
 
 	bound := newEmptyCell()
 	bound.fillWorkers()
-	bound.accept(lentJob, "offers", &wire.StepSpec{Count: 8, Millicores: 3000, EstimateMs: 500, Gang: true})
+	bound.accept(delegatedJob, "offers", &wire.StepSpec{Count: 8, Millicores: 3000, EstimateMs: 500, Gang: true})
 	for range 6 {
-		bound.state.Take(bound.now, cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{32000, 32000}}})
+		bound.state.Take(bound.now, cell.PeerLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{32000, 32000}}})
 		bound.step(50 * time.Millisecond)
 	}
-	for _, w := range bound.words {
+	for _, w := range bound.notifications {
 		must.Nil(t, w.Lent, must.Sprint("a gang runs in one cell"))
 	}
 }
@@ -203,16 +203,16 @@
 func TestShortTaskOfSilentWorkerIsNotDelegated(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.accept(lentJob, "offers", &wire.StepSpec{Count: 1, Millicores: 3000, EstimateMs: 60_000})
+	b.accept(delegatedJob, "offers", &wire.StepSpec{Count: 1, Millicores: 3000, EstimateMs: 60_000})
 	b.step(50 * time.Millisecond)
-	must.True(t, b.started[lentJob+".0.0.0"])
+	must.True(t, b.started[delegatedJob+".0.0.0"])
 	b.fillWorkers()
-	b.finish(lentJob+".0.0.0", workers.EndedLapsed)
+	b.finish(delegatedJob+".0.0.0", workers.EndedLapsed)
 	for range 40 {
-		b.state.Take(b.now, cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{32000, 32000}}})
+		b.state.Take(b.now, cell.PeerLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{32000, 32000}}})
 		b.step(50 * time.Millisecond)
 	}
-	for _, w := range b.words {
+	for _, w := range b.notifications {
 		must.Nil(t, w.Lent)
 	}
 }
@@ -223,23 +223,23 @@
 	t.Parallel()
 	b := newEmptyCell()
 	b.fillWorkers()
-	b.down = true
+	b.tableDown = true
 	for range 22 {
 		b.step(50 * time.Millisecond)
 	}
-	b.accept(lentJob, "offers", &wire.StepSpec{Count: 2, Millicores: 3000, EstimateMs: 500})
-	load := cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{32000, 32000}}}
+	b.accept(delegatedJob, "offers", &wire.StepSpec{Count: 2, Millicores: 3000, EstimateMs: 500})
+	load := cell.PeerLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", FreeEach: []int64{32000, 32000}}}
 	for range 16 {
 		b.state.Take(b.now, load)
 		b.step(50 * time.Millisecond)
 	}
 	b.finish("00000000000000aa.0.0.0", workers.EndedLapsed)
-	b.state.Take(b.now, cell.CancelAsked{ID: "00000000000000aa"})
+	b.state.Take(b.now, cell.CancelRequested{ID: "00000000000000aa"})
 	for range 4 {
 		b.step(50 * time.Millisecond)
 	}
-	must.True(t, b.started[lentJob+".0.0.0"], must.Sprint("capacity in its own cell is used"))
+	must.True(t, b.started[delegatedJob+".0.0.0"], must.Sprint("capacity in its own cell is used"))
 	for _, n := range b.notes {
-		must.NotEq(t, cell.NoteLent, n.What)
+		must.NotEq(t, cell.NoteLent, n.Kind)
 	}
 }
--- a/pkg/process/cell/lend_wait_test.go
+++ b/pkg/process/cell/lend_wait_test.go
@@ -16,20 +16,20 @@
 func TestNoTaskIsDelegatedToUnsettledCell(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
-	b.accept(lentJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
+	b.accept(delegatedJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
 	delegated := func() bool {
 		found := false
-		b.putsOf(t, rows.SpecKey("other", lentJob), func(table.Row) { found = true })
+		b.eachPut(t, rows.SpecKey("other", delegatedJob), func(table.Row) { found = true })
 		return found
 	}
-	load := roomAt("other")
+	load := loadWithCapacity("other")
 	load.Load.SettlesInMs = 8000
 	for range 60 {
 		b.state.Take(b.now, load)
 		b.step(50 * time.Millisecond)
 	}
 	must.False(t, delegated())
-	b.state.Take(b.now, roomAt("other"))
+	b.state.Take(b.now, loadWithCapacity("other"))
 	b.step(100 * time.Millisecond)
 	must.True(t, delegated())
 }
@@ -38,9 +38,9 @@
 func TestLoadReportsTimeUntilCellSettles(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
-	v.run(time.Second)
+	v.runUntilStart(time.Second)
 	must.Between(t, 13000, v.state.Load(v.now, false).GetSettlesInMs(), 14100)
-	v.run(15 * time.Second)
+	v.runUntilStart(15 * time.Second)
 	must.Eq(t, 0, v.state.Load(v.now, false).GetSettlesInMs())
 }
 
@@ -49,22 +49,22 @@
 func TestWaitOfLastingTaskCountsAcrossHandovers(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
-	b.accept(lentJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
+	b.accept(delegatedJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
 	for range 60 {
-		b.state.Take(b.now, roomAt("full"))
+		b.state.Take(b.now, loadWithCapacity("full"))
 		b.step(50 * time.Millisecond)
 	}
 	spec := &wire.JobSpec{}
-	b.putsOf(t, rows.SpecKey("full", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, spec)) })
+	b.eachPut(t, rows.SpecKey("full", delegatedJob), func(r table.Row) { must.NoError(t, rows.Read(r, spec)) })
 	must.Between(t, 2000, spec.GetGuest()[0].GetWaitedMs(), 2200)
-	b.state.Take(b.now, cell.Returned{Tasks: &wire.ReturnedTasks{Id: lentJob, From: "full", Tasks: []*wire.TaskRef{{Lending: 1, WaitedMs: 3600}}}})
+	b.state.Take(b.now, cell.TasksReturned{Tasks: &wire.ReturnedTasks{Id: delegatedJob, From: "full", Tasks: []*wire.TaskRef{{Lending: 1, WaitedMs: 3600}}}})
 	b.records = nil
 	for range 10 {
-		b.state.Take(b.now, roomAt("third"))
+		b.state.Take(b.now, loadWithCapacity("third"))
 		b.step(50 * time.Millisecond)
 	}
 	spec = &wire.JobSpec{}
-	b.putsOf(t, rows.SpecKey("third", lentJob), func(r table.Row) { must.NoError(t, rows.Read(r, spec)) })
+	b.eachPut(t, rows.SpecKey("third", delegatedJob), func(r table.Row) { must.NoError(t, rows.Read(r, spec)) })
 	must.Len(t, 1, spec.GetGuest())
 	must.Between(t, 3900, spec.GetGuest()[0].GetWaitedMs(), 4200)
 }
@@ -73,23 +73,23 @@
 func TestDelegatedTaskThatLosesItsRunRestartsInSameCell(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.state.Take(b.now, cell.Accepted{Spec: &wire.JobSpec{
-		Id: lentJob, Queue: "watches", Service: "quotes", Cell: "hall", Home: "home",
+	b.state.Take(b.now, cell.JobAccepted{Spec: &wire.JobSpec{
+		Id: delegatedJob, Queue: "watches", Service: "quotes", Cell: "hall", Home: "home",
 		Steps: []*wire.StepSpec{{Count: 1, Millicores: 6000, Lasting: true}}, Guest: []*wire.TaskRef{{Lending: 1}},
 	}})
 	b.step(100 * time.Millisecond)
-	task := lentJob + ".0.0.0"
-	first := b.at[task]
+	task := delegatedJob + ".0.0.0"
+	first := b.workerOf[task]
 	must.NotEq(t, "", first)
 	b.silent[first] = true
 	b.records = nil
-	b.list(16)
+	b.register(16)
 	for range 60 {
-		b.state.Take(b.now, roomAt("third"))
+		b.state.Take(b.now, loadWithCapacity("third"))
 		b.step(100 * time.Millisecond)
 	}
-	must.NotEq(t, first, b.at[task])
-	b.putsOf(t, rows.ReturnKey("home", lentJob, "hall"), func(table.Row) { t.Error("returned") })
+	must.NotEq(t, first, b.workerOf[task])
+	b.eachPut(t, rows.ReturnKey("home", delegatedJob, "hall"), func(table.Row) { t.Error("returned") })
 }
 
 // A lasting task whose worker fell silent is delegated once its lease is over, although it is not known whether the
@@ -97,7 +97,7 @@
 func TestLastingTaskOfSilentWorkerIsDelegatedAfterItsLease(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.accept(lentJob, "watches", &wire.StepSpec{Count: 16, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
+	b.accept(delegatedJob, "watches", &wire.StepSpec{Count: 16, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
 	for range 25 {
 		b.step(100 * time.Millisecond)
 	}
@@ -106,9 +106,9 @@
 	b.records = nil
 	delegated := false
 	for range 55 {
-		b.state.Take(b.now, roomAt("other"))
+		b.state.Take(b.now, loadWithCapacity("other"))
 		b.step(100 * time.Millisecond)
-		b.putsOf(t, rows.SpecKey("other", lentJob), func(table.Row) { delegated = true })
+		b.eachPut(t, rows.SpecKey("other", delegatedJob), func(table.Row) { delegated = true })
 	}
 	must.True(t, delegated)
 }
@@ -126,8 +126,8 @@
 			crash := func(worker string, silent bool) *wire.CrashNote {
 				return &wire.CrashNote{Worker: worker, Run: 1, Host: worker, Began: true, Company: 9, Lives: 1, Silent: silent}
 			}
-			b.state.Take(b.now, cell.Accepted{Spec: &wire.JobSpec{
-				Id: lentJob, Cell: "hall", Home: "other", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{step},
+			b.state.Take(b.now, cell.JobAccepted{Spec: &wire.JobSpec{
+				Id: delegatedJob, Cell: "hall", Home: "other", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{step},
 				Guest: []*wire.TaskRef{{Lending: 1, WaitedMs: 11000, Crashes: []*wire.CrashNote{crash("a", false), crash("b", false), crash("c", true)}}},
 			}})
 			for range 20 {
--- a/pkg/process/cell/lists.go
+++ b/pkg/process/cell/lists.go
@@ -13,14 +13,14 @@
 
 // reconcileActive compares a worker's list of active runs with the runs that the leader knows there. It adopts or
 // stops runs that only the worker lists, and presumes runs over that the worker should list and does not.
-func (s *State) reconcileActive(now time.Time, w *workers.Worker, e Looked) {
+func (s *State) reconcileActive(now time.Time, w *workers.Worker, e PollAnswered) {
 	listed := map[*jobs.Run]bool{}
 	foreign := ledger.Size{}
-	w.NewStrays = nil
+	w.NewOrphanedRuns = nil
 	for _, a := range e.Report.Active {
 		r := s.runOfLine(now, w, a)
 		if r == nil {
-			t := s.task(a.Task)
+			t := s.taskNamed(a.Task)
 			if t != nil {
 				foreign = foreign.Plus(workers.Reserved(t.Unit))
 			}
@@ -33,13 +33,13 @@
 		s.settleListedRun(w, r, e.SentAt)
 		s.updateRun(now, w, r, a)
 	}
-	w.SetForeign(foreign)
-	w.Strays, w.NewStrays = w.NewStrays, nil
-	if e.Report.Odd != w.Odd {
-		w.Odd = e.Report.Odd
-		s.note(Note{What: NoteUnreadable, Worker: w.ID, Detail: fmt.Sprintf("%d unreadable lines in its lists", e.Report.Odd), AgeMs: -1})
+	w.SetForeignSize(foreign)
+	w.OrphanedRuns, w.NewOrphanedRuns = w.NewOrphanedRuns, nil
+	if e.Report.UnreadableLines != w.UnreadableLines {
+		w.UnreadableLines = e.Report.UnreadableLines
+		s.note(Note{Kind: NoteUnreadable, Worker: w.ID, Detail: fmt.Sprintf("%d unreadable lines in its lists", e.Report.UnreadableLines), AgeMs: -1})
 	}
-	if w.Odd > 0 {
+	if w.UnreadableLines > 0 {
 		return // a run that seems to be missing may be on an unreadable line
 	}
 	for _, r := range w.Runs {
@@ -64,13 +64,13 @@
 // runOfLine returns the run that a line of a worker's list is about. It adopts a run of an earlier leader. It returns
 // nil if the task is unknown, or if the run must not go on.
 func (s *State) runOfLine(now time.Time, w *workers.Worker, a workers.Active) *jobs.Run {
-	t := s.task(a.Task)
+	t := s.taskNamed(a.Task)
 	if t == nil {
 		return nil
 	}
 	if r := t.Run(a.Run, w.ID); r != nil {
 		if r.State == jobs.Sent || r.State == jobs.Unsure {
-			s.began(now, r)
+			s.runBegan(now, r)
 		}
 		return r
 	}
@@ -79,30 +79,30 @@
 	}
 	r := &jobs.Run{
 		Task: t, Number: a.Run, Worker: w.ID, State: jobs.Running, SentAt: now, AckedAt: now,
-		BeganAt: now, ProgressAt: now, Percent: a.Percent, Pace: 100, PaceWanted: 100, Resumed: true, OnTrial: s.triedAlone(t),
+		BeganAt: now, ProgressAt: now, Percent: a.Percent, Pace: 100, PaceWanted: 100, Resumed: true, Isolated: s.needsIsolation(t),
 	}
 	if t.Unit.Spec.GetFiller() {
 		r.Pace = jobs.PaceUnknown // the earlier leader may have paused it
 	}
 	t.Runs = append(t.Runs, r)
-	t.Tried = true
+	t.MayHaveRun = true
 	w.Add(r)
-	s.began(now, r)
-	s.note(Note{What: NoteAdopted, Job: t.Unit.Job.Spec.GetId(), Task: a.Task, Run: a.Run, Worker: w.ID, AgeMs: -1})
-	s.touch(now, t.Unit.Job)
+	s.runBegan(now, r)
+	s.note(Note{Kind: NoteAdopted, Job: t.Unit.Job.Spec.GetId(), Task: a.Task, Run: a.Run, Worker: w.ID, AgeMs: -1})
+	s.updateWaiting(now, t.Unit.Job)
 	return r
 }
 
 // earlierPollWindow is how long after its first answer to this leader a worker may still answer a poll of an earlier leader
 // with a list. A poll that reached the worker before this leader's fence waits there for as long as any poll may.
-const earlierPollWindow = idleWait + 300*time.Millisecond
+const earlierPollWindow = idlePollWait + 300*time.Millisecond
 
 // settleListedRun settles the lasting task of a run that its worker lists, once no poll of an earlier leader can be
 // answered there any more. The task has no other run while this one goes on, and an earlier leader would start the task
 // again only after it had received the end of this run. Other tasks are not settled here: a failure that counts towards
 // their attempts may not have been reported yet.
 func (s *State) settleListedRun(w *workers.Worker, r *jobs.Run, sentAt time.Time) {
-	if t := r.Task; !t.Settled && t.Unit.Lasting() && !t.Unit.Spec.GetCopies() && sentAt.Sub(w.HeardAt) >= earlierPollWindow {
+	if t := r.Task; !t.Settled && t.Unit.Lasting() && !t.Unit.Spec.GetCopies() && sentAt.Sub(w.FirstAnswerAt) >= earlierPollWindow {
 		t.Settled = true
 	}
 }
@@ -110,8 +110,8 @@
 // mayAdopt returns whether a run of a task that a worker lists may go on: the task has no other run, or allows copies.
 func mayAdopt(t *jobs.Task) bool { return len(t.Runs) == 0 || t.Unit.Spec.GetCopies() }
 
-// began marks a run as running and its job as begun.
-func (s *State) began(now time.Time, r *jobs.Run) {
+// runBegan marks a run as running and its job as begun.
+func (s *State) runBegan(now time.Time, r *jobs.Run) {
 	r.State = jobs.Running
 	if r.AckedAt.IsZero() {
 		r.AckedAt = now
@@ -127,12 +127,12 @@
 
 // stopForeign orders a worker to stop a run that belongs to no job of this cell, or that its task may not have.
 func (s *State) stopForeign(w *workers.Worker, a workers.Active) {
-	s.note(Note{What: NoteStop, Task: a.Task, Run: a.Run, Worker: w.ID, Detail: "no task of this cell may have this run", AgeMs: -1})
-	s.emit(SendStop{To: target(w), Stop: workers.Stop{Fence: s.epoch, Task: a.Task, Run: a.Run}, Timeout: s.orders.Timeout()})
+	s.note(Note{Kind: NoteStop, Task: a.Task, Run: a.Run, Worker: w.ID, Detail: "no task of this cell may have this run", AgeMs: -1})
+	s.emit(SendStop{To: target(w), Stop: workers.Stop{Fence: s.epoch, Task: a.Task, Run: a.Run}, Timeout: s.startWindow.Timeout()})
 }
 
-// task returns the task that workers list under a name, or nil if it is unknown.
-func (s *State) task(name string) *jobs.Task {
+// taskNamed returns the task that workers list under a name, or nil if it is unknown.
+func (s *State) taskNamed(name string) *jobs.Task {
 	id, ok := jobs.ParseTask(name)
 	if !ok {
 		return nil
@@ -148,8 +148,8 @@
 // processors in use. Progress may end the quarantine of the worker.
 func (s *State) updateRun(now time.Time, w *workers.Worker, r *jobs.Run, a workers.Active) {
 	if a.Percent != r.Percent {
-		if a.Percent > r.Percent && (w.Health.Moved() || (r.Task.Unit.Lasting() && a.Percent >= 100 && w.Health.Worked())) {
-			s.note(Note{What: NoteWorkerBack, Worker: w.ID, Detail: "a run makes progress", AgeMs: -1})
+		if a.Percent > r.Percent && (w.Health.Progressed() || (r.Task.Unit.Lasting() && a.Percent >= 100 && w.Health.Worked())) {
+			s.note(Note{Kind: NoteWorkerBack, Worker: w.ID, Detail: "a run makes progress", AgeMs: -1})
 		}
 		r.Percent, r.ProgressAt = a.Percent, now
 	}
--- a/pkg/process/cell/lives.go
+++ b/pkg/process/cell/lives.go
@@ -14,14 +14,14 @@
 // before, whose runs have died.
 
 // takeIncarnation handles the incarnation of a worker that has answered a poll.
-func (s *State) takeIncarnation(now time.Time, w *workers.Worker, e Looked) {
+func (s *State) takeIncarnation(now time.Time, w *workers.Worker, e PollAnswered) {
 	born := e.Report.Born
 	switch {
 	case born == 0:
 	case w.Born == 0:
 		w.Born = born
 		if !w.Listed {
-			w.SureFrom = now // known from the membership row alone: this may be a new incarnation, which has seen no epoch
+			w.UsableFrom = now // known from the membership row alone: this may be a new incarnation, which has seen no epoch
 		}
 	case w.Born == born:
 		w.Answered(e.SentAt)
@@ -31,29 +31,29 @@
 }
 
 // beginIncarnation handles the first answer of the next incarnation of a worker.
-func (s *State) beginIncarnation(now time.Time, w *workers.Worker, e Looked) {
+func (s *State) beginIncarnation(now time.Time, w *workers.Worker, e PollAnswered) {
 	s.note(Note{
-		What: NoteWorkerLife, Worker: w.ID, AgeMs: now.Sub(w.AnsweredAt).Milliseconds(),
+		Kind: NoteWorkerLife, Worker: w.ID, AgeMs: now.Sub(w.LastAnswerAt).Milliseconds(),
 		Detail: fmt.Sprintf("born %d, was %d; clock %s, expected at least %s", e.Report.Born, w.Born, e.Report.Clock, w.ClockAtLeast(now).Round(time.Millisecond)),
 	})
-	s.crashed(now, w)
-	for _, p := range s.parts {
-		p.ends = slices.DeleteFunc(p.ends, func(end pendingEnd) bool { return end.worker == w.ID })
+	s.workerCrashed(now, w)
+	for _, p := range s.writers {
+		p.unrecordedEnds = slices.DeleteFunc(p.unrecordedEnds, func(end unrecordedEnd) bool { return end.worker == w.ID })
 	}
-	for _, a := range s.advices {
+	for _, a := range s.ticketsByUnit {
 		delete(a.tickets, w.ID)
 	}
-	for _, r := range w.Begin(now, e.Report.Born) {
+	for _, r := range w.Restart(now, e.Report.Born) {
 		s.markDied(now, r)
 	}
-	s.placeNow = true
+	s.placementDue = true
 }
 
 // markDied marks a run as died: it ended with its worker's incarnation, or earlier without its end being reported.
 func (s *State) markDied(now time.Time, r *jobs.Run) {
 	r.State = jobs.Died
-	s.died = append(s.died, diedRun{run: r, at: now})
-	s.scanNow = true
+	s.diedRuns = append(s.diedRuns, diedRun{run: r, at: now})
+	s.scanDue = true
 }
 
 // diedRun is a run that died, and the time at which this leader learned that.
@@ -62,19 +62,19 @@
 	at  time.Time
 }
 
-// buryDied presumes died runs over once this process is confirmed to have led the cell after it learned that they died.
+// loseDiedRuns presumes died runs over once this process is confirmed to have led the cell after it learned that they died.
 // Before that, a later leader may already have received the successful end of such a run.
-func (s *State) buryDied(now time.Time) {
-	confirmed := s.confirmed(now)
-	died := s.died
-	s.died = nil
+func (s *State) loseDiedRuns(now time.Time) {
+	confirmed := s.leadershipLastConfirmed(now)
+	died := s.diedRuns
+	s.diedRuns = nil
 	for _, d := range died {
 		w := s.workers[d.run.Worker]
 		switch {
 		case d.run.State != jobs.Died || !slices.Contains(d.run.Task.Runs, d.run):
 			// Its end has been reported meanwhile.
 		case confirmed.Before(d.at):
-			s.died = append(s.died, d)
+			s.diedRuns = append(s.diedRuns, d)
 		default:
 			s.loseRun(now, w, d.run, "its worker has restarted")
 		}
--- a/pkg/process/cell/lives_test.go
+++ b/pkg/process/cell/lives_test.go
@@ -15,8 +15,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// lives is a leader with one worker, which can restart under the same id.
-type lives struct {
+// restartingWorker is a leader with one worker, which can restart under the same id.
+type restartingWorker struct {
 	state *cell.State
 	now   time.Time
 	// What the current incarnation reports: when it began, its clock's offset, its active runs and its ends.
@@ -24,18 +24,18 @@
 	offset time.Duration
 	active []workers.Active
 	ended  []workers.End
-	// deaf loses each order to start and its answer.
-	deaf    bool
-	version int64
-	starts  []cell.SendStart
-	stops   []cell.SendStop
-	notes   []cell.Note
+	// startsLost loses each order to start and its answer.
+	startsLost bool
+	version    int64
+	starts     []cell.SendStart
+	stops      []cell.SendStop
+	notes      []cell.Note
 	// recorded is the newest end that polls of this incarnation acknowledged.
 	recorded int64
 	// pollsLost loses the answers to polls.
 	pollsLost bool
-	// room is the capacity that its answers report; nil: none.
-	room *ledger.Size
+	// capacity is the capacity that its answers report; nil: none.
+	capacity *ledger.Size
 	// unconfirmed keeps renewals of the leadership from taking effect.
 	unconfirmed bool
 }
@@ -43,51 +43,51 @@
 // restartStep is how far run advances time in each step.
 const restartStep = 50 * time.Millisecond
 
-func newLives() *lives {
-	v := &lives{now: time.Unix(1000, 0), born: 1, offset: time.Hour}
+func newRestartingWorker() *restartingWorker {
+	v := &restartingWorker{now: time.Unix(1000, 0), born: 1, offset: time.Hour}
 	v.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	v.state.Take(v.now, cell.ManifestChanged{Manifest: theManifest})
+	v.state.Take(v.now, cell.ManifestChanged{Manifest: testManifest})
 	v.list()
-	v.state.Take(v.now, cell.Led{Epoch: 1, RosterUntil: v.now})
-	v.state.Take(v.now, cell.Loaded{Epoch: 1, Fences: someFences(), Wall: v.now})
-	v.state.Take(v.now, cell.RosterRecorded{IDs: []string{"w"}})
+	v.state.Take(v.now, cell.LeadershipGained{Epoch: 1, LeasesEndAt: v.now})
+	v.state.Take(v.now, cell.Loaded{Epoch: 1, Fences: testFences(), Wall: v.now})
+	v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"w"}})
 	v.run(time.Second)
 	return v
 }
 
 // list delivers the worker's row in the worker registry.
-func (v *lives) list() {
+func (v *restartingWorker) list() {
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{{
 		ID: "w", Born: v.born, Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h",
 		Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
 	}}})
 }
 
-// begin restarts the worker: its new incarnation knows nothing of the one before.
-func (v *lives) begin(offset time.Duration) {
+// restart restarts the worker: its new incarnation knows nothing of the one before.
+func (v *restartingWorker) restart(offset time.Duration) {
 	v.born++
 	v.offset, v.active, v.ended, v.recorded = offset, nil, nil, 0
 }
 
 // accept hands in job i, and returns the name of its only task.
-func (v *lives) accept(i int) string {
+func (v *restartingWorker) accept(i int) string {
 	id := fmt.Sprintf("%016x", i)
-	v.state.Take(v.now, cell.Accepted{Spec: &wire.JobSpec{
+	v.state.Take(v.now, cell.JobAccepted{Spec: &wire.JobSpec{
 		Id: id, Queue: "offers", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000, EstimateMs: 500}},
 	}})
 	return id + ".0.0.0"
 }
 
 // clock returns the worker's clock.
-func (v *lives) clock() time.Duration { return v.offset + v.now.Sub(time.Unix(1000, 0)) }
+func (v *restartingWorker) clock() time.Duration { return v.offset + v.now.Sub(time.Unix(1000, 0)) }
 
 // run advances time and answers each effect as the worker and the table do.
-func (v *lives) run(span time.Duration) {
+func (v *restartingWorker) run(span time.Duration) {
 	for until := v.now.Add(span); v.now.Before(until); {
 		v.now = v.now.Add(restartStep)
 		v.state.Take(v.now, cell.Tick{})
 		if !v.unconfirmed {
-			v.state.Take(v.now, cell.Confirmed{At: v.now})
+			v.state.Take(v.now, cell.LeadershipConfirmed{SentAt: v.now})
 		}
 		for _, e := range v.state.Decide(v.now, v.now) {
 			v.answer(e)
@@ -95,17 +95,17 @@
 	}
 }
 
-func (v *lives) answer(e cell.Effect) {
+func (v *restartingWorker) answer(e cell.Effect) {
 	switch e := e.(type) {
 	case cell.Note:
 		v.notes = append(v.notes, e)
-	case cell.SendLook:
-		looked := cell.Looked{Worker: e.To.ID, SentAt: v.now}
+	case cell.SendPoll:
+		looked := cell.PollAnswered{Worker: e.To.ID, SentAt: v.now}
 		if v.pollsLost {
 			looked.Err = fault.New(fault.Unknown, "w", "no answer", "")
 		} else {
-			v.recorded = max(v.recorded, e.Look.Recorded)
-			looked.Report = workers.Report{Born: v.born, Clock: v.clock(), Active: v.active, Room: v.room}
+			v.recorded = max(v.recorded, e.Poll.Recorded)
+			looked.Report = workers.Report{Born: v.born, Clock: v.clock(), Active: v.active, Room: v.capacity}
 			for _, end := range v.ended {
 				if end.Number > v.recorded {
 					looked.Report.Ended = append(looked.Report.Ended, end)
@@ -115,8 +115,8 @@
 		v.state.Take(v.now, looked)
 	case cell.SendStart:
 		v.starts = append(v.starts, e)
-		started := cell.Started{Worker: "w", Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: v.clock()}}
-		if v.deaf {
+		started := cell.StartAnswered{Worker: "w", Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: v.clock()}}
+		if v.startsLost {
 			started.Reply, started.Err = workers.Reply{}, fault.New(fault.Unknown, "w", "no answer", "")
 		} else {
 			v.active = append(v.active, workers.Active{Task: e.Start.Task, Run: e.Start.Run, Percent: 1})
@@ -124,14 +124,14 @@
 		v.state.Take(v.now, started)
 	case cell.SendStop:
 		v.stops = append(v.stops, e)
-	case cell.Record:
+	case cell.WriteProgress:
 		v.version++
-		v.state.Take(v.now, cell.RecordAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: v.version}})
+		v.state.Take(v.now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: v.version}})
 	}
 }
 
-// finish ends all active runs successfully.
-func (v *lives) finish() {
+// finishAll ends all active runs successfully.
+func (v *restartingWorker) finishAll() {
 	for _, a := range v.active {
 		v.ended = append(v.ended, workers.End{Number: int64(len(v.ended)) + 1, Task: a.Task, Run: a.Run, How: workers.EndedDone})
 	}
@@ -139,7 +139,7 @@
 }
 
 // startsOf returns how often the leader ordered a task to start.
-func (v *lives) startsOf(task string) int {
+func (v *restartingWorker) startsOf(task string) int {
 	n := 0
 	for _, s := range v.starts {
 		if s.Start.Task == task {
@@ -154,19 +154,19 @@
 // longer listed by its worker") and start the tasks again.
 func TestEndsOfNextIncarnationAreNotSkipped(t *testing.T) {
 	t.Parallel()
-	v := newLives()
+	v := newRestartingWorker()
 	for i := range 3 {
 		v.accept(1 + i)
 	}
 	v.run(500 * time.Millisecond)
-	v.finish()
+	v.finishAll()
 	v.run(time.Second)
-	v.begin(time.Minute)
+	v.restart(time.Minute)
 	v.list()
 	v.run(time.Second)
 	task := v.accept(9)
 	v.run(500 * time.Millisecond)
-	v.finish()
+	v.finishAll()
 	v.run(3 * time.Second)
 	must.Eq(t, 1, v.startsOf(task))
 }
@@ -176,15 +176,15 @@
 // counted, the task would wait for an hour beside an idle worker.
 func TestOrderToEarlierIncarnationDoesNotHoldBackItsTask(t *testing.T) {
 	t.Parallel()
-	v := newLives()
-	v.deaf = true
+	v := newRestartingWorker()
+	v.startsLost = true
 	task := v.accept(1)
 	v.run(300 * time.Millisecond)
 	tries := v.startsOf(task)
 	must.Positive(t, tries)
-	v.begin(time.Minute)
+	v.restart(time.Minute)
 	v.list()
-	v.deaf = false
+	v.startsLost = false
 	v.run(3 * time.Second)
 	must.Greater(t, tries, v.startsOf(task))
 }
@@ -194,11 +194,11 @@
 // sent after it learned of the new incarnation.
 func TestNextIncarnationIsUsedOnlyAfterRenewal(t *testing.T) {
 	t.Parallel()
-	v := newLives()
+	v := newRestartingWorker()
 	first := v.accept(1)
 	v.run(500 * time.Millisecond)
 	v.unconfirmed = true
-	v.begin(time.Minute)
+	v.restart(time.Minute)
 	v.list()
 	second := v.accept(2)
 	v.run(3 * time.Second)
@@ -214,8 +214,8 @@
 // incarnation that answers, and applies none of the old row to it.
 func TestRowOfEarlierIncarnationIsNotAppliedToTheNext(t *testing.T) {
 	t.Parallel()
-	v := newLives()
-	v.begin(time.Minute)
+	v := newRestartingWorker()
+	v.restart(time.Minute)
 	v.list()
 	v.run(time.Second)
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{{
@@ -230,13 +230,13 @@
 // Only one incarnation leaves: the next one takes work again.
 func TestNextIncarnationOfLeavingWorkerTakesWork(t *testing.T) {
 	t.Parallel()
-	v := newLives()
+	v := newRestartingWorker()
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{{
 		ID: "w", Born: 1, Service: "quotes", Address: "x", Hall: "hall", Leaving: true, Host: "h",
 		Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
 	}}})
 	v.run(time.Second)
-	v.begin(time.Minute)
+	v.restart(time.Minute)
 	v.list()
 	task := v.accept(1)
 	v.run(time.Second)
@@ -247,15 +247,15 @@
 // order again, because a worker without a row takes no new work.
 func TestUnansweredStartIsNotRepeatedAtUnlistedWorker(t *testing.T) {
 	t.Parallel()
-	v := newLives()
-	v.deaf = true
+	v := newRestartingWorker()
+	v.startsLost = true
 	task := v.accept(1)
 	v.state.Take(v.now, cell.Tick{})
 	for _, e := range v.state.Decide(v.now, v.now) {
 		if start, ok := e.(cell.SendStart); ok {
 			v.starts = append(v.starts, start)
 			v.state.Take(v.now, cell.WorkersListed{})
-			v.state.Take(v.now, cell.Started{Worker: "w", Task: start.Start.Task, Run: start.Start.Run, Err: fault.New(fault.Unknown, "w", "no answer", "")})
+			v.state.Take(v.now, cell.StartAnswered{Worker: "w", Task: start.Start.Task, Run: start.Start.Run, Err: fault.New(fault.Unknown, "w", "no answer", "")})
 		}
 	}
 	v.run(time.Second)
@@ -266,7 +266,7 @@
 // incarnation must not count as a row.
 func TestAnswerDoesNotMakeUnlistedWorkerListed(t *testing.T) {
 	t.Parallel()
-	v := newLives()
+	v := newRestartingWorker()
 	v.pollsLost = true
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{{
 		ID: "w", Born: 9, Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h",
@@ -285,14 +285,14 @@
 // worker, each takeover would take another half second, and longer while the table is unavailable.
 func TestSuccessorUsesMembersWithoutAnotherRenewal(t *testing.T) {
 	t.Parallel()
-	v := &lives{now: time.Unix(1000, 0), born: 1, offset: time.Hour, unconfirmed: true}
+	v := &restartingWorker{now: time.Unix(1000, 0), born: 1, offset: time.Hour, unconfirmed: true}
 	v.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	v.state.Take(v.now, cell.ManifestChanged{Manifest: theManifest})
-	v.state.Take(v.now, cell.Led{Epoch: 2, RosterUntil: v.now.Add(15 * time.Second)})
-	v.state.Take(v.now, cell.Confirmed{At: v.now})
+	v.state.Take(v.now, cell.ManifestChanged{Manifest: testManifest})
+	v.state.Take(v.now, cell.LeadershipGained{Epoch: 2, LeasesEndAt: v.now.Add(15 * time.Second)})
+	v.state.Take(v.now, cell.LeadershipConfirmed{SentAt: v.now})
 	v.now = v.now.Add(50 * time.Millisecond)
 	v.list()
-	v.state.Take(v.now, cell.Loaded{Epoch: 2, Fences: someFences(), Wall: v.now, Roster: []*wire.RosterEntry{{Id: "w", Address: "x"}}})
+	v.state.Take(v.now, cell.Loaded{Epoch: 2, Fences: testFences(), Wall: v.now, Members: []*wire.RosterEntry{{Id: "w", Address: "x"}}})
 	task := v.accept(1)
 	v.run(time.Second)
 	must.Eq(t, 1, v.startsOf(task))
@@ -303,13 +303,13 @@
 // until a renewal that was sent after the answer has taken effect.
 func TestWorkerKnownOnlyFromMembershipWaitsForRenewal(t *testing.T) {
 	t.Parallel()
-	v := &lives{now: time.Unix(1000, 0), born: 5, offset: time.Hour, unconfirmed: true}
+	v := &restartingWorker{now: time.Unix(1000, 0), born: 5, offset: time.Hour, unconfirmed: true}
 	v.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	v.state.Take(v.now, cell.ManifestChanged{Manifest: theManifest})
-	v.state.Take(v.now, cell.Led{Epoch: 1, RosterUntil: v.now})
-	v.state.Take(v.now, cell.Confirmed{At: v.now})
-	v.state.Take(v.now, cell.Loaded{Epoch: 1, Fences: someFences(), Wall: v.now, Roster: []*wire.RosterEntry{{Id: "w", Address: "x", Host: "h", Service: "quotes"}}})
-	v.state.Take(v.now, cell.RosterRecorded{IDs: []string{"w"}})
+	v.state.Take(v.now, cell.ManifestChanged{Manifest: testManifest})
+	v.state.Take(v.now, cell.LeadershipGained{Epoch: 1, LeasesEndAt: v.now})
+	v.state.Take(v.now, cell.LeadershipConfirmed{SentAt: v.now})
+	v.state.Take(v.now, cell.Loaded{Epoch: 1, Fences: testFences(), Wall: v.now, Members: []*wire.RosterEntry{{Id: "w", Address: "x", Host: "h", Service: "quotes"}}})
+	v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"w"}})
 	v.run(500 * time.Millisecond)
 	v.list()
 	task := v.accept(1)
