--- a/pkg/process/cell/load.go
+++ b/pkg/process/cell/load.go
@@ -23,12 +23,12 @@
 // that run at different speeds.
 const maxLeaseDuration = LongestLease + LongestLease/10
 
-// LedBy returns the event that this process has just won the leadership. change names the earlier leaders that may
+// NewLeadershipGained returns the event that this process has just won the leadership. change names the earlier leaders that may
 // still act.
-func LedBy(now time.Time, epoch int64, change election.Change) Led {
-	led := Led{Epoch: epoch, RosterUntil: now, Predecessors: map[string]time.Time{}}
+func NewLeadershipGained(now time.Time, epoch int64, change election.Change) LeadershipGained {
+	led := LeadershipGained{Epoch: epoch, LeasesEndAt: now, Predecessors: map[string]time.Time{}}
 	if change.Before.GetReleased() {
-		led.RosterUntil = now.Add(maxLeaseDuration)
+		led.LeasesEndAt = now.Add(maxLeaseDuration)
 	}
 	for _, p := range change.Predecessors {
 		if until := now.Add(p.Grants + maxLeaseDuration); until.After(led.Predecessors[p.Holder]) {
@@ -38,24 +38,24 @@
 	return led
 }
 
-// takeLed begins a takeover: it keeps the registered workers, drops everything else that belongs to an earlier
+// takeLeadershipGained begins a takeover: it keeps the registered workers, drops everything else that belongs to an earlier
 // leadership, and asks for the cell's rows.
-func (s *State) takeLed(now time.Time, e Led) {
+func (s *State) takeLeadershipGained(now time.Time, e LeadershipGained) {
 	known := s.workers
 	s.rememberLeases(now)
 	s.reportedLeases = map[string]time.Time{}
 	s.resetLeadership()
-	s.phase, s.epoch, s.runs = loading, e.Epoch, 0
-	s.predecessors, s.otherLeasesUntil = maps.Clone(e.Predecessors), e.RosterUntil
-	s.settleBy, s.confirmedAt, s.tenureUntil = s.lastLeaseEnd(), time.Time{}, time.Time{}
+	s.phase, s.epoch, s.runSerial = loading, e.Epoch, 0
+	s.predecessors, s.otherLeasesUntil = maps.Clone(e.Predecessors), e.LeasesEndAt
+	s.settleDeadline, s.leadershipConfirmedAt, s.tenureUntil = s.lastLeaseEnd(), time.Time{}, time.Time{}
 	for id, w := range known {
 		if w.Listed {
 			s.workers[id] = workers.New(w.Record)
 			s.workers[id].LeavingAt = w.LeavingAt
-			s.reorder = true
+			s.orderStale = true
 		}
 	}
-	s.note(Note{What: NoteLed, Detail: fmt.Sprintf("epoch %d", e.Epoch), AgeMs: -1})
+	s.note(Note{Kind: NoteLed, Detail: fmt.Sprintf("epoch %d", e.Epoch), AgeMs: -1})
 	s.emit(Load{Epoch: e.Epoch})
 }
 
@@ -67,14 +67,14 @@
 			w := workers.New(workers.Record{ID: r.GetId(), Address: r.GetAddress(), Host: r.GetHost(), Service: r.GetService()})
 			w.Listed, w.UnlistedAt = false, now
 			s.workers[r.GetId()] = w
-			s.reorder = true
+			s.orderStale = true
 		}
-		if w := s.workers[r.GetId()]; !w.Heard {
+		if w := s.workers[r.GetId()]; !w.HasAnswered {
 			w.RunsKnown, w.MayRun = r.GetRunsKnown(), r.GetMayRun()
 		}
-		s.unsettled[r.GetId()] = true
-		s.roster[r.GetId()] = true
-		s.earlier[r.GetId()] = r
+		s.awaitedMembers[r.GetId()] = true
+		s.recordedMembers[r.GetId()] = true
+		s.retainedMembers[r.GetId()] = r
 	}
 }
 
@@ -93,20 +93,20 @@
 	return last
 }
 
-// takePredecessorOver shortens the wait for members that do not answer. A predecessor that has ended grants no more
+// takePredecessorEnded shortens the wait for members that do not answer. A predecessor that has ended grants no more
 // leases: the last of them ends as its process reported, or one lease span after its end.
-func (s *State) takePredecessorOver(now time.Time, e PredecessorOver) {
+func (s *State) takePredecessorEnded(now time.Time, e PredecessorEnded) {
 	until, known := s.predecessors[e.Holder]
 	if e.Epoch != s.epoch || s.settled || !known {
 		return
 	}
 	delete(s.predecessors, e.Holder)
 	since := now
-	if !e.Since.IsZero() && e.Since.Before(now) {
-		since = e.Since
+	if !e.EndedAt.IsZero() && e.EndedAt.Before(now) {
+		since = e.EndedAt
 	}
 	switch lease := since.Add(maxLeaseDuration + maxOrderDelay); {
-	case e.Own && !s.unknownLeasesUntil.After(now):
+	case e.SameProcess && !s.unknownLeasesUntil.After(now):
 		maps.Copy(s.reportedLeases, s.ownLeases)
 	case e.GrantsKnown:
 		s.takeReportedLeases(now, e.Grants)
@@ -118,8 +118,8 @@
 			s.otherLeasesUntil = until
 		}
 	}
-	s.settleBy = s.lastLeaseEnd()
-	s.note(Note{What: NotePredecessorOver, Detail: e.Holder, AgeMs: max(0, s.settleBy.Sub(now).Milliseconds())})
+	s.settleDeadline = s.lastLeaseEnd()
+	s.note(Note{Kind: NotePredecessorOver, Detail: e.Holder, AgeMs: max(0, s.settleDeadline.Sub(now).Milliseconds())})
 }
 
 // takeLoaded restores the cell's jobs and members from the table, and begins to lead.
@@ -128,9 +128,9 @@
 		return
 	}
 	for name, version := range e.Fences {
-		s.part(name).fence = version
+		s.writer(name).fence = version
 	}
-	s.addEarlierMembers(now, e.Roster)
+	s.addEarlierMembers(now, e.Members)
 	announced := s.jobs // by other hosts, while the table was read
 	s.jobs = map[string]*jobs.Job{}
 	for _, l := range e.Jobs {
@@ -143,18 +143,18 @@
 	}
 	s.phase = leading
 	for _, l := range e.Jobs {
-		s.learnOfCrashes(now, s.jobs[l.Spec.GetId()], l.Spec)
+		s.mergeHomeEvidence(now, s.jobs[l.Spec.GetId()], l.Spec)
 	}
 	for _, id := range e.Cancels {
-		s.takeCancel(now, CancelAsked{ID: id})
+		s.takeCancel(now, CancelRequested{ID: id})
 	}
 	for _, r := range e.Returned {
-		s.takeReturned(now, r)
+		s.takeTasksReturned(now, r)
 	}
 	for _, j := range s.jobs {
-		s.touch(now, j)
+		s.updateWaiting(now, j)
 	}
-	s.note(Note{What: NoteLoaded, Detail: fmt.Sprintf("%d jobs, %d cancels, %d members awaited", len(s.jobs), len(e.Cancels), len(e.Roster)), AgeMs: -1})
+	s.note(Note{Kind: NoteLoaded, Detail: fmt.Sprintf("%d jobs, %d cancels, %d members awaited", len(s.jobs), len(e.Cancels), len(e.Members)), AgeMs: -1})
 }
 
 // restoreJob returns a job as the table holds it. Tasks that are not done are not settled: an earlier
@@ -163,7 +163,7 @@
 	age := e.StoreNow - time.Duration(l.Spec.GetAcceptedStoreMs())*time.Millisecond
 	j := jobs.Restore(l.Spec, l.Progress, l.Recorded, now.Add(-max(0, age)), e.Wall)
 	j.Arrived(now)
-	s.recall(now, j)
+	s.restoreEvidence(now, j)
 	if j.Ended() {
 		j.EndedAt = now
 	}
@@ -177,13 +177,13 @@
 	return j
 }
 
-// takeRoster takes in which workers the recorded membership names: only these get work.
-func (s *State) takeRoster(e RosterRecorded) {
-	s.roster = map[string]bool{}
+// takeMembershipRecorded takes in which workers the recorded membership names: only these get work.
+func (s *State) takeMembershipRecorded(e MembershipRecorded) {
+	s.recordedMembers = map[string]bool{}
 	for _, id := range e.IDs {
-		s.roster[id] = true
+		s.recordedMembers[id] = true
 	}
-	s.placeNow = true
+	s.placementDue = true
 }
 
 // takeRelease begins to hand the cell over. A process that still loads the jobs steps down at once.
@@ -191,7 +191,7 @@
 	switch s.phase {
 	case leading:
 		s.phase = releasing
-		s.note(Note{What: NoteReleased, AgeMs: -1})
+		s.note(Note{Kind: NoteReleased, AgeMs: -1})
 	case loading:
 		s.rememberLeases(now)
 		s.stepDown("released while loading")
@@ -204,11 +204,11 @@
 	if s.phase == following {
 		return
 	}
-	s.note(Note{What: NoteDeposed, Detail: why, AgeMs: -1})
+	s.note(Note{Kind: NoteDeposed, Detail: why, AgeMs: -1})
 	workersKnown := s.workers
 	s.resetLeadership()
-	s.workers, s.reorder = workersKnown, true
-	for _, w := range s.sorted() {
+	s.workers, s.orderStale = workersKnown, true
+	for _, w := range s.workersByID() {
 		w.RemoveAll()
 	}
 }
@@ -226,18 +226,18 @@
 
 // takeAccepted adds a job that the table holds. Of a job that is known, it takes in the tasks that were delegated to
 // this cell since, and crash evidence that the job's home cell has learned.
-func (s *State) takeAccepted(now time.Time, e Accepted) {
+func (s *State) takeAccepted(now time.Time, e JobAccepted) {
 	id := e.Spec.GetId()
 	if s.phase == following || s.phase == releasing {
 		return
 	}
 	if known := s.jobs[id]; known != nil {
-		s.learnOfCrashes(now, known, e.Spec)
-		if known.MoreGuests(e.Spec, now, s.newSettled()) {
-			s.recall(now, known)
-			s.holdBackNamed(known)
-			s.claimStrays(now, known) // a predecessor may have received them first, and have started them
-			s.touch(now, known)
+		s.mergeHomeEvidence(now, known, e.Spec)
+		if known.AddDelegated(e.Spec, now, s.newTasksSettled()) {
+			s.restoreEvidence(now, known)
+			s.holdBackTasks(known)
+			s.adoptOrphans(now, known) // a predecessor may have received them first, and have started them
+			s.updateWaiting(now, known)
 		}
 		return
 	}
@@ -245,26 +245,26 @@
 	j := jobs.New(e.Spec, now.Add(-max(0, age)))
 	j.Arrived(now)
 	s.jobs[id] = j
-	s.recall(now, j)
-	if !s.newSettled() {
+	s.restoreEvidence(now, j)
+	if !s.newTasksSettled() {
 		// A predecessor that does not know of its end yet may have received the job, too, and
 		// have started it at a worker that this leader's fence has not reached.
 		markUnsettled(j.Units)
 	}
-	s.holdBackNamed(j)
-	s.claimStrays(now, j)
+	s.holdBackTasks(j)
+	s.adoptOrphans(now, j)
 	tasks := 0
 	for _, step := range e.Spec.GetSteps() {
 		tasks += int(step.GetCount())
 	}
 	s.note(Note{
-		What: NoteJobQueued, Job: id, AgeMs: age.Milliseconds(),
+		Kind: NoteJobQueued, Job: id, AgeMs: age.Milliseconds(),
 		Detail: fmt.Sprintf("queue %s, %d tasks: %s", e.Spec.GetQueue(), tasks, describeSteps(e.Spec.GetSteps())),
 	})
 	if _, asked := s.pendingCancels[id]; asked {
-		s.takeCancel(now, CancelAsked{ID: id})
+		s.takeCancel(now, CancelRequested{ID: id})
 	}
-	s.touch(now, j)
+	s.updateWaiting(now, j)
 }
 
 // describeSteps renders a job's steps for the log: number of tasks x millicores x estimated time, and the step's
@@ -298,14 +298,14 @@
 }
 
 // takeCancel cancels a job. A cancel of a job that is not known yet is kept until the job is.
-func (s *State) takeCancel(now time.Time, e CancelAsked) {
+func (s *State) takeCancel(now time.Time, e CancelRequested) {
 	j := s.jobs[e.ID]
 	if j == nil || s.phase == loading {
 		s.pendingCancels[e.ID] = now
 		return
 	}
 	delete(s.pendingCancels, e.ID)
-	j.CancelAsked = true
+	j.CancelRequested = true
 	if j.Ended() {
 		s.markDirty(j, false) // recording an ended job removes the row of its cancel
 		return
@@ -319,11 +319,11 @@
 		return
 	}
 	j.End(p, reason, now)
-	s.scanNow = true
+	s.scanDue = true
 	s.markDirty(j, true)
-	s.touch(now, j)
+	s.updateWaiting(now, j)
 	s.note(Note{
-		What: NoteJobEnded, Job: j.Spec.GetId(), AgeMs: now.Sub(j.AcceptedAt).Milliseconds(),
+		Kind: NoteJobEnded, Job: j.Spec.GetId(), AgeMs: now.Sub(j.AcceptedAt).Milliseconds(),
 		Detail: fmt.Sprintf("%s: %s", p, reason),
 	})
 }
--- a/pkg/process/cell/look.go
+++ b/pkg/process/cell/look.go
@@ -13,13 +13,13 @@
 	// hosts (1.4 s on the platform's sites, and about a second until the first poll after it). It is also the most
 	// time that the crash of a worker costs its tasks.
 	leaseDuration = 3500 * time.Millisecond
-	// lookWait is how long a worker with runs may wait for one of them to end before it answers a poll. It sets how
+	// pollWait is how long a worker with runs may wait for one of them to end before it answers a poll. It sets how
 	// often the leader gets readings, which workers renew every half second, and renews the lease.
-	lookWait = 500 * time.Millisecond
-	// idleWait is lookWait for a worker without runs.
-	idleWait = time.Second
-	// lookSlack is the least time that a poll may take beyond the wait that it asks for.
-	lookSlack = 600 * time.Millisecond
+	pollWait = 500 * time.Millisecond
+	// idlePollWait is lookWait for a worker without runs.
+	idlePollWait = time.Second
+	// pollSlack is the least time that a poll may take beyond the wait that it asks for.
+	pollSlack = 600 * time.Millisecond
 	// pollRetryPause is the pause after a failed poll.
 	pollRetryPause = 200 * time.Millisecond
 	// loadingPollPause is the pause between polls of a worker while the leader loads the cell's jobs.
@@ -27,8 +27,8 @@
 	// ackPause is the pause after a poll that brought ends, while these are not recorded: the worker would list them
 	// again at once.
 	ackPause = 150 * time.Millisecond
-	// heardWithin is the greatest age of a worker's last answer at which it gets new work.
-	heardWithin = idleWait + time.Second
+	// maxAnswerAge is the greatest age of a worker's last answer at which it gets new work.
+	maxAnswerAge = idlePollWait + time.Second
 	// LongestLease bounds the lease that any leader grants.
 	LongestLease = leaseDuration + leaseSlack
 	// leaseSlack covers a predecessor's grant that was computed from a fresher reading of the worker's clock than this
@@ -44,12 +44,12 @@
 	return leaseDuration
 }
 
-// takeListed handles the rows of the cell's workers in the worker registry. A worker that has no row any more is kept:
+// takeRegistry handles the rows of the cell's workers in the worker registry. A worker that has no row any more is kept:
 // its runs may still go on.
-func (s *State) takeListed(now time.Time, e WorkersListed) {
+func (s *State) takeRegistry(now time.Time, e WorkersListed) {
 	named := map[string]bool{}
 	for _, r := range e.Records {
-		if born, over := s.over[r.ID]; over && born == r.Born {
+		if born, over := s.endedIncarnations[r.ID]; over && born == r.Born {
 			continue // the row of an ended incarnation stays for a while, or is written again late
 		}
 		named[r.ID] = true
@@ -58,14 +58,14 @@
 			w = workers.New(r)
 			w.KnownAt = now
 			s.workers[r.ID] = w
-			s.reorder = true
-			s.noteIfHeld(Note{What: NoteWorkerNew, Worker: r.ID, Detail: fmt.Sprintf("%s at %s, %+v, labels %v, born %d", r.Service, r.Address, r.Capacity, r.Labels, r.Born), AgeMs: -1})
+			s.orderStale = true
+			s.noteIfLeading(Note{Kind: NoteWorkerNew, Worker: r.ID, Detail: fmt.Sprintf("%s at %s, %+v, labels %v, born %d", r.Service, r.Address, r.Capacity, r.Labels, r.Born), AgeMs: -1})
 		}
 		s.applyRecord(now, w, r)
 	}
-	for _, w := range s.sorted() {
+	for _, w := range s.workersByID() {
 		if !named[w.ID] {
-			s.placeNow = s.placeNow || w.Listed
+			s.placementDue = s.placementDue || w.Listed
 			w.RowGone(now)
 		}
 	}
@@ -74,10 +74,10 @@
 // applyRecord updates a worker from its row. A process that holds the leadership keeps a row of another incarnation aside
 // until the worker's next answer shows which incarnation runs.
 func (s *State) applyRecord(now time.Time, w *workers.Worker, r workers.Record) {
-	if w.OtherLife(r) {
-		if s.Holds() {
-			if w.TakeOtherRow(now, r) {
-				w.LookAnew(now)
+	if w.IsOtherIncarnation(r) {
+		if s.HoldsLeadership() {
+			if w.NoteOtherIncarnation(now, r) {
+				w.PollNow(now)
 			}
 			return
 		}
@@ -87,13 +87,13 @@
 		w.LeavingAt = now
 	}
 	if r.Leaving && !w.Leaving {
-		s.noteIfHeld(Note{What: NoteWorkerLeaves, Worker: r.ID, Detail: r.Remaining.String(), AgeMs: -1})
+		s.noteIfLeading(Note{Kind: NoteWorkerLeaves, Worker: r.ID, Detail: r.Remaining.String(), AgeMs: -1})
 	}
 	if r.Born == 0 {
 		r.Born = w.Born
 	}
 	if r.Ready != w.Ready || r.Leaving != w.Leaving || !w.Listed {
-		s.placeNow = true
+		s.placementDue = true
 	}
 	leaving, room := w.Leaving, w.Capacity
 	if r.Version != 0 && r.Version == w.Version && w.Listed {
@@ -112,16 +112,16 @@
 	if w.Capacity == before {
 		return
 	}
-	s.placeNow = true
-	s.noteIfHeld(Note{What: NoteWorkerRoom, Worker: w.ID, Detail: fmt.Sprintf("now %+v, was %+v; free %+v", w.Capacity, before, w.Free()), AgeMs: -1})
+	s.placementDue = true
+	s.noteIfLeading(Note{Kind: NoteWorkerRoom, Worker: w.ID, Detail: fmt.Sprintf("now %+v, was %+v; free %+v", w.Capacity, before, w.Free()), AgeMs: -1})
 }
 
 // ------------------------------------------------------------------ polls
 
-// look sends the polls that are due.
-func (s *State) look(now time.Time) {
-	for _, w := range s.sorted() {
-		if w.Gone || w.Looking || now.Before(w.LookAt) || w.Address == "" {
+// pollWorkers sends the polls that are due.
+func (s *State) pollWorkers(now time.Time) {
+	for _, w := range s.workersByID() {
+		if w.Gone || w.PollOutstanding || now.Before(w.NextPollAt) || w.Address == "" {
 			continue
 		}
 		s.sendPoll(now, w)
@@ -131,98 +131,98 @@
 // sendPoll polls a worker. The poll acknowledges recorded ends, and renews the lease if the worker is not silent.
 func (s *State) sendPoll(now time.Time, w *workers.Worker) {
 	s.advanceRecorded(w)
-	l := workers.Look{Fence: s.epoch, Recorded: w.Recorded}
-	if w.InDoubt() {
+	l := workers.Poll{Fence: s.epoch, Recorded: w.LastRecordedEnd}
+	if w.MayHaveRestarted() {
 		l.Recorded = 0 // another incarnation would forget its own ends with these numbers
 	}
 	if w.Clocked() && w.SilentSince.IsZero() {
 		// A silent worker gets no renewal, so its lease surely expires.
 		l.Until = w.Grant(now, s.leaseSpan())
-		l.Wait = idleWait
+		l.Wait = idlePollWait
 		if len(w.Runs) > 0 {
-			l.Wait = lookWait
+			l.Wait = pollWait
 		}
-		if s.phase != leading || !w.Heard {
+		if s.phase != leading || !w.HasAnswered {
 			l.Wait = 0
 		}
 	}
-	w.Looking, w.LookSentAt = true, now
+	w.PollOutstanding, w.PollSentAt = true, now
 	to := target(w)
-	to.Address = w.LookAddress()
-	s.emit(SendLook{To: to, Look: l, Timeout: l.Wait + max(lookSlack, s.orders.Timeout())})
+	to.Address = w.PollAddress()
+	s.emit(SendPoll{To: to, Poll: l, Timeout: l.Wait + max(pollSlack, s.startWindow.Timeout())})
 }
 
-// takeLooked handles the outcome of the last poll of a worker.
-func (s *State) takeLooked(now time.Time, e Looked) {
+// takePollAnswered handles the outcome of the last poll of a worker.
+func (s *State) takePollAnswered(now time.Time, e PollAnswered) {
 	w := s.workers[e.Worker]
-	if w == nil || !e.SentAt.Equal(w.LookSentAt) || !w.Looking {
+	if w == nil || !e.SentAt.Equal(w.PollSentAt) || !w.PollOutstanding {
 		return
 	}
-	w.Looking = false
+	w.PollOutstanding = false
 	switch {
 	case e.Err != nil:
-		s.lookFailed(now, w, e.Err.Error())
+		s.pollFailed(now, w, e.Err.Error())
 		return
 	case e.Refusal == workers.RefusedFence:
 		s.emit(StepDown{Why: "worker " + w.ID + " knows a higher epoch"})
-		w.LookAt = now.Add(pollRetryPause)
+		w.NextPollAt = now.Add(pollRetryPause)
 		return
-	case e.Refusal == workers.RefusedLife:
-		s.lifeOver(now, w, "another incarnation answers at its address")
+	case e.Refusal == workers.RefusedIncarnation:
+		s.endIncarnation(now, w, "another incarnation answers at its address")
 		return
-	case e.Refusal != workers.RefusedNot:
-		s.lookFailed(now, w, string(e.Refusal))
+	case e.Refusal != workers.NotRefused:
+		s.pollFailed(now, w, string(e.Refusal))
 		return
 	}
 	s.takeIncarnation(now, w, e)
-	s.unheardAnswers(now, w)
+	s.unreachedMemberAnswered(now, w)
 	s.workerAnswered(now, w, e.Report.Clock)
 	if room := e.Report.Room; room != nil {
 		before := w.Capacity
 		w.Capacity = *room
 		s.capacityChanged(w, before)
 	}
-	s.resolveSilent(now, false, func(r silentRun) bool { return r.worker == w.ID && r.born == w.Born })
+	s.resolveSilentRuns(now, false, func(r silentRun) bool { return r.worker == w.ID && r.born == w.Born })
 	s.endOtherIncarnations(now, w, e.SentAt)
 	if s.phase == loading || s.phase == following {
 		// The lists are of no use before the jobs are loaded.
-		w.Heard = false
-		w.LookAt = now.Add(loadingPollPause)
+		w.HasAnswered = false
+		w.NextPollAt = now.Add(loadingPollPause)
 		return
 	}
-	before := w.Seen
+	before := w.LastEnd
 	for _, end := range e.Report.Ended {
 		s.takeEnd(now, w, end)
 	}
 	s.reconcileActive(now, w, e)
-	s.learnPress(now, w)
+	s.learnInterference(now, w)
 	switch {
 	case s.phase == releasing:
-		w.LookAt = now.Add(pollRetryPause)
-	case w.Seen > before || len(e.Report.Ended) > 0:
-		w.LookAt = now.Add(ackPause) // partDurable makes the next poll due earlier
+		w.NextPollAt = now.Add(pollRetryPause)
+	case w.LastEnd > before || len(e.Report.Ended) > 0:
+		w.NextPollAt = now.Add(ackPause) // partDurable makes the next poll due earlier
 	default:
-		w.LookAt = now
+		w.NextPollAt = now
 	}
 }
 
 // workerAnswered handles an answer of a worker to a poll; clock is the worker's clock.
 func (s *State) workerAnswered(now time.Time, w *workers.Worker, clock time.Duration) {
 	w.TakeClock(now, clock)
-	w.AnsweredAt, w.Failures = now, 0
-	if !w.Heard {
-		w.Heard, w.HeardAt = true, now
+	w.LastAnswerAt, w.Failures = now, 0
+	if !w.HasAnswered {
+		w.HasAnswered, w.FirstAnswerAt = true, now
 		if !w.SilentSince.IsZero() {
-			w.SureFrom = now // a write of a membership row without the worker may still be in flight
+			w.UsableFrom = now // a write of a membership row without the worker may still be in flight
 		}
 		w.Grant(now, s.leaseSpan()+leaseSlack)
-		s.placeNow = true
+		s.placementDue = true
 	}
 	if !w.SilentSince.IsZero() {
-		s.scanNow = true
-		s.note(Note{What: NoteWorkerHeard, Worker: w.ID, AgeMs: now.Sub(w.SilentSince).Milliseconds()})
+		s.scanDue = true
+		s.note(Note{Kind: NoteWorkerHeard, Worker: w.ID, AgeMs: now.Sub(w.SilentSince).Milliseconds()})
 		w.SilentSince = time.Time{}
-		s.placeNow = true
+		s.placementDue = true
 	}
 }
 
@@ -233,37 +233,37 @@
 	if w.Host == "" {
 		return
 	}
-	s.resolveSilent(now, true, func(r silentRun) bool {
+	s.resolveSilentRuns(now, true, func(r silentRun) bool {
 		return r.host == w.Host && (r.worker != w.ID || r.born != w.Born) && r.at.Before(sentAt)
 	})
 	s.endUnreachedOnHost(now, w)
-	for _, other := range s.sorted() {
+	for _, other := range s.workersByID() {
 		if other != w && other.Host == w.Host && other.KnownAt.Before(sentAt) && !other.Gone {
-			s.lifeOver(now, other, "its host runs "+w.ID)
+			s.endIncarnation(now, other, "its host runs "+w.ID)
 		}
 	}
 }
 
-// lookFailed handles a poll without a usable answer. The worker counts as silent from the first one. After
+// pollFailed handles a poll without a usable answer. The worker counts as silent from the first one. After
 // failuresSilent in a row, fellSilent records the silence as evidence against the tasks there.
-func (s *State) lookFailed(now time.Time, w *workers.Worker, why string) {
+func (s *State) pollFailed(now time.Time, w *workers.Worker, why string) {
 	if w.SilentSince.IsZero() {
 		w.SilentSince = now
-		s.fell(now, w, now)
-		s.note(Note{What: NoteWorkerSilent, Worker: w.ID, Detail: why, AgeMs: now.Sub(w.AnsweredAt).Milliseconds()})
+		s.addSilence(now, w, now)
+		s.note(Note{Kind: NoteWorkerSilent, Worker: w.ID, Detail: why, AgeMs: now.Sub(w.LastAnswerAt).Milliseconds()})
 	}
 	w.Failures++
-	if w.Failures == failuresSilent {
-		s.fellSilent(now, w)
+	if w.Failures == silentAfterFailures {
+		s.workerSilent(now, w)
 	}
-	w.LookAt = now.Add(pollRetryPause)
+	w.NextPollAt = now.Add(pollRetryPause)
 }
 
 // advanceRecorded advances w.Recorded, the newest end that the worker may forget.
 func (s *State) advanceRecorded(w *workers.Worker) {
 	if s.unsafe.NoRecorded {
-		w.Recorded = w.Seen
+		w.LastRecordedEnd = w.LastEnd
 		return
 	}
-	w.Recorded = s.recordedEnd(w)
+	w.LastRecordedEnd = s.lastRecordedEnd(w)
 }
--- a/pkg/process/cell/lost.go
+++ b/pkg/process/cell/lost.go
@@ -11,15 +11,15 @@
 // a lease, and when a run stalls. All but the last are confirmed first: this process must have led the cell after the
 // incarnation or the lease was over (see model/cell.pml).
 
-// lifeOver ends a worker's incarnation because a later one has begun. Rows that name the ended incarnation are out of
+// endIncarnation ends a worker's incarnation because a later one has begun. Rows that name the ended incarnation are out of
 // date from now on, and takeListed skips them.
-func (s *State) lifeOver(now time.Time, w *workers.Worker, why string) {
+func (s *State) endIncarnation(now time.Time, w *workers.Worker, why string) {
 	if !w.Gone {
-		s.endedUnseen(w)
-		s.unheardEnded(now, w.ID)
-		s.crashed(now, w)
+		s.addUnobservedEnd(w)
+		s.unreachedMemberEnded(now, w.ID)
+		s.workerCrashed(now, w)
 	}
-	s.over[w.ID] = w.Born
+	s.endedIncarnations[w.ID] = w.Born
 	s.markGone(now, w, why)
 }
 
@@ -29,32 +29,32 @@
 		return
 	}
 	w.Gone, w.GoneAt, w.GoneWhy = true, now, why
-	s.noteIfHeld(Note{What: NoteWorkerGone, Worker: w.ID, Detail: why, AgeMs: -1})
-	s.scanNow = true
+	s.noteIfLeading(Note{Kind: NoteWorkerGone, Worker: w.ID, Detail: why, AgeMs: -1})
+	s.scanDue = true
 }
 
-// buryGone drops the workers whose incarnations are over and presumes their runs over, once this process is confirmed to
+// removeGoneWorkers drops the workers whose incarnations are over and presumes their runs over, once this process is confirmed to
 // have led the cell after that. Before that, a later leader may already have received the successful end of such a run.
-func (s *State) buryGone(now time.Time) {
-	for _, w := range s.sorted() {
-		if !w.Gone || s.confirmed(now).Before(w.GoneAt) {
+func (s *State) removeGoneWorkers(now time.Time) {
+	for _, w := range s.workersByID() {
+		if !w.Gone || s.leadershipLastConfirmed(now).Before(w.GoneAt) {
 			continue
 		}
 		for _, r := range w.Runs {
 			s.loseRun(now, w, r, w.GoneWhy)
 		}
 		delete(s.workers, w.ID)
-		s.reorder = true
-		s.placeNow = true
+		s.orderStale = true
+		s.placementDue = true
 	}
 }
 
-// confirmed returns the last time at which this process surely led the cell.
-func (s *State) confirmed(now time.Time) time.Time {
+// leadershipLastConfirmed returns the last time at which this process surely led the cell.
+func (s *State) leadershipLastConfirmed(now time.Time) time.Time {
 	if s.unsafe.NoConfirmation {
 		return now
 	}
-	return s.confirmedAt
+	return s.leadershipConfirmedAt
 }
 
 // loseRun presumes a run over whose end will not be reported. why is for the log; w is nil if the worker is no longer
@@ -65,26 +65,26 @@
 		w.Remove(r)
 	}
 	t.Drop(r)
-	t.WaitsSince, t.HereSince = lastAnswer(now, w), now
+	t.WaitingSince, t.InCellSince = lastAnswer(now, w), now
 	s.note(Note{
-		What: NoteLost, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: r.Worker, Detail: why,
+		Kind: NoteLost, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: r.Worker, Detail: why,
 		AgeMs: now.Sub(r.SentAt).Milliseconds(),
 	})
-	s.touch(now, t.Unit.Job)
+	s.updateWaiting(now, t.Unit.Job)
 }
 
 // lastAnswer returns when a worker whose runs are presumed over last answered: until then they went on for sure. It
 // returns now if the worker is unknown or never answered.
 func lastAnswer(now time.Time, w *workers.Worker) time.Time {
-	if w == nil || w.AnsweredAt.IsZero() {
+	if w == nil || w.LastAnswerAt.IsZero() {
 		return now
 	}
-	return w.AnsweredAt
+	return w.LastAnswerAt
 }
 
 // checkRuns presumes runs of silent workers over once their leases have expired, and stops stalled runs of the others.
 func (s *State) checkRuns(now time.Time) {
-	for _, w := range s.sorted() {
+	for _, w := range s.workersByID() {
 		if w.Gone {
 			continue
 		}
@@ -101,21 +101,21 @@
 // checkLease presumes the runs of a silent worker over once its lease has expired. It then drops the worker if the worker
 // registry has no row of it either.
 func (s *State) checkLease(now time.Time, w *workers.Worker) {
-	over := w.LeaseOver(s.confirmed(now)) || s.unsafe.NoLeaseWait
+	over := w.LeaseOver(s.leadershipLastConfirmed(now)) || s.unsafe.NoLeaseWait
 	if over {
 		for _, r := range w.Runs {
 			s.loseRun(now, w, r, "its worker's lease has expired")
 		}
 	}
-	if !w.Listed && now.Sub(w.UnlistedAt) > unlistedFor && len(w.Runs) == 0 && (over || s.surelyOver(now, w)) {
+	if !w.Listed && now.Sub(w.UnlistedAt) > unlistedGrace && len(w.Runs) == 0 && (over || s.earlierRunsOver(now, w)) {
 		s.markGone(now, w, "not listed and silent")
 	}
 }
 
 const (
-	// unlistedFor is how long a silent worker is kept that has no runs and no row in the worker registry. It is short
+	// unlistedGrace is how long a silent worker is kept that has no runs and no row in the worker registry. It is short
 	// because a successor has to wait for each worker that the membership row names.
-	unlistedFor = time.Second
+	unlistedGrace = time.Second
 	// stallTimeout is how long a run may make no progress before it counts as stalled. 1% of the longest known tasks
 	// takes less than half a second, even at a sixth of their speed.
 	stallTimeout = 1500 * time.Millisecond
@@ -138,13 +138,13 @@
 	if now.Sub(r.ProgressAt) < limit || now.Sub(r.BeganAt) < limit {
 		return
 	}
-	w.Health.StoodStill(now)
-	s.noteAside(w)
-	s.stop(now, w, r, "makes no progress")
+	w.Health.Stalled(now)
+	s.noteQuarantined(w)
+	s.stopRun(now, w, r, "makes no progress")
 }
 
-// noteAside logs that a worker is quarantined, and why.
-func (s *State) noteAside(w *workers.Worker) {
-	why, _ := w.Health.IsAside()
-	s.note(Note{What: NoteWorkerAside, Worker: w.ID, Detail: why, AgeMs: -1})
+// noteQuarantined logs that a worker is quarantined, and why.
+func (s *State) noteQuarantined(w *workers.Worker) {
+	why, _ := w.Health.QuarantineReason()
+	s.note(Note{Kind: NoteWorkerAside, Worker: w.ID, Detail: why, AgeMs: -1})
 }
--- a/pkg/process/cell/mechanisms.go
+++ b/pkg/process/cell/mechanisms.go
@@ -46,8 +46,8 @@
 	{OrderWindow, "order-window", "orders are held back while those that are on their way wait for the link"},
 }
 
-// Without disables mechanisms.
-func Without(m Mechanism) Option { return func(s *State) { s.without = m } }
+// WithoutMechanisms disables mechanisms.
+func WithoutMechanisms(m Mechanism) Option { return func(s *State) { s.disabled = m } }
 
-// has reports whether a mechanism is enabled.
-func (s *State) has(m Mechanism) bool { return s.without&m == 0 }
+// enabled reports whether a mechanism is enabled.
+func (s *State) enabled(m Mechanism) bool { return s.disabled&m == 0 }
--- a/pkg/process/cell/membership_test.go
+++ b/pkg/process/cell/membership_test.go
@@ -14,8 +14,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// list brings the registry rows of the cell's first n workers, some of them leaving.
-func (b *busyCell) list(n int, leaving ...string) {
+// register brings the registry rows of the cell's first n workers, some of them leaving.
+func (b *testCell) register(n int, leaving ...string) {
 	records := make([]workers.Record, 0, n)
 	for _, l := range slices.Sorted(maps.Keys(b.reports)) {
 		if len(records) < n {
@@ -29,16 +29,16 @@
 }
 
 // members are the ids of the workers that the cell's membership row names.
-func (b *busyCell) members() []string {
+func (b *testCell) members() []string {
 	var list []string
-	for _, e := range b.state.Roster() {
+	for _, e := range b.state.Members() {
 		list = append(list, e.GetId())
 	}
 	return list
 }
 
 // endStoppedRuns ends the runs that workers were ordered to stop.
-func (b *busyCell) endStoppedRuns() {
+func (b *testCell) endStoppedRuns() {
 	for _, s := range b.stops {
 		b.finish(s.Stop.Task, workers.EndedStopped)
 	}
@@ -51,8 +51,8 @@
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
 	b.step(100 * time.Millisecond)
-	at := b.at["00000000000000ff.0.0.0"]
-	b.list(16, at)
+	at := b.workerOf["00000000000000ff.0.0.0"]
+	b.register(16, at)
 	for range 5 {
 		b.step(100 * time.Millisecond)
 	}
@@ -72,10 +72,10 @@
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
 	b.step(100 * time.Millisecond)
-	at := b.at["00000000000000ff.0.0.0"]
-	b.list(16, at)
+	at := b.workerOf["00000000000000ff.0.0.0"]
+	b.register(16, at)
 	b.step(100 * time.Millisecond)
-	b.down = true
+	b.tableDown = true
 	b.endStoppedRuns()
 	for range 5 {
 		b.step(100 * time.Millisecond)
@@ -89,7 +89,7 @@
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
 	b.step(100 * time.Millisecond)
-	b.list(16, "w00", "w01", "w02")
+	b.register(16, "w00", "w01", "w02")
 	for range 4 {
 		b.step(100 * time.Millisecond)
 		b.endStoppedRuns()
@@ -98,22 +98,22 @@
 		b.silent[left] = true
 		delete(b.reports, left)
 	}
-	b.list(13)
+	b.register(13)
 	for range 4 {
 		b.step(100 * time.Millisecond)
 	}
 	successor := newEmptyCell()
-	successor.lead(b, 15*time.Second)
+	successor.takeOverFrom(b, 15*time.Second)
 	for range 10 {
 		successor.step(100 * time.Millisecond)
 	}
 	must.MapContainsKey(t, successor.started, "00000000000000ff.0.0.0")
 }
 
-// lead makes this cell the successor of another one, with the same workers. All that are not silent answer it. The
+// takeOverFrom makes this cell the successor of another one, with the same workers. All that are not silent answer it. The
 // cell has one job, which no worker lists. wait is the time until the predecessor's last lease ends.
-func (b *busyCell) lead(before *busyCell, wait time.Duration) {
-	b.takeOver(before, wait, before.state.Roster(), lastingJob("00000000000000ff"))
+func (b *testCell) takeOverFrom(before *testCell, wait time.Duration) {
+	b.takeOverWith(before, wait, before.state.Members(), lastingJob("00000000000000ff"))
 }
 
 // lastingJob is a job of one lasting task.
@@ -122,27 +122,27 @@
 }
 
 // leadWithMembers is lead with a given membership.
-func (b *busyCell) leadWithMembers(before *busyCell, members []*wire.RosterEntry) {
-	b.takeOver(before, 15*time.Second, members, lastingJob("00000000000000ff"))
+func (b *testCell) leadWithMembers(before *testCell, members []*wire.RosterEntry) {
+	b.takeOverWith(before, 15*time.Second, members, lastingJob("00000000000000ff"))
 }
 
-// takeOver is lead with a given membership and given jobs.
-func (b *busyCell) takeOver(before *busyCell, wait time.Duration, members []*wire.RosterEntry, specs ...*wire.JobSpec) {
+// takeOverWith is lead with a given membership and given jobs.
+func (b *testCell) takeOverWith(before *testCell, wait time.Duration, members []*wire.RosterEntry, specs ...*wire.JobSpec) {
 	b.now, b.reports, b.silent = before.now, map[string]*workers.Report{}, before.silent
 	for id := range before.reports {
 		b.reports[id] = &workers.Report{}
 	}
 	b.started = map[string]bool{}
 	b.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	b.state.Take(b.now, cell.ManifestChanged{Manifest: theManifest})
-	b.list(len(b.reports))
-	b.state.Take(b.now, cell.Led{Epoch: 2, RosterUntil: b.now.Add(wait)})
+	b.state.Take(b.now, cell.ManifestChanged{Manifest: testManifest})
+	b.register(len(b.reports))
+	b.state.Take(b.now, cell.LeadershipGained{Epoch: 2, LeasesEndAt: b.now.Add(wait)})
 	var jobs []cell.LoadedJob
 	for _, spec := range specs {
 		jobs = append(jobs, cell.LoadedJob{Spec: spec})
 	}
 	b.state.Take(b.now, cell.Loaded{
-		Epoch: 2, Wall: b.now, Fences: someFences(), Roster: members, Jobs: jobs,
+		Epoch: 2, Wall: b.now, Fences: testFences(), Members: members, Jobs: jobs,
 	})
 }
 
@@ -151,18 +151,18 @@
 func TestDroppedWorkerThatRegistersAgainWaitsForARenewal(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.list(0)
+	b.register(0)
 	for range 15 {
 		b.step(100 * time.Millisecond)
 	}
 	must.SliceEmpty(t, b.members())
-	b.down = true
-	b.list(16)
+	b.tableDown = true
+	b.register(16)
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
 	b.step(100 * time.Millisecond)
 	must.Len(t, 16, b.members())
 	must.MapEmpty(t, b.started)
-	b.down = false
+	b.tableDown = false
 	b.step(100 * time.Millisecond)
 	must.MapLen(t, 1, b.started)
 }
@@ -172,15 +172,15 @@
 func TestSuccessorDoesNotNameAWorkerThatLeftAgain(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	b.list(16, "w00")
+	b.register(16, "w00")
 	for range 3 {
 		b.step(100 * time.Millisecond)
 	}
 	must.SliceNotContains(t, b.members(), "w00")
 	b.silent["w00"] = true
 	successor := newEmptyCell()
-	successor.lead(b, 15*time.Second)
-	successor.list(16, "w00")
+	successor.takeOverFrom(b, 15*time.Second)
+	successor.register(16, "w00")
 	for range 3 {
 		successor.step(100 * time.Millisecond)
 	}
@@ -195,7 +195,7 @@
 	b := newEmptyCell()
 	successor := newEmptyCell()
 	b.silent["w03"] = true
-	successor.leadWithMembers(b, slices.DeleteFunc(b.state.Roster(), func(e *wire.RosterEntry) bool { return e.GetId() == "w03" }))
+	successor.leadWithMembers(b, slices.DeleteFunc(b.state.Members(), func(e *wire.RosterEntry) bool { return e.GetId() == "w03" }))
 	for range 3 {
 		successor.step(100 * time.Millisecond)
 	}
--- a/pkg/process/cell/notes.go
+++ b/pkg/process/cell/notes.go
@@ -1,58 +1,58 @@
 package cell
 
-// What is a kind of note: the name of a decision, or of a change in what the leader knows, in the log. Notes lists
+// NoteKind is a kind of note: the name of a decision, or of a change in what the leader knows, in the log. Notes lists
 // all kinds; docs/EVENTS.md is generated from that table.
-type What string
+type NoteKind string
 
 // The kinds of notes.
 const (
-	NoteLed             What = "cell-led"
-	NoteDeposed         What = "cell-deposed"
-	NoteLoaded          What = "cell-loaded"
-	NotePredecessorOver What = "cell-predecessor-over"
-	NoteSettled         What = "cell-settled"
-	NoteReleased        What = "cell-released"
-	NoteManifest        What = "manifest-in-force"
-	NoteJobQueued       What = "job-queued"
-	NoteJobEnded        What = "job-ended"
-	NoteJobRecorded     What = "job-recorded"
-	NoteRecordFailed    What = "record-failed"
-	NoteWaits           What = "task-waits"
-	NoteLastingWaits    What = "lasting-task-waits"
-	NoteStart           What = "task-start"
-	NoteStartRefused    What = "task-start-refused"
-	NoteStartUnsure     What = "task-start-unsure"
-	NoteOrdersHeld      What = "orders-held"
-	NoteAdopted         What = "task-adopted"
-	NoteStop            What = "task-stop"
-	NoteEnd             What = "task-end"
-	NoteLost            What = "task-lost"
-	NoteEndPassed       What = "task-end-passed-over"
-	NotePace            What = "task-pace"
-	NoteAdvice          What = "step-advised"
-	NoteLent            What = "task-lent"
-	NoteGivenBack       What = "task-given-back"
-	NoteTakenBack       What = "task-taken-back"
-	NotePress           What = "press-learned"
-	NoteWorkerNew       What = "worker-new"
-	NoteWorkerLife      What = "worker-life"
-	NoteWorkerRoom      What = "worker-room"
-	NoteWorkerGone      What = "worker-gone"
-	NoteWorkerDropped   What = "worker-dropped"
-	NoteSuspected       What = "task-suspected"
-	NoteCleared         What = "task-cleared"
-	NoteWorkerCrashed   What = "worker-crashed"
-	NoteWorkerLeaves    What = "worker-leaving"
-	NoteWorkerSilent    What = "worker-silent"
-	NoteWorkerHeard     What = "worker-heard"
-	NoteWorkerAside     What = "worker-aside"
-	NoteWorkerBack      What = "worker-back"
-	NoteUnreadable      What = "unreadable"
+	NoteLed             NoteKind = "cell-led"
+	NoteDeposed         NoteKind = "cell-deposed"
+	NoteLoaded          NoteKind = "cell-loaded"
+	NotePredecessorOver NoteKind = "cell-predecessor-over"
+	NoteSettled         NoteKind = "cell-settled"
+	NoteReleased        NoteKind = "cell-released"
+	NoteManifest        NoteKind = "manifest-in-force"
+	NoteJobQueued       NoteKind = "job-queued"
+	NoteJobEnded        NoteKind = "job-ended"
+	NoteJobRecorded     NoteKind = "job-recorded"
+	NoteRecordFailed    NoteKind = "record-failed"
+	NoteWaits           NoteKind = "task-waits"
+	NoteLastingWaits    NoteKind = "lasting-task-waits"
+	NoteStart           NoteKind = "task-start"
+	NoteStartRefused    NoteKind = "task-start-refused"
+	NoteStartUnsure     NoteKind = "task-start-unsure"
+	NoteOrdersHeld      NoteKind = "orders-held"
+	NoteAdopted         NoteKind = "task-adopted"
+	NoteStop            NoteKind = "task-stop"
+	NoteEnd             NoteKind = "task-end"
+	NoteLost            NoteKind = "task-lost"
+	NoteEndPassed       NoteKind = "task-end-passed-over"
+	NotePace            NoteKind = "task-pace"
+	NoteAdvice          NoteKind = "step-advised"
+	NoteLent            NoteKind = "task-lent"
+	NoteGivenBack       NoteKind = "task-given-back"
+	NoteTakenBack       NoteKind = "task-taken-back"
+	NotePress           NoteKind = "press-learned"
+	NoteWorkerNew       NoteKind = "worker-new"
+	NoteWorkerLife      NoteKind = "worker-life"
+	NoteWorkerRoom      NoteKind = "worker-room"
+	NoteWorkerGone      NoteKind = "worker-gone"
+	NoteWorkerDropped   NoteKind = "worker-dropped"
+	NoteSuspected       NoteKind = "task-suspected"
+	NoteCleared         NoteKind = "task-cleared"
+	NoteWorkerCrashed   NoteKind = "worker-crashed"
+	NoteWorkerLeaves    NoteKind = "worker-leaving"
+	NoteWorkerSilent    NoteKind = "worker-silent"
+	NoteWorkerHeard     NoteKind = "worker-heard"
+	NoteWorkerAside     NoteKind = "worker-aside"
+	NoteWorkerBack      NoteKind = "worker-back"
+	NoteUnreadable      NoteKind = "unreadable"
 )
 
 // NoteHelp documents one kind of note.
 type NoteHelp struct {
-	What What
+	What NoteKind
 	Says string
 }
 
--- a/pkg/process/cell/orders.go
+++ b/pkg/process/cell/orders.go
@@ -30,33 +30,33 @@
 
 // nextRunNumber returns a run number above all that were used in this cell.
 func (s *State) nextRunNumber() int64 {
-	s.runs++
-	return s.epoch*runsPerEpoch + s.runs
+	s.runSerial++
+	return s.epoch*runsPerEpoch + s.runSerial
 }
 
 // startRun orders a run of a task at a worker, and counts the run as running there from now on.
 func (s *State) startRun(now time.Time, w *workers.Worker, t *jobs.Task, number int64, ticket string) {
 	r := &jobs.Run{
 		Task: t, Number: number, Worker: w.ID, State: jobs.Sent, SentAt: now, ProgressAt: now,
-		Pace: 100, PaceWanted: 100, Ticket: ticket, Resumed: t.Checkpoint != "", OnTrial: s.triedAlone(t),
+		Pace: 100, PaceWanted: 100, Ticket: ticket, Resumed: t.Checkpoint != "", Isolated: s.needsIsolation(t),
 	}
-	if r.OnTrial {
-		s.closed[w] = true
-		s.trialsOut++
+	if r.Isolated {
+		s.closedWorkers[w] = true
+		s.isolatedRuns++
 	}
 	t.Runs = append(t.Runs, r)
-	t.Tried, t.IsolationWaived, t.IsolatedSince = true, false, time.Time{}
+	t.MayHaveRun, t.IsolationWaived, t.IsolatedSince = true, false, time.Time{}
 	w.Add(r)
 	w.Health.TrialGiven(now)
-	delete(s.neighbours, w)
-	for at := range s.harms {
+	delete(s.neighboursByWorker, w)
+	for at := range s.fillerNetCosts {
 		if at.worker == w {
-			delete(s.harms, at)
+			delete(s.fillerNetCosts, at)
 		}
 	}
 	j := t.Unit.Job
 	s.note(Note{
-		What: NoteStart, Job: j.Spec.GetId(), Task: t.Name(), Run: number, Worker: w.ID, AgeMs: now.Sub(w.AnsweredAt).Milliseconds(),
+		Kind: NoteStart, Job: j.Spec.GetId(), Task: t.Name(), Run: number, Worker: w.ID, AgeMs: now.Sub(w.LastAnswerAt).Milliseconds(),
 		Detail: fmt.Sprintf("after %s, %d millicores left, checkpoint %q", now.Sub(j.AcceptedAt).Round(time.Millisecond), w.Free().Millicores, t.Checkpoint),
 	})
 	s.sendStart(now, w, r)
@@ -72,21 +72,21 @@
 		Until: until, Checkpoint: r.Task.Checkpoint, Ticket: r.Ticket,
 	}
 	bytes := orderOverheadBytes + len(order.Body) + len(order.Checkpoint) + len(order.Ticket)
-	s.orders.Sent(bytes)
-	s.emit(SendStart{To: target(w), Start: order, Timeout: s.orders.Timeout(), Bytes: bytes})
+	s.startWindow.Sent(bytes)
+	s.emit(SendStart{To: target(w), Start: order, Timeout: s.startWindow.Timeout(), Bytes: bytes})
 }
 
 // mayOrderStart reports whether the window of bytes in flight has space for one more start order. If it has
 // none, the log says so at intervals: tasks then wait although workers have capacity.
 func (s *State) mayOrderStart(now time.Time) bool {
-	if !s.has(OrderWindow) || s.orders.Room() {
+	if !s.enabled(OrderWindow) || s.startWindow.Room() {
 		return true
 	}
-	if now.Sub(s.heldNotedAt) >= heldNoteInterval {
-		s.heldNotedAt = now
+	if now.Sub(s.startsHeldLoggedAt) >= heldNoteInterval {
+		s.startsHeldLoggedAt = now
 		s.note(Note{
-			What: NoteOrdersHeld, AgeMs: -1,
-			Detail: fmt.Sprintf("%d of %d bytes in flight, answers take %s", s.orders.InFlight(), s.orders.Size(), s.orders.AnswerTime().Round(time.Millisecond)),
+			Kind: NoteOrdersHeld, AgeMs: -1,
+			Detail: fmt.Sprintf("%d of %d bytes in flight, answers take %s", s.startWindow.InFlight(), s.startWindow.Size(), s.startWindow.AnswerTime().Round(time.Millisecond)),
 		})
 	}
 	return false
@@ -94,20 +94,20 @@
 
 // updateWindow updates the window of bytes in flight from how long a start order took to be answered, or
 // stayed without an answer.
-func (s *State) updateWindow(now time.Time, e Started) {
+func (s *State) updateWindow(now time.Time, e StartAnswered) {
 	if e.Err != nil {
-		s.orders.Unanswered(now, e.Took, e.Bytes)
+		s.startWindow.Unanswered(now, e.RoundTrip, e.Bytes)
 	} else {
-		s.orders.Answered(now, e.Took, e.Bytes)
+		s.startWindow.Answered(now, e.RoundTrip, e.Bytes)
 	}
-	s.placeNow = s.placeNow || s.orders.Refilled()
+	s.placementDue = s.placementDue || s.startWindow.Refilled()
 }
 
-// takeStarted handles the outcome of a start order.
-func (s *State) takeStarted(now time.Time, e Started) {
+// takeStartAnswered handles the outcome of a start order.
+func (s *State) takeStartAnswered(now time.Time, e StartAnswered) {
 	s.updateWindow(now, e)
 	w := s.workers[e.Worker]
-	t := s.task(e.Task)
+	t := s.taskNamed(e.Task)
 	if w == nil || t == nil {
 		return
 	}
@@ -123,9 +123,9 @@
 		s.undoRefusedStart(now, w, r, e.Err.Error())
 	case e.Err != nil:
 		s.retryStart(now, w, r, e.Err)
-	case e.Reply.Refusal == workers.RefusedNot:
+	case e.Reply.Refusal == workers.NotRefused:
 		r.AckedAt = now
-		s.began(now, r)
+		s.runBegan(now, r)
 	case e.Reply.Refusal == workers.RefusedOld:
 		// The worker has had a run with this number or a higher one; its lists tell what became of it.
 		r.State = jobs.Unsure
@@ -145,7 +145,7 @@
 	t.Drop(r)
 	t.RetryAt = now.Add(refusedStartDelay)
 	s.note(Note{
-		What: NoteStartRefused, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: w.ID, Detail: why,
+		Kind: NoteStartRefused, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: w.ID, Detail: why,
 		AgeMs: now.Sub(r.SentAt).Milliseconds(),
 	})
 	if why == string(workers.RefusedTicket) {
@@ -153,9 +153,9 @@
 	}
 	if why == string(workers.RefusedRoom) || why == string(workers.RefusedBusy) {
 		w.Health.Refused(why, now)
-		s.noteAside(w)
+		s.noteQuarantined(w)
 	}
-	s.touch(now, t.Unit.Job)
+	s.updateWaiting(now, t.Unit.Job)
 }
 
 // retryStart handles a start order without an answer: the run may have begun. The order is sent
@@ -164,7 +164,7 @@
 	if r.State == jobs.Sent {
 		r.State = jobs.Unsure
 		s.note(Note{
-			What: NoteStartUnsure, Job: r.Task.Unit.Job.Spec.GetId(), Task: r.Task.Name(), Run: r.Number, Worker: w.ID,
+			Kind: NoteStartUnsure, Job: r.Task.Unit.Job.Spec.GetId(), Task: r.Task.Name(), Run: r.Number, Worker: w.ID,
 			Detail: fmt.Sprintf("valid until the worker's clock shows %s, now at least %s: %s", r.ValidUntil.Round(time.Millisecond), w.ClockAtLeast(now).Round(time.Millisecond), err),
 			AgeMs:  now.Sub(r.SentAt).Milliseconds(),
 		})
@@ -177,7 +177,7 @@
 // takePaceAnswered handles the outcome of a pace order.
 func (s *State) takePaceAnswered(now time.Time, e PaceAnswered) {
 	w := s.workers[e.Worker]
-	t := s.task(e.Task)
+	t := s.taskNamed(e.Task)
 	if w == nil || t == nil {
 		return
 	}
@@ -189,7 +189,7 @@
 		return
 	}
 	r.PaceSending = false
-	if e.Err == nil && e.Reply.Refusal == workers.RefusedNot {
+	if e.Err == nil && e.Reply.Refusal == workers.NotRefused {
 		r.Pace, r.PacedAt = e.Percent, now
 	}
 }
--- a/pkg/process/cell/pace.go
+++ b/pkg/process/cell/pace.go
@@ -64,9 +64,9 @@
 	return float64(u.Size.Millicores) / float64(max(1, w.Capacity.Millicores))
 }
 
-// learnPress trains the interference model with a worker's new readings. A reading shows the effect of
+// learnInterference trains the interference model with a worker's new readings. A reading shows the effect of
 // the CPU that fillers used in the last half second.
-func (s *State) learnPress(now time.Time, w *workers.Worker) {
+func (s *State) learnInterference(now time.Time, w *workers.Worker) {
 	if !w.Serving() {
 		return
 	}
@@ -79,20 +79,20 @@
 	for _, r := range w.Runs {
 		if isRunningServing(r) && r.Tail > 0 && (r.Tail != r.LearnedTail || now.Sub(r.LearnedAt) > sameReadingFor) {
 			r.LearnedTail, r.LearnedAt = r.Tail, now
-			s.press.Learn(now, r.Task.Unit.Image(), lastReading(r), pressures, &r.OwnLoad)
+			s.interference.Learn(now, r.Task.Unit.Image(), lastReading(r), pressures, &r.OwnLoad)
 		}
 	}
 }
 
-// pace decides the pace of each filler, and sends a pace order where it has changed.
-func (s *State) pace(now time.Time) {
-	if now.Sub(s.pressToldAt) >= interferenceNoteInterval {
-		s.pressToldAt = now
-		for _, words := range s.press.Words() {
-			s.note(Note{What: NotePress, Detail: words, AgeMs: -1})
+// paceFillers decides the pace of each filler, and sends a pace order where it has changed.
+func (s *State) paceFillers(now time.Time) {
+	if now.Sub(s.interferenceLoggedAt) >= interferenceNoteInterval {
+		s.interferenceLoggedAt = now
+		for _, words := range s.interference.Words() {
+			s.note(Note{Kind: NotePress, Detail: words, AgeMs: -1})
 		}
 	}
-	for _, w := range s.sorted() {
+	for _, w := range s.workersByID() {
 		if w.Gone || !w.SilentSince.IsZero() || !w.Filling() {
 			continue
 		}
@@ -107,15 +107,15 @@
 
 // decidePaces decides which fillers of a worker are paused, once for each answer of the worker.
 func (s *State) decidePaces(now time.Time, w *workers.Worker) {
-	if !w.AnsweredAt.After(w.PacedAt) {
+	if !w.LastAnswerAt.After(w.PacedAt) {
 		return
 	}
-	w.PacedAt = w.AnsweredAt
+	w.PacedAt = w.LastAnswerAt
 	s.checkTails(now, w)
 	for _, r := range w.Runs {
 		switch {
 		case !isRunningFiller(r):
-		case now.Sub(r.CutAt) < pauseFor:
+		case now.Sub(r.PausedAt) < pauseFor:
 			s.setPace(now, w, r, 0)
 		default:
 			s.setPace(now, w, r, 100)
@@ -131,17 +131,17 @@
 			continue
 		}
 		if r.Tail <= 0 || lastReading(r).Level < overTargetLevel {
-			r.OverSince = time.Time{}
+			r.OverTargetSince = time.Time{}
 			continue
 		}
-		if r.OverSince.IsZero() {
-			r.OverSince = now
+		if r.OverTargetSince.IsZero() {
+			r.OverTargetSince = now
 		}
-		over := now.Sub(r.OverSince)
+		over := now.Sub(r.OverTargetSince)
 		if over > noJoinAfter {
 			w.NoFillersUntil = now.Add(pauseFor)
 		}
-		if over > pauseAfter && s.has(CutFillers) {
+		if over > pauseAfter && s.enabled(CutFillers) {
 			pauseFillers(now, w)
 		}
 	}
@@ -151,7 +151,7 @@
 func pauseFillers(now time.Time, w *workers.Worker) {
 	for _, r := range w.Runs {
 		if isRunningFiller(r) && r.PaceWanted > 0 && now.Sub(r.PacedAt) >= pauseAgainAfter {
-			r.CutAt = now
+			r.PausedAt = now
 		}
 	}
 }
@@ -167,11 +167,11 @@
 	return worst
 }
 
-// fillerScale returns the fraction, 0 to 1, of the CPU that they ask for which a worker's fillers get if
+// fillerCPUFraction returns the fraction, 0 to 1, of the CPU that they ask for which a worker's fillers get if
 // more millicores are asked for in addition. Fillers share the CPU that the other tasks leave unused.
-func fillerScale(w *workers.Worker, more int64) float64 {
-	asked := w.FillersAsk() + more
-	left := w.Unused() + w.FillersAsk()
+func fillerCPUFraction(w *workers.Worker, more int64) float64 {
+	asked := w.FillersRequested() + more
+	left := w.Unused() + w.FillersRequested()
 	return min(1, max(0, float64(left))/float64(max(1, asked)))
 }
 
@@ -182,8 +182,8 @@
 	}
 	r.PaceWanted = percent
 	s.note(Note{
-		What: NotePace, Job: r.Task.Unit.Job.Spec.GetId(), Task: r.Task.Name(), Run: r.Number, Worker: w.ID,
-		AgeMs: now.Sub(w.AnsweredAt).Milliseconds(), Detail: fmt.Sprintf("%d%%, worst level on its worker %.2f", percent, worstLevel(w)),
+		Kind: NotePace, Job: r.Task.Unit.Job.Spec.GetId(), Task: r.Task.Name(), Run: r.Number, Worker: w.ID,
+		AgeMs: now.Sub(w.LastAnswerAt).Milliseconds(), Detail: fmt.Sprintf("%d%%, worst level on its worker %.2f", percent, worstLevel(w)),
 	})
 }
 
@@ -193,5 +193,5 @@
 		return
 	}
 	r.PaceSending, r.PacedAt = true, now
-	s.emit(SendPace{To: target(w), Pace: workers.Pace{Fence: s.epoch, Task: r.Task.Name(), Run: r.Number, Percent: r.PaceWanted}, Timeout: s.orders.Timeout()})
+	s.emit(SendPace{To: target(w), Pace: workers.Pace{Fence: s.epoch, Task: r.Task.Name(), Run: r.Number, Percent: r.PaceWanted}, Timeout: s.startWindow.Timeout()})
 }
--- a/pkg/process/cell/pace_test.go
+++ b/pkg/process/cell/pace_test.go
@@ -16,7 +16,7 @@
 )
 
 // setReadings sets the readings of all runs at a worker, and their progress to 100%.
-func (b *busyCell) setReadings(worker string, reading func(workers.Active) int64) {
+func (b *testCell) setReadings(worker string, reading func(workers.Active) int64) {
 	r := b.reports[worker]
 	for i := range r.Active {
 		r.Active[i].Reading = reading(r.Active[i])
@@ -25,7 +25,7 @@
 }
 
 // setAllReadings does the same at all workers.
-func (b *busyCell) setAllReadings(reading func(workers.Active) int64) {
+func (b *testCell) setAllReadings(reading func(workers.Active) int64) {
 	for id := range b.reports {
 		b.setReadings(id, reading)
 	}
@@ -43,7 +43,7 @@
 	for range 20 {
 		b.step(20 * time.Millisecond)
 	}
-	worker := b.at[fillerID+".0.0.0"]
+	worker := b.workerOf[fillerID+".0.0.0"]
 	must.NotEq(t, "", worker)
 	begin := b.now
 	for range 150 {
@@ -75,7 +75,7 @@
 		b.step(20 * time.Millisecond)
 	}
 	images := map[string]map[int]bool{}
-	for task, worker := range b.at {
+	for task, worker := range b.workerOf {
 		var job int
 		_, err := fmt.Sscanf(task, "%x.0.0.", &job)
 		must.NoError(t, err)
--- a/pkg/process/cell/place.go
+++ b/pkg/process/cell/place.go
@@ -36,26 +36,26 @@
 	due      time.Time
 }
 
-// place runs one placement pass: it starts the waiting tasks for which a usable worker has capacity.
-func (s *State) place(now time.Time) {
-	if !s.placeNow || s.manifest == nil || len(s.workers) == 0 {
+// runPlacement runs one placement pass: it starts the waiting tasks for which a usable worker has capacity.
+func (s *State) runPlacement(now time.Time) {
+	if !s.placementDue || s.manifest == nil || len(s.workers) == 0 {
 		return
 	}
-	s.placeNow = false
-	s.roomy = s.isRoomy(now)
-	s.press.Merge(now)
-	clear(s.neighbours)
-	clear(s.harms)
-	clear(s.held)
-	s.closeForTrials(now)
+	s.placementDue = false
+	s.mostlyFree = s.isMostlyFree(now)
+	s.interference.Merge(now)
+	clear(s.neighboursByWorker)
+	clear(s.fillerNetCosts)
+	clear(s.reservedForLasting)
+	s.closeIsolatedWorkers(now)
 	usable := s.usableWorkers(now)
 	for _, c := range s.rankedUnits(now) {
 		if len(usable) == 0 || !s.mayOrderStart(now) {
 			return
 		}
 		pool := usable
-		if _, needs := s.advised(c.unit); needs {
-			pool = s.ticketed(now, c.unit, usable)
+		if _, needs := s.ticketValidity(c.unit); needs {
+			pool = s.workersWithTicket(now, c.unit, usable)
 		}
 		if c.unit.Spec.GetGang() {
 			s.placeGang(now, c.unit, pool)
@@ -67,8 +67,8 @@
 
 // rankedUnits returns the units with waiting tasks, in the order in which they are placed.
 func (s *State) rankedUnits(now time.Time) []rankedUnit {
-	list := make([]rankedUnit, 0, len(s.waiting))
-	for u := range s.waiting {
+	list := make([]rankedUnit, 0, len(s.waitingUnits))
+	for u := range s.waitingUnits {
 		list = append(list, s.rankUnit(now, u))
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].before(list[b]) })
@@ -80,7 +80,7 @@
 func (s *State) rankUnit(now time.Time, u *jobs.Unit) rankedUnit {
 	j := u.Job
 	s.refreshEstimate(now, j)
-	q := s.queue(j)
+	q := s.queueOf(j)
 	objective := time.Duration(float64(j.WholeChain())*q.Stretch) + q.Slack
 	since := j.AcceptedAt
 	if j.Spec.GetRepeats() > 0 {
@@ -88,7 +88,7 @@
 	}
 	c := rankedUnit{unit: u, priority: q.Priority, due: since.Add(objective)}
 	switch {
-	case u.Lasting() || !s.has(OrderByOutlook):
+	case u.Lasting() || !s.enabled(OrderByOutlook):
 	case now.Sub(since) > time.Duration(hopelessFactor*float64(objective)):
 		c.outlook = jobs.Hopeless
 	case now.Add(j.Chain(u.Step)).After(c.due):
@@ -113,9 +113,9 @@
 	return c.unit.Name() < d.unit.Name()
 }
 
-// queue returns a job's queue from the manifest, or one with default values if the manifest no longer
+// queueOf returns a job's queue from the manifest, or one with default values if the manifest no longer
 // names it.
-func (s *State) queue(j *jobs.Job) manifest.Queue {
+func (s *State) queueOf(j *jobs.Job) manifest.Queue {
 	if q, ok := s.manifest.Queue(j.Spec.GetQueue()); ok {
 		return q
 	}
@@ -126,18 +126,18 @@
 // obeys a deposed leader, too, until that leader's successor polls it. So a worker that restarted under
 // this leader is usable only after a renewal of the leadership took effect that was sent after SureFrom.
 func (s *State) usable(now time.Time, w *workers.Worker) bool {
-	return !s.confirmed(now).Before(w.SureFrom) && w.Usable(now, heardWithin) && s.roster[w.ID] && !w.Dropped && !w.RunsKnown && !s.aside(now, w)
+	return !s.leadershipLastConfirmed(now).Before(w.UsableFrom) && w.Usable(now, maxAnswerAge) && s.recordedMembers[w.ID] && !w.DroppedFromMembership && !w.RunsKnown && !s.quarantined(now, w)
 }
 
-// aside reports whether a worker is quarantined after runs there failed, stalled or were refused.
-func (s *State) aside(now time.Time, w *workers.Worker) bool {
-	return s.has(Quarantine) && w.Health.Aside(now)
+// quarantined reports whether a worker is quarantined after runs there failed, stalled or were refused.
+func (s *State) quarantined(now time.Time, w *workers.Worker) bool {
+	return s.enabled(Quarantine) && w.Health.Quarantined(now)
 }
 
 // usableWorkers returns the usable workers, sorted by id.
 func (s *State) usableWorkers(now time.Time) []*workers.Worker {
 	list := make([]*workers.Worker, 0, len(s.workers))
-	for _, w := range s.sorted() {
+	for _, w := range s.workersByID() {
 		if s.usable(now, w) {
 			list = append(list, w)
 		}
@@ -147,44 +147,44 @@
 
 // placeTasks starts the waiting tasks of a unit that is not a gang, as far as they fit.
 func (s *State) placeTasks(now time.Time, u *jobs.Unit, usable []*workers.Worker) {
-	service := s.service(u.Job)
+	service := s.serviceOf(u.Job)
 	for _, t := range u.Waiting(now) {
 		if !s.mayOrderStart(now) {
 			return
 		}
 		w := s.chooseWorker(now, t, service, usable)
-		if w == nil && t.Choosy() {
-			s.tellWait(now, t, service, usable)
+		if w == nil && t.NeedsSpecificWorker() {
+			s.logWait(now, t, service, usable)
 			continue // the unit's other tasks may not need a specific worker
 		}
 		if w == nil {
 			s.reserveFor(now, t, service, usable)
-			s.tellWait(now, t, service, usable)
+			s.logWait(now, t, service, usable)
 			return
 		}
 		s.startRun(now, w, t, s.nextRunNumber(), s.ticket(u, w))
 	}
-	if !wantsStart(u) {
-		delete(s.waiting, u)
+	if !hasTaskToStart(u) {
+		delete(s.waitingUnits, u)
 	}
 }
 
-// holdAfter is how long a lasting task waits before a worker is reserved for it. Short tasks can't use
+// reserveAfter is how long a lasting task waits before a worker is reserved for it. Short tasks can't use
 // a reserved worker until the lasting task fits there, and they would earn more meanwhile. So capacity
 // gets the time of a few short tasks to become free by itself first.
-const holdAfter = 2500 * time.Millisecond
+const reserveAfter = 2500 * time.Millisecond
 
 // reserveFor reserves a worker for a lasting task, one that runs until its job is cancelled: of the workers
 // where the task fits beside the other lasting tasks, the one with the most free CPU. Without that, short
 // tasks would keep taking the capacity that a large task waits for.
 func (s *State) reserveFor(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) {
 	u := t.Unit
-	if !s.has(HeldRoom) || !u.Lasting() || now.Sub(waitsSince(t)) < holdAfter {
+	if !s.enabled(HeldRoom) || !u.Lasting() || now.Sub(waitingSince(t)) < reserveAfter {
 		return
 	}
 	var best *workers.Worker
 	for _, w := range usable {
-		if s.held[w] || w.Service != service || !w.HasLabel(u.Spec.GetLabel()) || !u.Size.Fits(w.Capacity.Minus(w.Lasting())) {
+		if s.reservedForLasting[w] || w.Service != service || !w.HasLabel(u.Spec.GetLabel()) || !u.Size.Fits(w.Capacity.Minus(w.Lasting())) {
 			continue
 		}
 		if most := int(u.Spec.GetSpread()); most > 0 && w.CountOf(u) >= most {
@@ -195,23 +195,23 @@
 		}
 	}
 	if best != nil {
-		s.held[best] = true
+		s.reservedForLasting[best] = true
 	}
 }
 
 // chooseWorker returns the worker for a task, or nil if the task can't start anywhere now.
 func (s *State) chooseWorker(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
-	if s.awaitsRecord(now, t) || (s.tooWideToTry(t.Unit) && s.awaitsWord(now, t)) {
+	if s.awaitsEvidenceRecord(now, t) || (s.tooWideToIsolate(t.Unit) && s.awaitsCrashOutcome(now, t)) {
 		return nil
 	}
-	if s.triedAlone(t) {
-		return s.chooseForTrial(now, t, service, usable)
+	if s.needsIsolation(t) {
+		return s.chooseForIsolatedRun(now, t, service, usable)
 	}
 	var best *workers.Worker
 	bestScore := 0.0
-	needsSpecific := t.Choosy()
+	needsSpecific := t.NeedsSpecificWorker()
 	for _, w := range usable {
-		if !s.fits(now, t.Unit, service, w) || (needsSpecific && awaitsHost(now, t, w, usable)) {
+		if !s.fits(now, t.Unit, service, w) || (needsSpecific && awaitsOtherHost(now, t, w, usable)) {
 			continue
 		}
 		score := s.score(t, w)
@@ -224,7 +224,7 @@
 
 // fits reports whether one more task of a unit may go to a worker.
 func (s *State) fits(now time.Time, u *jobs.Unit, service string, w *workers.Worker) bool {
-	return s.lacks(now, u, service, w) == lacksNothing
+	return s.placementBlocker(now, u, service, w) == notBlocked
 }
 
 const (
@@ -234,8 +234,8 @@
 	// failedTherePenalty is subtracted for the worker where the task failed last, and for hosts that crashed
 	// while they ran the task.
 	failedTherePenalty = 20.0
-	// harmWeight weighs the net cost of a filler (fillerHarm) against the share of unused CPU.
-	harmWeight = 1.0
+	// netCostWeight weighs the net cost of a filler (fillerHarm) against the share of unused CPU.
+	netCostWeight = 1.0
 	// imageAffinityWeight weighs how alike the serving images of a worker are to the task's against free CPU. It
 	// outweighs free CPU, whose share is at most 1; the price is gaps too small for the next serving task.
 	imageAffinityWeight = 3.0
@@ -250,7 +250,7 @@
 	case t.Suspected():
 		score = suspectScore(w)
 	case u.Spec.GetFiller():
-		score = float64(w.Unused())/total - harmWeight*s.fillerHarm(u, w)
+		score = float64(w.Unused())/total - netCostWeight*s.fillerNetCost(u, w)
 	case u.Spec.GetTailTargetMs() > 0:
 		score = -float64(w.Free().Millicores)/total + s.imageAffinity(u, w)
 	default:
@@ -259,7 +259,7 @@
 	if rack := u.Spec.GetRack(); rack != "" && w.Rack != rack && !w.HasLabel(rack) {
 		score -= remotePenalty
 	}
-	if t.AvoidWorker == w.ID || (t.Choosy() && t.CrashedAt(w.Host)) {
+	if t.AvoidWorker == w.ID || (t.NeedsSpecificWorker() && t.CrashedAt(w.Host)) {
 		score -= failedTherePenalty
 	}
 	return score
@@ -270,14 +270,14 @@
 // the same image, and 0 for a worker without serving tasks. A filler that is harmless to one image may harm
 // another, so with like images grouped together every filler finds a harmless worker.
 func (s *State) imageAffinity(u *jobs.Unit, w *workers.Worker) float64 {
-	if !w.Serving() || !s.has(ServingByImage) {
+	if !w.Serving() || !s.enabled(ServingByImage) {
 		return 0
 	}
 	sum, all := 0.0, 0
 	for _, r := range w.Runs {
 		if r.Task.Unit.Spec.GetTailTargetMs() > 0 {
 			all++
-			sum += s.press.Alike(r.Task.Unit.Image(), u.Image())
+			sum += s.interference.Alike(r.Task.Unit.Image(), u.Image())
 		}
 	}
 	return imageAffinityWeight * (2*sum/float64(all) - 1)
@@ -302,10 +302,10 @@
 // startGang starts a gang on workers of the pool if all of its tasks fit there together, and reports
 // whether it did. While it chooses workers it reserves their capacity task by task.
 func (s *State) startGang(now time.Time, u *jobs.Unit, pool []*workers.Worker) bool {
-	if !s.mayTryGang(u) {
+	if !s.mayIsolateGang(u) {
 		return false
 	}
-	service := s.service(u.Job)
+	service := s.serviceOf(u.Job)
 	chosen := make([]*workers.Worker, 0, len(u.Tasks))
 	reserved := make([]*jobs.Run, 0, len(u.Tasks))
 	release := func() {
@@ -330,7 +330,7 @@
 		t.Checkpoint = checkpoint
 		s.startRun(now, chosen[i], t, number, s.ticket(u, chosen[i]))
 	}
-	delete(s.waiting, u)
+	delete(s.waitingUnits, u)
 	return true
 }
 
@@ -353,7 +353,7 @@
 func (s *State) bestRack(now time.Time, u *jobs.Unit, usable []*workers.Worker) []*workers.Worker {
 	racks := map[string][]*workers.Worker{}
 	for _, w := range usable {
-		if s.fits(now, u, s.service(u.Job), w) {
+		if s.fits(now, u, s.serviceOf(u.Job), w) {
 			racks[w.Rack] = append(racks[w.Rack], w)
 		}
 	}
--- a/pkg/process/cell/place_test.go
+++ b/pkg/process/cell/place_test.go
@@ -35,7 +35,7 @@
 
 // fillerWaitsInFullCell returns how long three fillers wait for their starts, shortest first, in a cell that is
 // mostly full of serving tasks which every filler slows down. others are the loads of other cells.
-func fillerWaitsInFullCell(t *testing.T, others ...cell.OtherLoad) []time.Duration {
+func fillerWaitsInFullCell(t *testing.T, others ...cell.PeerLoad) []time.Duration {
 	t.Helper()
 	b := newEmptyCell()
 	for i := range 16 {
@@ -68,7 +68,7 @@
 // while other cells were empty.
 func TestFillerInFullCellStartsSoonWhenOtherCellsAreEmpty(t *testing.T) {
 	t.Parallel()
-	empty := cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", CapacityMillicores: 2_000_000, FreeMillicores: 1_800_000}}
+	empty := cell.PeerLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", CapacityMillicores: 2_000_000, FreeMillicores: 1_800_000}}
 	waits := fillerWaitsInFullCell(t, empty)
 	must.Len(t, 3, waits)
 	must.Between(t, time.Second, waits[0], 3*time.Second)
@@ -77,7 +77,7 @@
 // Without spare capacity in any cell, a filler waits longer for a harmless worker, but not forever.
 func TestFillerInFullFleetStartsEventually(t *testing.T) {
 	t.Parallel()
-	full := cell.OtherLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", CapacityMillicores: 2_000_000, FreeMillicores: 100_000}}
+	full := cell.PeerLoad{Load: &wire.CellLoad{Leading: true, Cell: "other", CapacityMillicores: 2_000_000, FreeMillicores: 100_000}}
 	waits := fillerWaitsInFullCell(t, full)
 	must.Len(t, 3, waits)
 	must.Greater(t, 3*time.Second, waits[0])
@@ -93,7 +93,7 @@
 	}
 	var told []cell.Note
 	for _, n := range b.notes {
-		if n.What == cell.NoteWaits {
+		if n.Kind == cell.NoteWaits {
 			told = append(told, n)
 		}
 	}
@@ -116,7 +116,7 @@
 	b.step(50 * time.Millisecond)
 	step := &wire.StepSpec{Count: 1, Millicores: 3500, Filler: true, EstimateMs: 1000, Image: "f1"}
 	for id, age := range map[string]time.Duration{"00000000000000c1": 0, "00000000000000c2": time.Minute} {
-		b.state.Take(b.now, cell.Accepted{
+		b.state.Take(b.now, cell.JobAccepted{
 			Spec: &wire.JobSpec{Id: id, Queue: "offers", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{step}}, StoreNow: age,
 		})
 	}
@@ -145,7 +145,7 @@
 			case cell.SendStart:
 				sent = append(sent, e)
 			case cell.Note:
-				if e.What == cell.NoteOrdersHeld {
+				if e.Kind == cell.NoteOrdersHeld {
 					held++
 				}
 			}
@@ -154,8 +154,8 @@
 	must.Between(t, 20, len(sent), 120)
 	must.Eq(t, 1, held)
 	for _, e := range sent {
-		b.state.Take(b.now, cell.Started{
-			Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: b.clock}, Took: 5 * time.Millisecond, Bytes: e.Bytes,
+		b.state.Take(b.now, cell.StartAnswered{
+			Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: b.clock}, RoundTrip: 5 * time.Millisecond, Bytes: e.Bytes,
 		})
 	}
 	first := len(sent)
--- a/pkg/process/cell/readings.go
+++ b/pkg/process/cell/readings.go
@@ -15,28 +15,28 @@
 // Leading returns whether this process leads the cell and has loaded its jobs.
 func (s *State) Leading() bool { return s.phase == leading || s.phase == releasing }
 
-// Holds returns whether this process holds the leadership of the cell: it may give orders, now or once it has loaded
+// HoldsLeadership returns whether this process holds the leadership of the cell: it may give orders, now or once it has loaded
 // the jobs.
-func (s *State) Holds() bool { return s.phase != following }
+func (s *State) HoldsLeadership() bool { return s.phase != following }
 
-// Waits returns whether tasks wait here that other cells might run.
-func (s *State) Waits() bool { return s.phase == leading && len(s.waiting) > 0 }
+// HasWaitingTasks returns whether tasks wait here that other cells might run.
+func (s *State) HasWaitingTasks() bool { return s.phase == leading && len(s.waitingUnits) > 0 }
 
 // Settled returns whether each run that earlier leaders started is known or surely over.
 func (s *State) Settled() bool { return s.settled && s.phase != following }
 
-// Quiet returns whether a planned stop may release the leadership now: no write to the table and no order to start is
+// ReadyToHandOver returns whether a planned stop may release the leadership now: no write to the table and no order to start is
 // in flight. A process that does not lead is always quiet.
-func (s *State) Quiet() bool {
+func (s *State) ReadyToHandOver() bool {
 	if s.phase != releasing {
 		return s.phase == following
 	}
-	for _, p := range s.parts {
+	for _, p := range s.writers {
 		if p.sending || len(p.dirty) > 0 {
 			return false
 		}
 	}
-	for _, w := range s.sorted() {
+	for _, w := range s.workersByID() {
 		for _, r := range w.Runs {
 			if r.State == jobs.Sent {
 				return false
@@ -49,10 +49,10 @@
 // Phase returns a job's phase as far as the table holds it; false if this process can't tell.
 func (s *State) Phase(id string) (wire.JobPhase, bool) {
 	j := s.jobs[id]
-	if j == nil || !s.Leading() || j.Guest() {
+	if j == nil || !s.Leading() || j.Delegated() {
 		return wire.JobPhase_JOB_PHASE_UNSPECIFIED, false
 	}
-	if jobs.Last(j.Durable) {
+	if jobs.IsFinal(j.Durable) {
 		return j.Durable, true
 	}
 	if j.Begun {
@@ -68,12 +68,12 @@
 // Load returns a summary of the cell for the processes that choose a cell for a job. withBeliefs adds the beliefs about
 // interference that this cell has learned itself.
 func (s *State) Load(now time.Time, withBeliefs bool) *wire.CellLoad {
-	if now.Sub(s.roomsAt) > fillerSumsMaxAge {
-		s.fillerRooms, s.fillerFrees, s.roomsAt = s.fillerRoom(), s.fillerFree(), now
+	if now.Sub(s.fillerCapacityAt) > fillerSumsMaxAge {
+		s.harmlessFillerCapacity, s.startableFillerCapacity, s.fillerCapacityAt = s.sumHarmlessFillerCapacity(), s.sumStartableFillerCapacity(), now
 	}
 	labels := map[string]bool{}
-	l := &wire.CellLoad{SettlesInMs: s.timeToSettle(now).Milliseconds(), Worker: &wire.WorkerSize{}, Leading: s.Leading(), Holds: s.Holds(), Cell: s.name, Pending: map[string]int32{}}
-	for _, w := range s.sorted() {
+	l := &wire.CellLoad{SettlesInMs: s.timeToSettle(now).Milliseconds(), Worker: &wire.WorkerSize{}, Leading: s.Leading(), Holds: s.HoldsLeadership(), Cell: s.name, Pending: map[string]int32{}}
+	for _, w := range s.workersByID() {
 		if w.Gone || !w.Listed || w.Leaving {
 			continue
 		}
@@ -85,22 +85,22 @@
 		l.Worker.Accelerators = max(l.Worker.Accelerators, w.Capacity.Accelerators)
 		l.CapacityMillicores += w.Capacity.Millicores
 		l.FreeMillicores += max(0, w.Free().Millicores)
-		if w.SilentSince.IsZero() && s.roster[w.ID] {
+		if w.SilentSince.IsZero() && s.recordedMembers[w.ID] {
 			l.LargestFreeMillicores = max(l.LargestFreeMillicores, w.Free().Millicores)
 			l.LargestLastingMillicores = max(l.LargestLastingMillicores, w.Capacity.Minus(w.Lasting()).Millicores)
 			s.addFreeCapacity(l, w)
 		}
 	}
 	l.Labels = slices.Sorted(maps.Keys(labels))
-	l.FillerRoomMillicores, l.FillerFreeMillicores = s.fillerRooms, s.fillerFrees
+	l.FillerRoomMillicores, l.FillerFreeMillicores = s.harmlessFillerCapacity, s.startableFillerCapacity
 	if withBeliefs {
-		l.Beliefs = beliefsToTell(s.press.Own())
+		l.Beliefs = encodeBeliefs(s.interference.Own())
 	}
 	for _, j := range s.jobs {
 		if j.Ended() {
 			continue
 		}
-		if !j.Begun && !j.Guest() {
+		if !j.Begun && !j.Delegated() {
 			l.Pending[j.Spec.GetQueue()]++
 		}
 		for _, u := range j.Units {
@@ -114,13 +114,13 @@
 // task. A worker that is closed for an isolated run counts for lasting tasks only, and only if they may join that run.
 func (s *State) addFreeCapacity(l *wire.CellLoad, w *workers.Worker) {
 	free := w.Free().Millicores
-	if free <= 0 || s.held[w] {
+	if free <= 0 || s.reservedForLasting[w] {
 		return
 	}
-	if !s.closed[w] {
+	if !s.closedWorkers[w] {
 		l.FreeEach = append(l.FreeEach, free)
 	}
-	if !s.closed[w] || mayShareIsolated(w) {
+	if !s.closedWorkers[w] || mayShareIsolated(w) {
 		l.LastingFreeEach = append(l.LastingFreeEach, free)
 	}
 }
@@ -128,10 +128,10 @@
 // timeToSettle returns how long it may take until each run that earlier leaders started is known or surely over; 0: that
 // is so already, or this process does not lead.
 func (s *State) timeToSettle(now time.Time) time.Duration {
-	if !s.Holds() || s.newSettled() {
+	if !s.HoldsLeadership() || s.newTasksSettled() {
 		return 0
 	}
-	return max(time.Millisecond, s.settleBy.Sub(now))
+	return max(time.Millisecond, s.settleDeadline.Sub(now))
 }
 
 // addUnitLoad adds the remaining work of a unit to a load message.
@@ -140,7 +140,7 @@
 	work := u.Size.Millicores * u.Spec.GetEstimateMs() / millicoresPerCore // in core milliseconds
 	for _, t := range u.Tasks {
 		switch {
-		case t.Done || t.LentTo != "":
+		case t.Done || t.DelegatedTo != "":
 		case u.Lasting():
 			l.LastingMillicores += u.Size.Millicores
 		case u.Spec.GetFiller():
@@ -167,21 +167,21 @@
 			c.Jobs++
 		}
 	}
-	s.eachAccused(func(t *jobs.Task) {
+	s.eachImplicated(func(t *jobs.Task) {
 		if t.Suspected() {
 			c.Suspects++
 		}
 	})
-	for u := range s.waiting {
+	for u := range s.waitingUnits {
 		c.Waiting += len(u.Waiting(now))
 	}
-	for _, w := range s.sorted() {
+	for _, w := range s.workersByID() {
 		c.Workers++
 		c.Running += len(w.Runs)
 		if s.usable(now, w) {
 			c.Usable++
 		}
-		if _, aside := w.Health.IsAside(); aside {
+		if _, aside := w.Health.QuarantineReason(); aside {
 			c.Aside++
 		}
 	}
--- a/pkg/process/cell/record.go
+++ b/pkg/process/cell/record.go
@@ -31,8 +31,8 @@
 	maxTransactionEntries = 100
 )
 
-// part holds the unwritten changes of one part of the table, and the transaction in flight.
-type part struct {
+// partWriter holds the unwritten changes of one part of the table, and the transaction in flight.
+type partWriter struct {
 	name string
 	// fence is the version of the cell's fence row in this part; 0 until it is known.
 	fence int64
@@ -54,8 +54,8 @@
 	nextAt  time.Time
 	// failing says that the last transaction failed.
 	failing bool
-	// ends are ends of runs that are not acknowledged, since their changes are not durable yet.
-	ends []pendingEnd
+	// unrecordedEnds are ends of runs that are not acknowledged, since their changes are not durable yet.
+	unrecordedEnds []unrecordedEnd
 }
 
 // sentJob is a job's share of the transaction in flight.
@@ -70,24 +70,24 @@
 	// delegations is the number of specifications of delegated tasks for other cells.
 	delegations int
 	// notifications go to the leaders of other cells once the transaction is durable.
-	notifications []Tell
+	notifications []NotifyLeader
 	// isolated are the tasks for which an isolated run is recorded before it starts.
 	isolated []*jobs.Task
 }
 
-// pendingEnd is the end of a run that may be acknowledged to its worker when change seq is durable.
-type pendingEnd struct {
+// unrecordedEnd is the end of a run that may be acknowledged to its worker when change seq is durable.
+type unrecordedEnd struct {
 	worker string
 	number int64
 	seq    int64
 }
 
-// part returns the part with a name, and creates it if needed.
-func (s *State) part(name string) *part {
-	p := s.parts[name]
+// writer returns the part with a name, and creates it if needed.
+func (s *State) writer(name string) *partWriter {
+	p := s.writers[name]
 	if p == nil {
-		p = &part{name: name, dirty: map[string]*jobs.Job{}, expired: map[string]*jobs.Job{}}
-		s.parts[name] = p
+		p = &partWriter{name: name, dirty: map[string]*jobs.Job{}, expired: map[string]*jobs.Job{}}
+		s.writers[name] = p
 	}
 	return p
 }
@@ -95,37 +95,37 @@
 // markDirty notes that a job's progress has changed and is to be written; an urgent change does not wait
 // for writeInterval.
 func (s *State) markDirty(j *jobs.Job, urgent bool) {
-	s.seq++
-	p := s.part(rows.JobPart(j.Spec.GetId()))
+	s.changeSeq++
+	p := s.writer(rows.JobPart(j.Spec.GetId()))
 	p.dirty[j.Spec.GetId()] = j
 	p.urgent = p.urgent || urgent
 }
 
 // holdAcknowledgement holds back the acknowledgement of a run's end until the job's latest change is durable.
 func (s *State) holdAcknowledgement(w *workers.Worker, number int64, job string) {
-	p := s.part(rows.JobPart(job))
-	p.ends = append(p.ends, pendingEnd{worker: w.ID, number: number, seq: s.seq})
+	p := s.writer(rows.JobPart(job))
+	p.unrecordedEnds = append(p.unrecordedEnds, unrecordedEnd{worker: w.ID, number: number, seq: s.changeSeq})
 }
 
-// recordedEnd returns the number up to which all ends that a worker listed are durable.
-func (s *State) recordedEnd(w *workers.Worker) int64 {
-	upTo := w.Seen
-	for _, h := range w.HeldEnds {
+// lastRecordedEnd returns the number up to which all ends that a worker listed are durable.
+func (s *State) lastRecordedEnd(w *workers.Worker) int64 {
+	upTo := w.LastEnd
+	for _, h := range w.OrphanedEnds {
 		upTo = min(upTo, h.Number-1)
 	}
-	for _, p := range s.parts {
-		for _, e := range p.ends {
+	for _, p := range s.writers {
+		for _, e := range p.unrecordedEnds {
 			if e.worker == w.ID && e.number <= upTo {
 				upTo = e.number - 1
 			}
 		}
 	}
-	return max(upTo, w.Recorded)
+	return max(upTo, w.LastRecordedEnd)
 }
 
 // recordedUpTo reports whether all changes up to seq are durable, in all parts.
 func (s *State) recordedUpTo(seq int64) bool {
-	for _, p := range s.parts {
+	for _, p := range s.writers {
 		if (p.sending || len(p.dirty) > 0) && p.durable < seq {
 			return false
 		}
@@ -133,10 +133,10 @@
 	return true
 }
 
-// record sends a transaction for each part that has changes due and no transaction in flight.
-func (s *State) record(now time.Time) {
-	for _, name := range slices.Sorted(maps.Keys(s.parts)) {
-		p := s.parts[name]
+// writeProgress sends a transaction for each part that has changes due and no transaction in flight.
+func (s *State) writeProgress(now time.Time) {
+	for _, name := range slices.Sorted(maps.Keys(s.writers)) {
+		p := s.writers[name]
 		if p.sending || len(p.dirty)+len(p.expired) == 0 || p.fence == 0 {
 			continue
 		}
@@ -148,7 +148,7 @@
 }
 
 // sendTransaction builds and sends the next transaction of a part. Jobs that do not fit stay for the one after.
-func (s *State) sendTransaction(now time.Time, p *part) {
+func (s *State) sendTransaction(now time.Time, p *partWriter) {
 	p.sent = map[string]sentJob{}
 	tx := table.Transaction{Conditions: []table.Condition{{Key: rows.FenceKey(s.name, p.name), Version: p.fence}}}
 	for _, id := range slices.Sorted(maps.Keys(p.dirty)) {
@@ -173,7 +173,7 @@
 	// transaction failed. So a transaction that leaves jobs over covers no new changes.
 	p.sentSeq = p.durable
 	if len(p.dirty) == 0 {
-		p.sentSeq = s.seq
+		p.sentSeq = s.changeSeq
 	}
 	p.transaction = tx
 	s.emitTransaction(now, p)
@@ -188,22 +188,22 @@
 	row := rows.Row(key, j.Progress())
 	tx.Conditions = append(tx.Conditions, table.Condition{Key: key, Version: j.Recorded})
 	tx.Puts = append(tx.Puts, row)
-	sent := sentJob{job: j, value: row.Value, final: j.Ended(), delegations: len(s.lent[j])}
-	sent.isolated = j.TrialsWanted()
-	for _, spec := range latestByCell(s.lent[j]) {
+	sent := sentJob{job: j, value: row.Value, final: j.Ended(), delegations: len(s.pendingDelegations[j])}
+	sent.isolated = j.IsolationsWanted()
+	for _, spec := range latestByCell(s.pendingDelegations[j]) {
 		tx.Puts = append(tx.Puts, rows.Row(rows.SpecKey(spec.GetCell(), id), spec))
-		sent.notifications = append(sent.notifications, Tell{Cell: spec.GetCell(), Lent: spec})
+		sent.notifications = append(sent.notifications, NotifyLeader{Cell: spec.GetCell(), Lent: spec})
 	}
 	if report := j.Report(); report != nil {
 		tx.Puts = append(tx.Puts, rows.Row(rows.ReturnKey(report.GetHome(), id, s.name), report))
-		sent.notifications = append(sent.notifications, Tell{Cell: report.GetHome(), Returned: report})
+		sent.notifications = append(sent.notifications, NotifyLeader{Cell: report.GetHome(), Returned: report})
 	}
 	if j.Ended() {
 		tx.Removes = append(tx.Removes, rows.SpecKey(s.name, id), rows.CancelKey(s.name, id))
-		for _, other := range j.Borrowers() {
+		for _, other := range j.TargetCells() {
 			tx.Removes = append(tx.Removes, rows.ReturnKey(s.name, id, other))
 			tx.Puts = append(tx.Puts, rows.Row(rows.CancelKey(other, id), &wire.JobRef{Cell: other, Id: id}))
-			sent.notifications = append(sent.notifications, Tell{Cell: other, Cancelled: id})
+			sent.notifications = append(sent.notifications, NotifyLeader{Cell: other, Cancelled: id})
 		}
 		tx.Removes = append(tx.Removes, s.unusedCancels(j)...)
 	}
@@ -215,10 +215,10 @@
 // is surely the job's home cell removes these rows: the home cell's own row must stand until its leader
 // has read it.
 func (s *State) unusedCancels(j *jobs.Job) []table.Key {
-	if !j.CancelAsked || j.Guest() || j.Spec.GetCell() != s.name {
+	if !j.CancelRequested || j.Delegated() || j.Spec.GetCell() != s.name {
 		return nil
 	}
-	targetCells := j.Borrowers()
+	targetCells := j.TargetCells()
 	var list []table.Key
 	for _, name := range s.peers {
 		if !slices.Contains(targetCells, name) {
@@ -239,7 +239,7 @@
 // maxEntries returns the most entries that a job takes in a transaction: its own, those of each cell that
 // tasks were delegated to, the cancel's rows for the other cells, and specifications of delegated tasks.
 func (s *State) maxEntries(j *jobs.Job) int {
-	return entriesPerJob + len(s.peers) + entriesPerTargetCell*len(j.Borrowers()) + len(latestByCell(s.lent[j]))
+	return entriesPerJob + len(s.peers) + entriesPerTargetCell*len(j.TargetCells()) + len(latestByCell(s.pendingDelegations[j]))
 }
 
 // maxEntriesExpired is the most entries that an expired job takes in a transaction.
@@ -265,7 +265,7 @@
 	key := rows.ProgressKey(s.name, id)
 	tx.Conditions = append(tx.Conditions, table.Condition{Key: key, Version: j.Recorded})
 	tx.Removes = append(tx.Removes, key)
-	if j.Guest() {
+	if j.Delegated() {
 		// The home cell may have cancelled the job after it had ended here.
 		tx.Removes = append(tx.Removes, rows.CancelKey(s.name, id))
 	} else {
@@ -275,16 +275,16 @@
 }
 
 // emitTransaction emits a part's transaction under a new serial number.
-func (s *State) emitTransaction(now time.Time, p *part) {
+func (s *State) emitTransaction(now time.Time, p *partWriter) {
 	p.sending = true
 	p.serial++
 	p.nextAt = now.Add(writeInterval)
-	s.emit(Record{Part: p.name, Serial: p.serial, Transaction: p.transaction})
+	s.emit(WriteProgress{Part: p.name, Serial: p.serial, Transaction: p.transaction})
 }
 
-// takeRecorded handles the outcome of a transaction. The outcome of an earlier one is ignored.
-func (s *State) takeRecorded(now time.Time, e RecordAnswered) {
-	p := s.parts[e.Part]
+// takeWriteAnswered handles the outcome of a transaction. The outcome of an earlier one is ignored.
+func (s *State) takeWriteAnswered(now time.Time, e WriteAnswered) {
+	p := s.writers[e.Part]
 	if p == nil || !p.sending || e.Serial != p.serial {
 		return
 	}
@@ -301,9 +301,9 @@
 
 // writeFailed queues the jobs of a failed transaction for another try. The failed one may have taken
 // effect or not; the conditions of the next one show which.
-func (s *State) writeFailed(now time.Time, p *part, err error) {
+func (s *State) writeFailed(now time.Time, p *partWriter, err error) {
 	if !p.failing {
-		s.note(Note{What: NoteRecordFailed, Detail: p.name + ": " + err.Error(), Code: fault.CodeOf(err), AgeMs: -1})
+		s.note(Note{Kind: NoteRecordFailed, Detail: p.name + ": " + err.Error(), Code: fault.CodeOf(err), AgeMs: -1})
 	}
 	p.failing = true
 	p.nextAt = now.Add(writeRetryDelay)
@@ -313,7 +313,7 @@
 }
 
 // requeue queues a job of a failed transaction for another try.
-func (p *part) requeue(id string, sent sentJob) {
+func (p *partWriter) requeue(id string, sent sentJob) {
 	if sent.expired {
 		p.expired[id] = sent.job
 		return
@@ -325,7 +325,7 @@
 // writeConflicted handles a transaction that was refused because a row's version was not as required. It
 // compares the rows in the table with the sent ones: where they are equal, an earlier try was committed
 // and its answer lost, so the job counts as written.
-func (s *State) writeConflicted(now time.Time, p *part, c table.Committed) {
+func (s *State) writeConflicted(now time.Time, p *partWriter, c table.Committed) {
 	found := map[string]table.Row{}
 	for _, r := range c.Found {
 		if r.Table == rows.FenceTable {
@@ -350,7 +350,7 @@
 			// An earlier try took effect and its answer was lost: under this leader's fence no other
 			// process can have written the row.
 			s.note(Note{
-				What: NoteRecordFailed, Job: id, Code: fault.Conflict, AgeMs: -1,
+				Kind: NoteRecordFailed, Job: id, Code: fault.Conflict, AgeMs: -1,
 				Detail: fmt.Sprintf("found row version %d, expected %d", r.Version, sent.job.Recorded),
 			})
 			sent.job.Recorded = r.Version
@@ -365,7 +365,7 @@
 }
 
 // writeCommitted handles a transaction that was committed; version returns the new version of a row.
-func (s *State) writeCommitted(now time.Time, p *part, version func(table.Key) int64) {
+func (s *State) writeCommitted(now time.Time, p *partWriter, version func(table.Key) int64) {
 	for _, id := range slices.Sorted(maps.Keys(p.sent)) { // notifications are sent in this order
 		sent := p.sent[id]
 		if sent.expired {
@@ -382,40 +382,40 @@
 func (s *State) markJobDurable(sent sentJob, version int64) {
 	j := sent.job
 	j.Recorded = version
-	if rest := s.lent[j]; sent.delegations < len(rest) {
-		s.lent[j] = rest[sent.delegations:]
+	if rest := s.pendingDelegations[j]; sent.delegations < len(rest) {
+		s.pendingDelegations[j] = rest[sent.delegations:]
 	} else {
-		delete(s.lent, j)
+		delete(s.pendingDelegations, j)
 	}
 	for _, word := range sent.notifications {
 		s.emit(word)
 	}
 	for _, t := range sent.isolated {
-		if t.Trial == jobs.TrialWanted {
-			t.Trial = jobs.TrialRecorded
-			s.placeNow = true
+		if t.Isolation == jobs.IsolationWanted {
+			t.Isolation = jobs.IsolationRecorded
+			s.placementDue = true
 		}
 	}
 	if sent.final && j.Durable != j.Phase {
 		j.Durable = j.Phase
-		s.note(Note{What: NoteJobRecorded, Job: j.Spec.GetId(), Detail: j.Phase.String(), AgeMs: -1})
+		s.note(Note{Kind: NoteJobRecorded, Job: j.Spec.GetId(), Detail: j.Phase.String(), AgeMs: -1})
 	}
 }
 
 // markPartDurable notes that all changes up to sentSeq are durable in a part. It drops the ends that this
 // covers and polls their workers at once, which acknowledges the ends.
-func (s *State) markPartDurable(now time.Time, p *part) {
+func (s *State) markPartDurable(now time.Time, p *partWriter) {
 	p.failing = false
 	p.durable = max(p.durable, p.sentSeq)
-	keep := p.ends[:0]
-	for _, e := range p.ends {
+	keep := p.unrecordedEnds[:0]
+	for _, e := range p.unrecordedEnds {
 		if e.seq > p.durable {
 			keep = append(keep, e)
 			continue
 		}
-		if w := s.workers[e.worker]; w != nil && !w.Looking && w.SilentSince.IsZero() && s.phase == leading {
-			w.LookAt = now
+		if w := s.workers[e.worker]; w != nil && !w.PollOutstanding && w.SilentSince.IsZero() && s.phase == leading {
+			w.NextPollAt = now
 		}
 	}
-	p.ends = keep
+	p.unrecordedEnds = keep
 }
--- a/pkg/process/cell/record_test.go
+++ b/pkg/process/cell/record_test.go
@@ -39,8 +39,8 @@
 	for range 20 {
 		b.step(20 * time.Millisecond)
 	}
-	b.down = true
-	worker := b.at[last+".0.0.0"]
+	b.tableDown = true
+	worker := b.workerOf[last+".0.0.0"]
 	b.finish(last+".0.0.0", workers.EndedDone)
 	end := b.ends
 	for range 10 {
@@ -52,7 +52,7 @@
 	for range 10 {
 		b.step(50 * time.Millisecond)
 	}
-	b.down = false
+	b.tableDown = false
 	recorded := false
 	for range 40 {
 		before := len(b.records)
@@ -63,7 +63,7 @@
 			}
 		}
 		for _, l := range b.looks {
-			if l.To.ID == worker && l.Look.Recorded >= end {
+			if l.To.ID == worker && l.Poll.Recorded >= end {
 				must.True(t, recorded, must.Sprint("acknowledged before its record"))
 			}
 		}
--- a/pkg/process/cell/rooms_test.go
+++ b/pkg/process/cell/rooms_test.go
@@ -15,12 +15,14 @@
 
 // resizableWorker is a leader with one worker whose capacity changes.
 type resizableWorker struct {
-	*lives
+	*restartingWorker
 	version int64
 }
 
 // newResizableWorker returns a leader that has polled its worker, of 32 cores.
-func newResizableWorker() *resizableWorker { return &resizableWorker{lives: newLives()} }
+func newResizableWorker() *resizableWorker {
+	return &resizableWorker{restartingWorker: newRestartingWorker()}
+}
 
 // setCapacity registers the worker with a new capacity, in a new version of its row.
 func (v *resizableWorker) setCapacity(millicores int64) {
@@ -66,9 +68,9 @@
 	v := newResizableWorker()
 	v.setCapacity(2000)
 	room := ledger.Size{Millicores: 500, MemoryMB: 128000}
-	v.room = &room
+	v.capacity = &room
 	v.run(time.Second)
-	v.room = nil
+	v.capacity = nil
 	task := v.accept(1)
 	v.registerCapacity(2000, v.version)
 	v.run(time.Second)
@@ -88,7 +90,7 @@
 	}, []manifest.Service{{Name: "quotes"}}, manifest.Limits{})})
 	v.active = []workers.Active{{Task: "00000000000000ee.0.0.0", Run: 7, Percent: 1}}
 	v.run(200 * time.Millisecond)
-	v.state.Take(v.now, cell.Accepted{Spec: &wire.JobSpec{
+	v.state.Take(v.now, cell.JobAccepted{Spec: &wire.JobSpec{
 		Id: "0000000000000001", Queue: "offers", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000, EstimateMs: 500}},
 	}})
 	v.run(time.Second)
--- a/pkg/process/cell/runsknown.go
+++ b/pkg/process/cell/runsknown.go
@@ -18,19 +18,19 @@
 // naming all their tasks is not worth the size of the row.
 const maxNamedTasks = 512
 
-// noteKnownRuns updates RunsKnown and MayRun of each worker. No run starts at a worker while its RunsKnown is set, so its
+// updateKnownRuns updates RunsKnown and MayRun of each worker. No run starts at a worker while its RunsKnown is set, so its
 // MayRun only shrinks.
-func (s *State) noteKnownRuns(now time.Time) {
+func (s *State) updateKnownRuns(now time.Time) {
 	named := 0
-	for _, w := range s.sorted() {
+	for _, w := range s.workersByID() {
 		switch {
-		case w.Gone || w.Dropped:
+		case w.Gone || w.DroppedFromMembership:
 			continue
-		case !w.Heard:
+		case !w.HasAnswered:
 			// The entry that earlier leaders wrote still applies.
 		case w.RunsKnown && !s.excludedFromWork(now, w):
-			w.RunsKnown, w.MayRun, w.SureFrom = false, nil, now
-			s.placeNow = true
+			w.RunsKnown, w.MayRun, w.UsableFrom = false, nil, now
+			s.placementDue = true
 		case s.excludedFromWork(now, w) && s.holdsOnlyKnownRuns(w) && named+len(w.Runs) <= maxNamedTasks:
 			w.RunsKnown, w.MayRun = true, taskNamesAt(w)
 		}
@@ -42,13 +42,13 @@
 // recorded. It is false for a newly silent worker while the table does not answer: such a worker would otherwise get no
 // work after it answers again until the table does, too.
 func (s *State) excludedFromWork(now time.Time, w *workers.Worker) bool {
-	return w.Leaving || (w.Failures >= failuresSilent && (w.RunsKnown || s.tableAnswers(now)))
+	return w.Leaving || (w.Failures >= silentAfterFailures && (w.RunsKnown || s.tableAvailable(now)))
 }
 
 // holdsOnlyKnownRuns returns whether a worker surely holds nothing but its known runs: no other run, and no end that is not
 // recorded.
 func (s *State) holdsOnlyKnownRuns(w *workers.Worker) bool {
-	return w.HoldsNoOthers() && s.recordedEnd(w) >= w.Seen
+	return w.OnlyKnownRuns() && s.lastRecordedEnd(w) >= w.LastEnd
 }
 
 // taskNamesAt returns the sorted names of the tasks that may have a run at a worker.
@@ -66,13 +66,13 @@
 	return !e.GetRunsKnown() || slices.Contains(e.GetMayRun(), t.Name())
 }
 
-// heldBack returns the names of the tasks that may still run at members which have not answered this leader. known is
+// tasksHeldBack returns the names of the tasks that may still run at members which have not answered this leader. known is
 // false if any task may run at one of them.
-func (s *State) heldBack(now time.Time) (tasks map[string]bool, known bool) {
+func (s *State) tasksHeldBack(now time.Time) (tasks map[string]bool, known bool) {
 	tasks = map[string]bool{}
-	for id := range s.unsettled {
+	for id := range s.awaitedMembers {
 		w := s.workers[id]
-		if w == nil || s.surelyOver(now, w) {
+		if w == nil || s.earlierRunsOver(now, w) {
 			continue
 		}
 		if !w.RunsKnown {
@@ -85,20 +85,20 @@
 	return tasks, true
 }
 
-// newSettled returns whether tasks that become known here from now on may start at once: no earlier leader can have
+// newTasksSettled returns whether tasks that become known here from now on may start at once: no earlier leader can have
 // started them, except those that holdBackNamed marks.
-func (s *State) newSettled() bool { return s.settled || s.othersSettled || s.unsafe.NoSettling }
+func (s *State) newTasksSettled() bool { return s.settled || s.unnamedSettled || s.unsafe.NoSettling }
 
-// holdBackNamed marks as not settled the tasks of a job that may run at members which have not answered. An earlier
+// holdBackTasks marks as not settled the tasks of a job that may run at members which have not answered. An earlier
 // leader may have known a task before it became known here: for example, an occurrence of a repeating job may have
 // fallen due earlier by that leader's clock.
-func (s *State) holdBackNamed(j *jobs.Job) {
-	if len(s.mayRunUnheard) == 0 {
+func (s *State) holdBackTasks(j *jobs.Job) {
+	if len(s.heldBackTasks) == 0 {
 		return
 	}
 	for _, u := range j.Units {
 		for _, t := range u.Tasks {
-			if s.mayRunUnheard[t.Name()] && !t.Done && len(t.Runs) == 0 {
+			if s.heldBackTasks[t.Name()] && !t.Done && len(t.Runs) == 0 {
 				t.Settled = false
 			}
 		}
--- a/pkg/process/cell/runsknown_test.go
+++ b/pkg/process/cell/runsknown_test.go
@@ -18,17 +18,17 @@
 
 // takeOverFromLeavingWorker returns the successor of a leader, and a worker that was leaving while unreachedTask ran there
 // and that does not answer the successor.
-func takeOverFromLeavingWorker(t *testing.T, specs ...*wire.JobSpec) (successor *busyCell, left string) {
+func takeOverFromLeavingWorker(t *testing.T, specs ...*wire.JobSpec) (successor *testCell, left string) {
 	t.Helper()
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
 	b.step(100 * time.Millisecond)
-	left = b.at[unreachedTask]
-	b.list(16, left)
+	left = b.workerOf[unreachedTask]
+	b.register(16, left)
 	b.step(100 * time.Millisecond)
 	b.silent[left] = true
 	successor = newEmptyCell()
-	successor.takeOver(b, 15*time.Second, b.state.Roster(), specs...)
+	successor.takeOverWith(b, 15*time.Second, b.state.Members(), specs...)
 	return successor, left
 }
 
@@ -65,10 +65,10 @@
 func TestSuccessorHoldsBackAllTasksIfRunsAreNotKnown(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	members := b.state.Roster()
+	members := b.state.Members()
 	b.silent["w03"] = true
 	successor := newEmptyCell()
-	successor.takeOver(b, 15*time.Second, members, lastingJob("00000000000000ee"))
+	successor.takeOverWith(b, 15*time.Second, members, lastingJob("00000000000000ee"))
 	for range 20 {
 		successor.step(100 * time.Millisecond)
 	}
@@ -76,8 +76,8 @@
 }
 
 // memberEntry returns a worker's entry in the membership row, or nil.
-func (b *busyCell) memberEntry(id string) *wire.RosterEntry {
-	list := b.state.Roster()
+func (b *testCell) memberEntry(id string) *wire.RosterEntry {
+	list := b.state.Members()
 	if i := slices.IndexFunc(list, func(e *wire.RosterEntry) bool { return e.GetId() == id }); i >= 0 {
 		return list[i]
 	}
@@ -91,14 +91,14 @@
 	b := newEmptyCell()
 	b.accept("00000000000000ff", "watches", &wire.StepSpec{Count: 1, Millicores: 6000, Lasting: true})
 	b.step(100 * time.Millisecond)
-	silent := b.at[unreachedTask]
+	silent := b.workerOf[unreachedTask]
 	b.silent[silent] = true
 	for range 8 {
 		b.step(100 * time.Millisecond)
 	}
 	must.True(t, b.memberEntry(silent).GetRunsKnown())
 	must.Eq(t, []string{unreachedTask}, b.memberEntry(silent).GetMayRun())
-	b.down = true
+	b.tableDown = true
 	b.silent[silent] = false
 	b.accept("00000000000000dd", "watches", &wire.StepSpec{Count: 16, Millicores: 20000, Lasting: true})
 	for range 3 {
@@ -106,7 +106,7 @@
 	}
 	must.False(t, b.memberEntry(silent).GetRunsKnown())
 	must.MapLen(t, 16, b.started, must.Sprint("one at each other worker, and the first job's"))
-	b.down = false
+	b.tableDown = false
 	for range 2 {
 		b.step(100 * time.Millisecond)
 	}
@@ -130,13 +130,13 @@
 func TestOccurrenceDueLaterIsHeldBackIfNamedAtUnreachedWorker(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
-	members := b.state.Roster()
+	members := b.state.Members()
 	b.silent["w03"] = true
 	entry := members[slices.IndexFunc(members, func(e *wire.RosterEntry) bool { return e.GetId() == "w03" })]
 	entry.RunsKnown, entry.MayRun = true, []string{"00000000000000aa.0.0.0"}
 	successor := newEmptyCell()
 	due := b.now.Add(2 * time.Second)
-	successor.takeOver(b, 15*time.Second, members, &wire.JobSpec{
+	successor.takeOverWith(b, 15*time.Second, members, &wire.JobSpec{
 		Id: "00000000000000aa", Queue: "watches", Service: "quotes", Cell: "hall", Repeats: 2, FirstUnixMs: due.UnixMilli(), IntervalMs: 1000,
 		Steps: []*wire.StepSpec{{Count: 1, Millicores: 6000}},
 	})
@@ -152,12 +152,12 @@
 	t.Parallel()
 	for _, born := range []int64{0, 7} {
 		b := newEmptyCell()
-		members := b.state.Roster()
+		members := b.state.Members()
 		b.silent["w03"] = true
 		entry := members[slices.IndexFunc(members, func(e *wire.RosterEntry) bool { return e.GetId() == "w03" })]
 		entry.Born, entry.RunsKnown, entry.MayRun = born, true, []string{unreachedTask}
 		successor := newEmptyCell()
-		successor.takeOver(b, 15*time.Second, members, lastingJob("00000000000000ff"))
+		successor.takeOverWith(b, 15*time.Second, members, lastingJob("00000000000000ff"))
 		for range 5 {
 			successor.step(100 * time.Millisecond)
 		}
--- a/pkg/process/cell/settle.go
+++ b/pkg/process/cell/settle.go
@@ -14,13 +14,13 @@
 // surely ended because the worker's lease has. A task is settled, and may start if no worker lists it, once no earlier
 // run of it can go on unknown to this leader.
 
-// surelyOver says whether the runs that earlier leaders started at a worker which
+// earlierRunsOver says whether the runs that earlier leaders started at a worker which
 // has not answered have surely ended: its leases must have ended before leadership
 // was last confirmed. A worker that never answered has leases of earlier leaders
 // only. A worker that answered while the jobs were being read also has one of this
 // leader, and its list is still to come.
-func (s *State) surelyOver(now time.Time, w *workers.Worker) bool {
-	confirmed := s.confirmed(now)
+func (s *State) earlierRunsOver(now time.Time, w *workers.Worker) bool {
+	confirmed := s.leadershipLastConfirmed(now)
 	if confirmed.Before(s.lastLeaseEndAt(w.ID)) {
 		return false
 	}
@@ -33,24 +33,24 @@
 	if s.settled {
 		return
 	}
-	for id := range s.unsettled {
+	for id := range s.awaitedMembers {
 		w := s.workers[id]
-		if w == nil || w.Heard {
-			delete(s.unsettled, id)
+		if w == nil || w.HasAnswered {
+			delete(s.awaitedMembers, id)
 		}
 	}
-	held, known := s.heldBack(now)
+	held, known := s.tasksHeldBack(now)
 	if !known {
 		return
 	}
-	s.settled, s.othersSettled, s.mayRunUnheard = s.allEarlierRunsOver(now), true, held
+	s.settled, s.unnamedSettled, s.heldBackTasks = s.allEarlierRunsOver(now), true, held
 	s.settleExcept(now, held)
 }
 
 // allEarlierRunsOver says whether all runs at members that have not answered have surely ended.
 func (s *State) allEarlierRunsOver(now time.Time) bool {
-	for id := range s.unsettled {
-		if !s.surelyOver(now, s.workers[id]) {
+	for id := range s.awaitedMembers {
+		if !s.earlierRunsOver(now, s.workers[id]) {
 			return false
 		}
 	}
@@ -71,8 +71,8 @@
 				}
 				t.Settled, changed = true, true
 				settled++
-				t.Tried = t.Tried || s.mayHaveRunAtUnreached(t)
-				if !s.trialNowhere(now, t) && len(t.Runs) == 0 && !t.Done && t.LentTo == "" && u.MayHaveBegun() && !j.Ended() {
+				t.MayHaveRun = t.MayHaveRun || s.mayHaveRunAtUnreached(t)
+				if !s.isolatedRunLost(now, t) && len(t.Runs) == 0 && !t.Done && t.DelegatedTo == "" && u.MayHaveBegun() && !j.Ended() {
 					mayHaveRun = append(mayHaveRun, t)
 				}
 				if len(t.Runs) == 0 && j.Begun {
@@ -81,23 +81,23 @@
 			}
 		}
 		if changed {
-			s.touch(now, j)
+			s.updateWaiting(now, j)
 		}
 	}
 	if s.settled {
-		s.rememberUnheard(mayHaveRun)
+		s.keepUnreachedMembers(mayHaveRun)
 	}
-	s.blameUnseen(now, mayHaveRun)
+	s.addUnobservedEvidence(now, mayHaveRun)
 	if !s.settled && settled == 0 {
 		return
 	}
-	s.note(Note{What: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", listedNowhere, len(s.unsettled), len(held)), AgeMs: -1})
+	s.note(Note{Kind: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", listedNowhere, len(s.awaitedMembers), len(held)), AgeMs: -1})
 }
 
 // mayHaveRunAtUnreached says whether a task may have run at a member that has not answered.
 func (s *State) mayHaveRunAtUnreached(t *jobs.Task) bool {
-	for id := range s.unsettled {
-		if mayHaveRunAt(s.earlier[id], t) {
+	for id := range s.awaitedMembers {
+		if mayHaveRunAt(s.retainedMembers[id], t) {
 			return true
 		}
 	}
--- a/pkg/process/cell/settling_test.go
+++ b/pkg/process/cell/settling_test.go
@@ -21,9 +21,9 @@
 	lent := &wire.JobProgress{Id: spec.GetId(), Phase: wire.JobPhase_JOB_PHASE_RUNNING, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{LentTo: "other", Lending: 1}}}}}
 	v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec, Progress: lent, Recorded: 3},
 		&wire.ReturnedTasks{Id: spec.GetId(), From: "other", Home: "hall", Tasks: []*wire.TaskRef{{Lending: 1}}})
-	_, started := v.run(14 * time.Second)
+	_, started := v.runUntilStart(14 * time.Second)
 	must.False(t, started)
-	_, started = v.run(2 * time.Second)
+	_, started = v.runUntilStart(2 * time.Second)
 	must.True(t, started)
 }
 
@@ -36,9 +36,9 @@
 		Repeats: 1, FirstUnixMs: time.Unix(1002, 0).UnixMilli(), IntervalMs: 1000,
 	}
 	v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec})
-	_, started := v.run(14 * time.Second)
+	_, started := v.runUntilStart(14 * time.Second)
 	must.False(t, started)
-	_, started = v.run(2 * time.Second)
+	_, started = v.runUntilStart(2 * time.Second)
 	must.True(t, started)
 }
 
@@ -56,10 +56,10 @@
 		return s
 	}
 	v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec(1)})
-	v.state.Take(v.now, cell.Accepted{Spec: spec(2)})
-	_, started := v.run(14 * time.Second)
+	v.state.Take(v.now, cell.JobAccepted{Spec: spec(2)})
+	_, started := v.runUntilStart(14 * time.Second)
 	must.False(t, started)
-	_, started = v.run(2 * time.Second)
+	_, started = v.runUntilStart(2 * time.Second)
 	must.True(t, started)
 }
 
@@ -68,16 +68,16 @@
 func TestEndOfThePredecessorLeavesTheLeasesOfEarlierOnes(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
-	v.state.Take(v.now, cell.Led{Epoch: 2, Predecessors: map[string]time.Time{"first/1": v.now.Add(12 * time.Second), "second/1": v.now.Add(15 * time.Second)}})
+	v.state.Take(v.now, cell.LeadershipGained{Epoch: 2, Predecessors: map[string]time.Time{"first/1": v.now.Add(12 * time.Second), "second/1": v.now.Add(15 * time.Second)}})
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	v.state.Take(v.now, cell.Loaded{
-		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: someFences(),
-		Roster: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
+		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: testFences(),
+		Members: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
 	})
-	v.state.Take(v.now, cell.PredecessorOver{Epoch: 2, Holder: "second/1"})
-	_, started := v.run(11 * time.Second)
+	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "second/1"})
+	_, started := v.runUntilStart(11 * time.Second)
 	must.False(t, started)
-	_, started = v.run(2 * time.Second)
+	_, started = v.runUntilStart(2 * time.Second)
 	must.True(t, started)
 }
 
@@ -85,15 +85,15 @@
 func TestReportedEndsOfAllPredecessorsShortenTheWaitToOneLease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
-	v.state.Take(v.now, cell.Led{Epoch: 2, Predecessors: map[string]time.Time{"first/1": v.now.Add(12 * time.Second), "second/1": v.now.Add(15 * time.Second)}})
+	v.state.Take(v.now, cell.LeadershipGained{Epoch: 2, Predecessors: map[string]time.Time{"first/1": v.now.Add(12 * time.Second), "second/1": v.now.Add(15 * time.Second)}})
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	v.state.Take(v.now, cell.Loaded{
-		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: someFences(),
-		Roster: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
+		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: testFences(),
+		Members: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
 	})
-	v.state.Take(v.now, cell.PredecessorOver{Epoch: 2, Holder: "second/1"})
-	v.state.Take(v.now, cell.PredecessorOver{Epoch: 2, Holder: "first/1"})
-	after, started := v.run(6 * time.Second)
+	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "second/1"})
+	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "first/1"})
+	after, started := v.runUntilStart(6 * time.Second)
 	must.True(t, started)
 	must.Between(t, 4*time.Second, after, 5*time.Second)
 }
@@ -103,10 +103,10 @@
 func TestLeaderPastItsTenureStepsDownWithoutOrders(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
-	b.state.Take(b.now, cell.Confirmed{At: b.now, Until: b.now.Add(12 * time.Second)})
+	b.state.Take(b.now, cell.LeadershipConfirmed{SentAt: b.now, Until: b.now.Add(12 * time.Second)})
 	b.state.Decide(b.now, b.now)
 	woke := b.now.Add(13 * time.Second)
-	b.state.Take(woke, cell.Accepted{Spec: &wire.JobSpec{Id: "00000000000000ff", Queue: "offers", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{{Count: 1, Millicores: 10}}}})
+	b.state.Take(woke, cell.JobAccepted{Spec: &wire.JobSpec{Id: "00000000000000ff", Queue: "offers", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{{Count: 1, Millicores: 10}}}})
 	stepped := false
 	for _, e := range b.state.Decide(woke, woke) {
 		switch e.(type) {
@@ -129,7 +129,7 @@
 		v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec})
 		v.active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 100}}
 		v.alsoAnswers = "second"
-		_, started := v.run(leavesAfter)
+		_, started := v.runUntilStart(leavesAfter)
 		must.False(t, started)
 		record := func(id string, leaving bool) workers.Record {
 			return workers.Record{
@@ -138,8 +138,8 @@
 			}
 		}
 		v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{record("heard", true), record("second", false)}})
-		v.state.Take(v.now, cell.RosterRecorded{IDs: []string{"heard", "second", "dark"}})
-		after, started := v.run(5 * time.Second)
+		v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"heard", "second", "dark"}})
+		after, started := v.runUntilStart(5 * time.Second)
 		must.True(t, started, must.Sprintf("the worker leaves after %s", leavesAfter))
 		must.Less(t, 4*time.Second, after)
 		must.Eq(t, "second", v.starts[0].To.ID)
--- a/pkg/process/cell/state.go
+++ b/pkg/process/cell/state.go
@@ -83,8 +83,8 @@
 	name   string
 	bounds Bounds
 	unsafe Unsafe
-	// without are the mechanisms that are switched off.
-	without Mechanism
+	// disabled are the mechanisms that are switched off.
+	disabled Mechanism
 	// peers are the deployment's other cells, sorted.
 	peers []string
 
@@ -98,69 +98,69 @@
 	workers map[string]*workers.Worker
 	// sortedWorkers lists the workers by id. It is rebuilt when reorder is set.
 	sortedWorkers []*workers.Worker
-	reorder       bool
-	// roster holds the ids that the recorded membership row names: only these workers get work.
-	roster map[string]bool
-	// over holds, by worker id, the incarnations (their Born) that have ended because a later one answered on
+	orderStale    bool
+	// recordedMembers holds the ids that the recorded membership row names: only these workers get work.
+	recordedMembers map[string]bool
+	// endedIncarnations holds, by worker id, the incarnations (their Born) that have ended because a later one answered on
 	// their host. There are few of them: one for each restart that this process has observed.
-	over map[string]int64
-	// followedAt is the time up to which the cell's table has been followed: all jobs recorded before it are known.
-	followedAt time.Time
-	// falls are the times at which workers fell silent, as far back as fellKept.
-	falls []fall
+	endedIncarnations map[string]int64
+	// caughtUpAt is the time up to which the cell's table has been followed: all jobs recorded before it are known.
+	caughtUpAt time.Time
+	// silences are the times at which workers fell silent, as far back as fellKept.
+	silences []silence
 	// hostCrashes are the crashes by host, as far back as hostKept.
 	hostCrashes map[string][]hostCrash
-	// silent are runs whose worker fell silent: whether the worker crashed is not known yet.
-	silent []silentRun
-	// accused are the implicated tasks: those with crash evidence, in the order in which they got the first of it.
-	accused []*jobs.Task
-	// closed are the workers that no other task may join, because an isolated run is there or is about to start.
+	// silentRuns are runs whose worker fell silent: whether the worker crashed is not known yet.
+	silentRuns []silentRun
+	// implicated are the implicated tasks: those with crash evidence, in the order in which they got the first of it.
+	implicated []*jobs.Task
+	// closedWorkers are the workers that no other task may join, because an isolated run is there or is about to start.
 	// trialsOut is the number of isolated runs. Both are as of the last placement. kept are the workers reserved for
 	// the isolated run of a task; a reservation lasts over several placements.
-	closed    map[*workers.Worker]bool
-	kept      map[*jobs.Task]keptWorker
-	trialsOut int
-	// died are runs whose worker has restarted. They are presumed lost once leadership is confirmed for a later time.
-	died []diedRun
+	closedWorkers         map[*workers.Worker]bool
+	isolationReservations map[*jobs.Task]isolationReservation
+	isolatedRuns          int
+	// diedRuns are runs whose worker has restarted. They are presumed lost once leadership is confirmed for a later time.
+	diedRuns []diedRun
 	// pendingCancels are cancels of jobs that are not known yet, with the time at which each was received.
 	pendingCancels map[string]time.Time
-	// waiting are the units that have tasks to start.
-	waiting map[*jobs.Unit]struct{}
-	// parts write progress, each to one part of the table.
-	parts map[string]*part
-	// seq is the number of the last change to any job's progress.
-	seq int64
-	// runs is how many run numbers this epoch has used.
-	runs int64
-	// advices holds the tickets of the advising service by unit. adviceOut is the unit whose advice request has no
+	// waitingUnits are the units that have tasks to start.
+	waitingUnits map[*jobs.Unit]struct{}
+	// writers write progress, each to one part of the table.
+	writers map[string]*partWriter
+	// changeSeq is the number of the last change to any job's progress.
+	changeSeq int64
+	// runSerial is how many run numbers this epoch has used.
+	runSerial int64
+	// ticketsByUnit holds the tickets of the advising service by unit. adviceOut is the unit whose advice request has no
 	// answer yet.
-	advices   map[string]*advice
-	adviceOut string
-	// others are the loads that the leaders of other cells reported, by cell.
-	others map[string]otherLoad
-	// lent are specifications of delegated tasks for other cells that are not recorded yet.
-	lent map[*jobs.Job][]*wire.JobSpec
+	ticketsByUnit   map[string]*unitTickets
+	adviceRequested string
+	// peerLoads are the loads that the leaders of other cells reported, by cell.
+	peerLoads map[string]peerLoad
+	// pendingDelegations are specifications of delegated tasks for other cells that are not recorded yet.
+	pendingDelegations map[*jobs.Job][]*wire.JobSpec
 
-	// unsettled are the members that have not answered this leader. Until settled is set, tasks that no worker lists
+	// awaitedMembers are the members that have not answered this leader. Until settled is set, tasks that no worker lists
 	// wait for them. settleBy is when the last lease that earlier leaders may have granted ends, which ends the wait.
-	unsettled map[string]bool
-	settled   bool
-	settleBy  time.Time
-	// othersSettled is set once only tasks that the membership names may still run at members that have not answered.
-	othersSettled bool
-	// mayRunUnheard holds the names of those tasks.
-	mayRunUnheard map[string]bool
-	// earlier are the entries of retained members, by worker: incarnations that earlier leaders could use, and
+	awaitedMembers map[string]bool
+	settled        bool
+	settleDeadline time.Time
+	// unnamedSettled is set once only tasks that the membership names may still run at members that have not answered.
+	unnamedSettled bool
+	// heldBackTasks holds the names of those tasks.
+	heldBackTasks map[string]bool
+	// retainedMembers are the entries of retained members, by worker: incarnations that earlier leaders could use, and
 	// incarnations that have ended. The membership names them until the crash evidence from their ends is recorded,
 	// which it is with change number weighedSeq. unseen are those that ended before this leader received their lists.
-	earlier    map[string]*wire.RosterEntry
-	unseen     []string
-	weighedSeq int64
-	// unheard are the unreached members: those that had not answered when the cell settled, and that have neither
+	retainedMembers map[string]*wire.RosterEntry
+	unobservedEnds  []string
+	evidenceSeq     int64
+	// unreachedMembers are the unreached members: those that had not answered when the cell settled, and that have neither
 	// answered nor ended since, as far as is known.
-	unheard map[string]unheardMember
-	// unseenHeld are the tasks to whose crash evidence this leader has added an unobserved end.
-	unseenHeld map[*jobs.Task]bool
+	unreachedMembers map[string]unreachedMember
+	// unobservedEvidence are the tasks to whose crash evidence this leader has added an unobserved end.
+	unobservedEvidence map[*jobs.Task]bool
 	// predecessors are the leaders that may still act, by the names of their incarnations, each with the time at which
 	// the last lease that it may grant ends. otherLeasesUntil is that time for all other earlier leaders.
 	predecessors     map[string]time.Time
@@ -172,40 +172,40 @@
 	// never learned of.
 	unknownLeasesUntil time.Time
 
-	// press holds the learned interference of fillers with serving tasks. It is kept when a leadership ends, since it
+	// interference holds the learned interference of fillers with serving tasks. It is kept when a leadership ends, since it
 	// depends on images only. pressToldAt is when the log last reported it.
-	press       *interference.Press
-	pressToldAt time.Time
-	// orders limits the bytes of start orders in flight. It is kept when a leadership ends, since it depends on this
+	interference         *interference.PressureModel
+	interferenceLoggedAt time.Time
+	// startWindow limits the bytes of start orders in flight. It is kept when a leadership ends, since it depends on this
 	// host's link only.
-	orders *flow.Window
-	// heldNotedAt is when the log last reported that start orders are held back.
-	heldNotedAt time.Time
+	startWindow *flow.Window
+	// startsHeldLoggedAt is when the log last reported that start orders are held back.
+	startsHeldLoggedAt time.Time
 	// runtimes estimates how long tasks run. It is kept when a leadership ends, too.
 	runtimes *runtimes.Estimates
-	// neighbours caches the tasks that a filler would run beside, by worker, and harms the cost of a filler at a
+	// neighboursByWorker caches the tasks that a filler would run beside, by worker, and harms the cost of a filler at a
 	// worker. Both are valid for one placement.
-	neighbours map[*workers.Worker]neighbours
-	harms      map[place]float64
-	// fillerRooms and fillerFrees are the sums of capacity for fillers that Load reports, by image, as of roomsAt.
-	fillerRooms, fillerFrees map[string]int64
-	roomsAt                  time.Time
-	// waitsNotedAt is when the log last gave the reasons why lasting tasks wait.
-	waitsNotedAt time.Time
-	// roomy is set if much of the cell's capacity is free, as of the last placement.
-	roomy bool
-	// held are the workers whose capacity is reserved for lasting tasks, as of the last placement.
-	held map[*workers.Worker]bool
-	// confirmedAt is the last time at which this process surely led the cell. A run that is presumed over without a
+	neighboursByWorker map[*workers.Worker]workerNeighbours
+	fillerNetCosts     map[fillerPlace]float64
+	// harmlessFillerCapacity and fillerFrees are the sums of capacity for fillers that Load reports, by image, as of roomsAt.
+	harmlessFillerCapacity, startableFillerCapacity map[string]int64
+	fillerCapacityAt                                time.Time
+	// lastingWaitsLoggedAt is when the log last gave the reasons why lasting tasks wait.
+	lastingWaitsLoggedAt time.Time
+	// mostlyFree is set if much of the cell's capacity is free, as of the last placement.
+	mostlyFree bool
+	// reservedForLasting are the workers whose capacity is reserved for lasting tasks, as of the last placement.
+	reservedForLasting map[*workers.Worker]bool
+	// leadershipConfirmedAt is the last time at which this process surely led the cell. A run that is presumed over without a
 	// report from its worker must have ended before that time: otherwise a later leader may have renewed the worker's
 	// lease or acknowledged the run's end.
-	confirmedAt time.Time
+	leadershipConfirmedAt time.Time
 	// tenureUntil is when the tenure ends, and with it the leadership unless it is renewed. The zero time sets no limit.
 	tenureUntil time.Time
 
-	// placeNow makes the next Decide place tasks, scanNow makes it run the scans of runScans.
-	placeNow bool
-	scanNow  bool
+	// placementDue makes the next Decide place tasks, scanNow makes it run the scans of runScans.
+	placementDue bool
+	scanDue      bool
 	// outbox are the effects that the next Decide returns.
 	outbox []Effect
 }
@@ -228,8 +228,8 @@
 // New returns the State of a process that does not lead the cell.
 func New(name string, bounds Bounds, options ...Option) *State {
 	s := &State{
-		name: name, bounds: bounds, workers: map[string]*workers.Worker{}, press: interference.NewPress(), orders: flow.NewWindow(), runtimes: runtimes.New(), others: map[string]otherLoad{},
-		neighbours: map[*workers.Worker]neighbours{}, harms: map[place]float64{}, held: map[*workers.Worker]bool{}, over: map[string]int64{},
+		name: name, bounds: bounds, workers: map[string]*workers.Worker{}, interference: interference.NewPressureModel(), startWindow: flow.NewWindow(), runtimes: runtimes.New(), peerLoads: map[string]peerLoad{},
+		neighboursByWorker: map[*workers.Worker]workerNeighbours{}, fillerNetCosts: map[fillerPlace]float64{}, reservedForLasting: map[*workers.Worker]bool{}, endedIncarnations: map[string]int64{},
 	}
 	s.resetLeadership()
 	for _, o := range options {
@@ -242,23 +242,23 @@
 func (s *State) resetLeadership() {
 	s.jobs = map[string]*jobs.Job{}
 	s.pendingCancels = map[string]time.Time{}
-	s.waiting = map[*jobs.Unit]struct{}{}
-	s.roster = map[string]bool{}
-	s.parts = map[string]*part{}
-	s.lent = map[*jobs.Job][]*wire.JobSpec{}
-	s.advices = map[string]*advice{}
-	s.adviceOut = ""
-	s.unsettled = map[string]bool{}
-	s.earlier, s.unseen, s.unheard = map[string]*wire.RosterEntry{}, nil, map[string]unheardMember{}
-	s.unseenHeld = map[*jobs.Task]bool{}
-	s.settled, s.othersSettled, s.mayRunUnheard = false, false, nil
-	s.died, s.falls, s.silent, s.followedAt = nil, nil, nil, time.Time{}
+	s.waitingUnits = map[*jobs.Unit]struct{}{}
+	s.recordedMembers = map[string]bool{}
+	s.writers = map[string]*partWriter{}
+	s.pendingDelegations = map[*jobs.Job][]*wire.JobSpec{}
+	s.ticketsByUnit = map[string]*unitTickets{}
+	s.adviceRequested = ""
+	s.awaitedMembers = map[string]bool{}
+	s.retainedMembers, s.unobservedEnds, s.unreachedMembers = map[string]*wire.RosterEntry{}, nil, map[string]unreachedMember{}
+	s.unobservedEvidence = map[*jobs.Task]bool{}
+	s.settled, s.unnamedSettled, s.heldBackTasks = false, false, nil
+	s.diedRuns, s.silences, s.silentRuns, s.caughtUpAt = nil, nil, nil, time.Time{}
 	s.hostCrashes = map[string][]hostCrash{}
-	s.accused = nil
-	s.closed, s.kept = map[*workers.Worker]bool{}, map[*jobs.Task]keptWorker{}
+	s.implicated = nil
+	s.closedWorkers, s.isolationReservations = map[*workers.Worker]bool{}, map[*jobs.Task]isolationReservation{}
 	s.phase = following
 	s.workers = map[string]*workers.Worker{}
-	s.reorder = true
+	s.orderStale = true
 }
 
 // Take applies one event. Callers apply a batch of events and then call Decide once: a Decide after each event would
@@ -266,56 +266,56 @@
 func (s *State) Take(now time.Time, e Event) {
 	switch e := e.(type) {
 	case Tick:
-		s.scanNow = true
-		s.placeNow = s.placeNow || len(s.waiting) > 0
+		s.scanDue = true
+		s.placementDue = s.placementDue || len(s.waitingUnits) > 0
 	case ManifestChanged:
 		s.manifest = e.Manifest
-		s.placeNow = true
+		s.placementDue = true
 	case BoundsChanged:
 		s.bounds = e.Bounds
 	case WorkersListed:
-		s.takeListed(now, e)
-	case Led:
-		s.takeLed(now, e)
-	case Deposed:
+		s.takeRegistry(now, e)
+	case LeadershipGained:
+		s.takeLeadershipGained(now, e)
+	case LeadershipLost:
 		s.rememberLeases(now)
 		s.stepDown(e.Why)
-	case Confirmed:
-		s.confirmedAt, s.tenureUntil = e.At, e.Until
-	case PredecessorOver:
-		s.takePredecessorOver(now, e)
-	case RosterRecorded:
-		s.takeRoster(e)
+	case LeadershipConfirmed:
+		s.leadershipConfirmedAt, s.tenureUntil = e.SentAt, e.Until
+	case PredecessorEnded:
+		s.takePredecessorEnded(now, e)
+	case MembershipRecorded:
+		s.takeMembershipRecorded(e)
 	case Loaded:
 		s.takeLoaded(now, e)
-	case Accepted:
+	case JobAccepted:
 		s.takeAccepted(now, e)
-	case Followed:
-		s.takeFollowed(e)
-	case CancelAsked:
+	case TableCaughtUp:
+		s.takeTableCaughtUp(e)
+	case CancelRequested:
 		s.takeCancel(now, e)
-	case Returned:
-		s.takeReturned(now, e.Tasks)
-	case Looked:
-		s.takeLooked(now, e)
-	case Started:
-		s.takeStarted(now, e)
+	case TasksReturned:
+		s.takeTasksReturned(now, e.Tasks)
+	case PollAnswered:
+		s.takePollAnswered(now, e)
+	case StartAnswered:
+		s.takeStartAnswered(now, e)
 	case StopAnswered:
 		s.takeStopAnswered(now, e)
 	case PaceAnswered:
 		s.takePaceAnswered(now, e)
-	case RecordAnswered:
-		s.takeRecorded(now, e)
-	case Release:
+	case WriteAnswered:
+		s.takeWriteAnswered(now, e)
+	case ReleaseRequested:
 		s.takeRelease(now)
 	case ClearSuspicion:
 		s.takeClearSuspicion(now, e)
-	case Advised:
-		s.takeAdvised(now, e)
-	case OtherLoad:
-		s.others[e.Load.GetCell()] = otherLoad{load: e.Load, at: now}
-		if s.has(SharedBeliefs) && len(e.Load.GetBeliefs()) > 0 && (e.Load.GetCell() != s.name || s.phase == following) {
-			s.press.Hear(e.Load.GetCell(), beliefsOf(e.Load))
+	case AdviceAnswered:
+		s.takeAdviceAnswered(now, e)
+	case PeerLoad:
+		s.peerLoads[e.Load.GetCell()] = peerLoad{load: e.Load, receivedAt: now}
+		if s.enabled(SharedBeliefs) && len(e.Load.GetBeliefs()) > 0 && (e.Load.GetCell() != s.name || s.phase == following) {
+			s.interference.Hear(e.Load.GetCell(), decodeBeliefs(e.Load))
 		}
 	}
 }
@@ -330,12 +330,12 @@
 	if s.phase == leading || s.phase == releasing {
 		s.runScans(now)
 		if s.phase == leading {
-			s.place(now)
+			s.runPlacement(now)
 		}
-		s.record(now)
+		s.writeProgress(now)
 	}
 	if s.phase != following {
-		s.look(now)
+		s.pollWorkers(now)
 	}
 	out := s.outbox
 	s.outbox = nil
@@ -345,39 +345,39 @@
 // runScans takes the decisions that examine every run. They are due after a tick, after an answer that changes
 // whether a worker or its incarnation counts as alive, and after a job's end, but not after every answer.
 func (s *State) runScans(now time.Time) {
-	if !s.scanNow {
+	if !s.scanDue {
 		return
 	}
-	s.scanNow = false
+	s.scanDue = false
 	s.checkRuns(now)
-	s.buryGone(now)
-	s.buryDied(now)
-	s.clearSuspects()
-	s.forgetSilent(now)
+	s.removeGoneWorkers(now)
+	s.loseDiedRuns(now)
+	s.exonerateSuspects()
+	s.expireSilentRuns(now)
 	s.settle(now)
-	s.forgetEarlier()
+	s.dropRetainedMembers()
 	s.dropEmptyMembers(now)
-	s.noteKnownRuns(now)
+	s.updateKnownRuns(now)
 	if s.phase == leading {
 		s.openDueTimes(now)
-		s.leave(now)
-		s.lend(now)
-		s.pace(now)
-		s.noteLastingWaits(now)
+		s.stopOnLeavingWorkers(now)
+		s.delegateWaiting(now)
+		s.paceFillers(now)
+		s.logLastingWaits(now)
 	}
-	s.stopUnwanted(now)
+	s.stopObsoleteRuns(now)
 	s.dropExpiredJobs(now)
 }
 
-// sorted lists the workers by id. A map has no fixed order, so the same events would lead to other decisions each time.
-func (s *State) sorted() []*workers.Worker {
-	if len(s.sortedWorkers) != len(s.workers) || s.reorder {
+// workersByID lists the workers by id. A map has no fixed order, so the same events would lead to other decisions each time.
+func (s *State) workersByID() []*workers.Worker {
+	if len(s.sortedWorkers) != len(s.workers) || s.orderStale {
 		s.sortedWorkers = s.sortedWorkers[:0:0]
 		for _, w := range s.workers {
 			s.sortedWorkers = append(s.sortedWorkers, w)
 		}
 		sort.Slice(s.sortedWorkers, func(a, b int) bool { return s.sortedWorkers[a].ID < s.sortedWorkers[b].ID })
-		s.reorder = false
+		s.orderStale = false
 	}
 	return s.sortedWorkers
 }
@@ -388,9 +388,9 @@
 	s.emit(n)
 }
 
-// noteIfHeld notes a change that every process hears of, if this process leads the cell or loads its jobs.
-func (s *State) noteIfHeld(n Note) {
-	if s.Holds() {
+// noteIfLeading notes a change that every process hears of, if this process leads the cell or loads its jobs.
+func (s *State) noteIfLeading(n Note) {
+	if s.HoldsLeadership() {
 		s.note(n)
 	}
 }
@@ -400,24 +400,24 @@
 	return workers.Target{ID: w.ID, Born: w.Born, Address: w.Address}
 }
 
-// touch updates which units of a job wait for a start, and makes a placement due.
-func (s *State) touch(now time.Time, j *jobs.Job) {
+// updateWaiting updates which units of a job wait for a start, and makes a placement due.
+func (s *State) updateWaiting(now time.Time, j *jobs.Job) {
 	for _, u := range j.Units {
-		if !j.Ended() && !u.Done() && u.Ready() && wantsStart(u) {
-			if _, waits := s.waiting[u]; !waits {
-				s.waiting[u], u.ReadyAt = struct{}{}, now
+		if !j.Ended() && !u.Done() && u.Ready() && hasTaskToStart(u) {
+			if _, waits := s.waitingUnits[u]; !waits {
+				s.waitingUnits[u], u.ReadyAt = struct{}{}, now
 			}
 		} else {
-			delete(s.waiting, u)
+			delete(s.waitingUnits, u)
 		}
 	}
-	s.placeNow = true
+	s.placementDue = true
 }
 
-// wantsStart says whether a unit has a task to start: one that is settled, not done, not delegated and without a run.
-func wantsStart(u *jobs.Unit) bool {
+// hasTaskToStart says whether a unit has a task to start: one that is settled, not done, not delegated and without a run.
+func hasTaskToStart(u *jobs.Unit) bool {
 	for _, t := range u.Tasks {
-		if !t.Done && t.LentTo == "" && t.Settled && len(t.Runs) == 0 {
+		if !t.Done && t.DelegatedTo == "" && t.Settled && len(t.Runs) == 0 {
 			return true
 		}
 	}
@@ -431,12 +431,12 @@
 			continue
 		}
 		if opened := j.OpenDue(s.wall); len(opened) > 0 {
-			if !s.newSettled() {
+			if !s.newTasksSettled() {
 				markUnsettled(opened) // a predecessor opens them, too, and may have started their tasks
 			}
-			s.holdBackNamed(j)
-			s.claimStrays(now, j)
-			s.touch(now, j)
+			s.holdBackTasks(j)
+			s.adoptOrphans(now, j)
+			s.updateWaiting(now, j)
 		}
 	}
 }
@@ -451,12 +451,12 @@
 	}
 	for id, j := range s.jobs {
 		if j.Ended() && j.Durable == j.Phase && now.Sub(j.EndedAt) > s.bounds.Retention {
-			s.part(rows.JobPart(id)).expired[id] = j
+			s.writer(rows.JobPart(id)).expired[id] = j
 			delete(s.jobs, id)
 		}
 		if j.Ended() {
 			for _, u := range j.Units {
-				delete(s.advices, u.Name())
+				delete(s.ticketsByUnit, u.Name())
 			}
 		}
 	}
--- a/pkg/process/cell/strays.go
+++ b/pkg/process/cell/strays.go
@@ -13,16 +13,16 @@
 // has read the cell's table again, from after the run or end was listed. If its job is known by then, the leader adopts
 // the run and counts the end. Otherwise it belongs to no job: the run is stopped and the end acknowledged.
 
-// Followed says that the leader has received an event for each job that stood in the cell's table at the time At.
-type Followed struct{ At time.Time }
+// TableCaughtUp says that the leader has received an event for each job that stood in the cell's table at the time At.
+type TableCaughtUp struct{ At time.Time }
 
-func (Followed) event() {}
+func (TableCaughtUp) event() {}
 
-// takeFollowed drops the orphaned ends that belong to no job, so that they are acknowledged.
-func (s *State) takeFollowed(e Followed) {
-	s.followedAt = e.At
-	for _, w := range s.sorted() {
-		w.HeldEnds = slices.DeleteFunc(w.HeldEnds, func(h workers.HeldEnd) bool { return h.At.Before(e.At) && !s.isNotYetDue(h.Task) })
+// takeTableCaughtUp drops the orphaned ends that belong to no job, so that they are acknowledged.
+func (s *State) takeTableCaughtUp(e TableCaughtUp) {
+	s.caughtUpAt = e.At
+	for _, w := range s.workersByID() {
+		w.OrphanedEnds = slices.DeleteFunc(w.OrphanedEnds, func(h workers.OrphanedEnd) bool { return h.At.Before(e.At) && !s.isNotYetDue(h.Task) })
 	}
 }
 
@@ -34,12 +34,12 @@
 		return false
 	}
 	j := s.jobs[id.Job]
-	return j != nil && !j.Ended() && j.OpensLater(id)
+	return j != nil && !j.Ended() && j.NotYetDue(id)
 }
 
-// holdEnd keeps an orphaned end, which is not acknowledged meanwhile.
-func (s *State) holdEnd(now time.Time, w *workers.Worker, e workers.End) {
-	w.HeldEnds = append(w.HeldEnds, workers.HeldEnd{End: e, At: now})
+// keepOrphanedEnd keeps an orphaned end, which is not acknowledged meanwhile.
+func (s *State) keepOrphanedEnd(now time.Time, w *workers.Worker, e workers.End) {
+	w.OrphanedEnds = append(w.OrphanedEnds, workers.OrphanedEnd{End: e, At: now})
 }
 
 // keepOrphanedRun keeps an orphaned run that a worker lists. It returns whether the run belongs to no job, and so is to be
@@ -49,32 +49,32 @@
 		return true
 	}
 	since := now
-	if before, seen := w.Strays[a.Task]; seen && before.Run == a.Run {
+	if before, seen := w.OrphanedRuns[a.Task]; seen && before.Run == a.Run {
 		since = before.Since
 	}
-	if w.NewStrays == nil {
-		w.NewStrays = map[string]workers.Stray{}
+	if w.NewOrphanedRuns == nil {
+		w.NewOrphanedRuns = map[string]workers.OrphanedRun{}
 	}
-	w.NewStrays[a.Task] = workers.Stray{Active: a, Since: since}
-	return since.Before(s.followedAt) && !s.isNotYetDue(a.Task)
+	w.NewOrphanedRuns[a.Task] = workers.OrphanedRun{Active: a, Since: since}
+	return since.Before(s.caughtUpAt) && !s.isNotYetDue(a.Task)
 }
 
-// claimStrays adopts the orphaned runs of a job that has become known, or whose next occurrences have fallen due, and
+// adoptOrphans adopts the orphaned runs of a job that has become known, or whose next occurrences have fallen due, and
 // counts the orphaned ends whose tasks are known by now.
-func (s *State) claimStrays(now time.Time, j *jobs.Job) {
-	for _, w := range s.sorted() {
+func (s *State) adoptOrphans(now time.Time, j *jobs.Job) {
+	for _, w := range s.workersByID() {
 		for _, task := range orphanedTasks(w, j) {
-			s.runOfLine(now, w, w.Strays[task].Active)
-			delete(w.Strays, task)
+			s.runOfLine(now, w, w.OrphanedRuns[task].Active)
+			delete(w.OrphanedRuns, task)
 		}
-		held := w.HeldEnds
-		w.HeldEnds = nil
+		held := w.OrphanedEnds
+		w.OrphanedEnds = nil
 		for _, h := range held {
-			if s.task(h.Task) == nil {
-				w.HeldEnds = append(w.HeldEnds, h)
+			if s.taskNamed(h.Task) == nil {
+				w.OrphanedEnds = append(w.OrphanedEnds, h)
 				continue
 			}
-			s.countEnd(now, w, h.End)
+			s.applyEnd(now, w, h.End)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 // orphanedTasks returns the sorted names of a job's known tasks that have an orphaned run at a worker.
 func orphanedTasks(w *workers.Worker, j *jobs.Job) []string {
 	var list []string
-	for task := range w.Strays {
+	for task := range w.OrphanedRuns {
 		id, ok := jobs.ParseTask(task)
 		if ok && id.Job == j.Spec.GetId() && j.Task(id.Time, id.Step, id.Index) != nil {
 			list = append(list, task)
--- a/pkg/process/cell/suspects.go
+++ b/pkg/process/cell/suspects.go
@@ -26,16 +26,16 @@
 // Suspects lists the implicated tasks, sorted by name.
 func (s *State) Suspects() []Suspect {
 	list := []Suspect{}
-	s.eachAccused(func(t *jobs.Task) {
+	s.eachImplicated(func(t *jobs.Task) {
 		list = append(list, Suspect{Task: t.Name(), Level: t.Level().String(), Crashes: t.Crashes})
 	})
 	slices.SortFunc(list, func(a, b Suspect) int { return strings.Compare(a.Task, b.Task) })
 	return list
 }
 
-// eachAccused calls do for each implicated task whose job has not ended.
-func (s *State) eachAccused(do func(*jobs.Task)) {
-	for _, t := range s.accused {
+// eachImplicated calls do for each implicated task whose job has not ended.
+func (s *State) eachImplicated(do func(*jobs.Task)) {
+	for _, t := range s.implicated {
 		if len(t.Crashes) > 0 && !t.Unit.Job.Ended() {
 			do(t)
 		}
@@ -43,12 +43,12 @@
 }
 
 func (s *State) takeClearSuspicion(now time.Time, e ClearSuspicion) {
-	t := s.task(e.Task)
+	t := s.taskNamed(e.Task)
 	if t == nil || len(t.Crashes) == 0 {
 		return
 	}
-	s.note(Note{What: NoteCleared, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), AgeMs: -1, Detail: "an operator dropped the evidence"})
-	t.Clear()
+	s.note(Note{Kind: NoteCleared, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), AgeMs: -1, Detail: "an operator dropped the evidence"})
+	t.Exonerate()
 	s.markDirty(t.Unit.Job, false)
-	s.touch(now, t.Unit.Job)
+	s.updateWaiting(now, t.Unit.Job)
 }
--- a/pkg/process/cell/takeover_test.go
+++ b/pkg/process/cell/takeover_test.go
@@ -13,9 +13,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// takeover is a successor to a cell with two members: "heard" answers, "dark" does
+// takeoverCell is a successor to a cell with two members: "heard" answers, "dark" does
 // not. The cell has one job, whose task may run at "dark".
-type takeover struct {
+type takeoverCell struct {
 	state  *cell.State
 	now    time.Time
 	starts []cell.SendStart
@@ -32,50 +32,50 @@
 }
 
 // newTakeover takes over a cell with one job of one task. until is the time until the predecessor's last lease ends.
-func newTakeover(until time.Duration) *takeover {
+func newTakeover(until time.Duration) *takeoverCell {
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	return newTakeoverOf(until, cell.LoadedJob{Spec: spec})
 }
 
 // newTakeoverOf is newTakeover with a given job, and with tasks of it that other cells have returned.
-func newTakeoverOf(until time.Duration, job cell.LoadedJob, returned ...*wire.ReturnedTasks) *takeover {
-	v := &takeover{now: time.Unix(1000, 0)}
+func newTakeoverOf(until time.Duration, job cell.LoadedJob, returned ...*wire.ReturnedTasks) *takeoverCell {
+	v := &takeoverCell{now: time.Unix(1000, 0)}
 	v.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
 	heard := workers.Record{
 		ID: "heard", Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h",
 		Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
 	}
-	v.state.Take(v.now, cell.ManifestChanged{Manifest: theManifest})
+	v.state.Take(v.now, cell.ManifestChanged{Manifest: testManifest})
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{heard}})
-	v.state.Take(v.now, cell.Led{Epoch: 2, Predecessors: map[string]time.Time{"before/1": v.now.Add(until)}})
+	v.state.Take(v.now, cell.LeadershipGained{Epoch: 2, Predecessors: map[string]time.Time{"before/1": v.now.Add(until)}})
 	v.state.Take(v.now, cell.Loaded{
-		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{job}, Fences: someFences(), Returned: returned,
-		Roster: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
+		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{job}, Fences: testFences(), Returned: returned,
+		Members: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
 	})
 	return v
 }
 
-// run lets time pass until a task starts, for most at the longest. It returns how long that took.
-func (v *takeover) run(most time.Duration) (time.Duration, bool) {
+// runUntilStart lets time pass until a task starts, for most at the longest. It returns how long that took.
+func (v *takeoverCell) runUntilStart(most time.Duration) (time.Duration, bool) {
 	begin := v.now
 	for v.now.Sub(begin) < most {
 		v.now = v.now.Add(50 * time.Millisecond)
 		v.state.Take(v.now, cell.Tick{})
 		if !v.unconfirmed {
-			v.state.Take(v.now, cell.Confirmed{At: v.now})
+			v.state.Take(v.now, cell.LeadershipConfirmed{SentAt: v.now})
 		}
 		for _, e := range v.state.Decide(v.now, v.now) {
 			switch e := e.(type) {
-			case cell.SendLook:
+			case cell.SendPoll:
 				v.polledAt = v.now
 				if (e.To.ID == "heard" && !v.silent) || e.To.ID == v.alsoAnswers {
 					report := workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}
 					if e.To.ID == "heard" {
 						report.Active, report.Ended = v.active, v.ended
 					}
-					v.state.Take(v.now, cell.Looked{Worker: e.To.ID, SentAt: v.now, Report: report})
+					v.state.Take(v.now, cell.PollAnswered{Worker: e.To.ID, SentAt: v.now, Report: report})
 				} else {
-					v.state.Take(v.now, cell.Looked{Worker: e.To.ID, SentAt: v.now, Err: fault.New(fault.Unknown, e.To.ID, "no answer", "")})
+					v.state.Take(v.now, cell.PollAnswered{Worker: e.To.ID, SentAt: v.now, Err: fault.New(fault.Unknown, e.To.ID, "no answer", "")})
 				}
 			case cell.SendStop:
 				v.active, v.ended = nil, []workers.End{{Number: 1, Task: e.Stop.Task, Run: e.Stop.Run, How: workers.EndedStopped}}
@@ -94,9 +94,9 @@
 func TestTaskThatMayRunAtASilentMemberWaits(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
-	_, started := v.run(14 * time.Second)
+	_, started := v.runUntilStart(14 * time.Second)
 	must.False(t, started)
-	_, started = v.run(2 * time.Second)
+	_, started = v.runUntilStart(2 * time.Second)
 	must.True(t, started)
 }
 
@@ -105,8 +105,8 @@
 func TestReportedEndOfThePredecessorShortensTheWaitToOneLease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
-	v.state.Take(v.now, cell.PredecessorOver{Epoch: 2, Holder: "before/1"})
-	after, started := v.run(6 * time.Second)
+	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "before/1"})
+	after, started := v.runUntilStart(6 * time.Second)
 	must.True(t, started)
 	must.Greater(t, cell.LongestLease, after)
 }
@@ -115,8 +115,8 @@
 func TestEndOfAPredecessorOfAnotherEpochIsIgnored(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(15 * time.Second)
-	v.state.Take(v.now, cell.PredecessorOver{Epoch: 1, Holder: "before/1"})
-	_, started := v.run(10 * time.Second)
+	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 1, Holder: "before/1"})
+	_, started := v.runUntilStart(10 * time.Second)
 	must.False(t, started)
 }
 
@@ -127,7 +127,7 @@
 	t.Parallel()
 	v := newTakeover(0)
 	v.active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 10}}
-	_, started := v.run(time.Second)
+	_, started := v.runUntilStart(time.Second)
 	must.False(t, started)
 	second := workers.Record{
 		ID: "second", Service: "quotes", Address: "z", Hall: "hall", Ready: true, Host: "z",
@@ -135,13 +135,13 @@
 	}
 	v.silent, v.unconfirmed = true, true
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{second}})
-	v.state.Take(v.now, cell.RosterRecorded{IDs: []string{"second"}})
+	v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"second"}})
 	v.alsoAnswers = "second"
 	v.active = nil
-	_, started = v.run(10 * time.Second)
+	_, started = v.runUntilStart(10 * time.Second)
 	must.False(t, started)
 	v.unconfirmed = false
-	_, started = v.run(time.Second)
+	_, started = v.runUntilStart(time.Second)
 	must.True(t, started)
 	must.Eq(t, "second", v.starts[0].To.ID)
 }
@@ -152,11 +152,11 @@
 func TestListOlderThanAStartOrdersLimitDoesNotRuleTheRunOut(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
-	v.state.Take(v.now, cell.PredecessorOver{Epoch: 2, Holder: "before/1"})
-	_, started := v.run(2 * time.Second)
+	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "before/1"})
+	_, started := v.runUntilStart(2 * time.Second)
 	must.True(t, started)
 	first := v.starts[0].Start
-	fail := cell.Started{Worker: "heard", Task: first.Task, Run: first.Run, Err: fault.New(fault.Unknown, "heard", "no answer", "")}
+	fail := cell.StartAnswered{Worker: "heard", Task: first.Task, Run: first.Run, Err: fault.New(fault.Unknown, "heard", "no answer", "")}
 	for range 3 {
 		v.state.Take(v.now, fail)
 	}
@@ -165,17 +165,17 @@
 	v.state.Take(v.now, cell.Tick{})
 	v.state.Decide(v.now, v.now) // sends a poll
 	v.now = v.now.Add(10 * time.Second)
-	v.state.Take(v.now, cell.Looked{Worker: "heard", SentAt: v.polledAt, Report: workers.Report{Clock: given}})
+	v.state.Take(v.now, cell.PollAnswered{Worker: "heard", SentAt: v.polledAt, Report: workers.Report{Clock: given}})
 	v.state.Take(v.now, cell.Tick{})
 	for _, e := range v.state.Decide(v.now, v.now) {
 		_, start := e.(cell.SendStart)
 		must.False(t, start, must.Sprint("the list is older than the order's time limit"))
-		if look, ok := e.(cell.SendLook); ok && look.To.ID == "heard" {
-			v.state.Take(v.now, cell.Looked{Worker: "heard", SentAt: v.now, Report: workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}})
+		if look, ok := e.(cell.SendPoll); ok && look.To.ID == "heard" {
+			v.state.Take(v.now, cell.PollAnswered{Worker: "heard", SentAt: v.now, Report: workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}})
 		}
 	}
 	v.starts = nil
-	_, again := v.run(2 * time.Second)
+	_, again := v.runUntilStart(2 * time.Second)
 	must.True(t, again, must.Sprint("a list from after the time limit shows that the order was not carried out"))
 }
 
@@ -184,18 +184,18 @@
 type slowLoad struct {
 	state         *cell.State
 	now           time.Time
-	delayedAnswer *cell.Looked // of w: it arrives half a second after the poll
-	silent        bool         // w does not answer any more
+	delayedAnswer *cell.PollAnswered // of w: it arrives half a second after the poll
+	silent        bool               // w does not answer any more
 	startedAfter  time.Duration
 }
 
 func newSlowLoad() *slowLoad {
 	l := &slowLoad{now: time.Unix(1000, 0), startedAfter: -1}
 	l.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	l.state.Take(l.now, cell.ManifestChanged{Manifest: theManifest})
+	l.state.Take(l.now, cell.ManifestChanged{Manifest: testManifest})
 	l.register("w", "quick")
-	l.state.Take(l.now, cell.Led{
-		Epoch: 2, RosterUntil: l.now.Add(5 * time.Second),
+	l.state.Take(l.now, cell.LeadershipGained{
+		Epoch: 2, LeasesEndAt: l.now.Add(5 * time.Second),
 	})
 	return l
 }
@@ -215,8 +215,8 @@
 func (l *slowLoad) load() {
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	l.state.Take(l.now, cell.Loaded{
-		Epoch: 2, Wall: l.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: someFences(),
-		Roster: []*wire.RosterEntry{{Id: "quick", Address: "quick"}, {Id: "w", Address: "w"}},
+		Epoch: 2, Wall: l.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: testFences(),
+		Members: []*wire.RosterEntry{{Id: "quick", Address: "quick"}, {Id: "w", Address: "w"}},
 	})
 }
 
@@ -227,7 +227,7 @@
 	for l.now.Sub(begin) < span {
 		l.now = l.now.Add(50 * time.Millisecond)
 		l.state.Take(l.now, cell.Tick{})
-		l.state.Take(l.now, cell.Confirmed{At: l.now})
+		l.state.Take(l.now, cell.LeadershipConfirmed{SentAt: l.now})
 		if l.delayedAnswer != nil && l.now.Sub(l.delayedAnswer.SentAt) >= 500*time.Millisecond {
 			l.state.Take(l.now, *l.delayedAnswer)
 			l.delayedAnswer = nil
@@ -246,13 +246,13 @@
 		if l.startedAfter < 0 {
 			l.startedAfter = l.now.Sub(begin)
 		}
-	case cell.SendLook:
-		looked := cell.Looked{Worker: e.To.ID, SentAt: l.now, Report: report}
+	case cell.SendPoll:
+		looked := cell.PollAnswered{Worker: e.To.ID, SentAt: l.now, Report: report}
 		switch {
 		case e.To.ID != "w":
 			l.state.Take(l.now, looked)
 		case l.silent:
-			l.state.Take(l.now, cell.Looked{Worker: "w", SentAt: l.now, Err: fault.New(fault.Unknown, "w", "no answer", "")})
+			l.state.Take(l.now, cell.PollAnswered{Worker: "w", SentAt: l.now, Err: fault.New(fault.Unknown, "w", "no answer", "")})
 		default:
 			looked.Report.Active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 10}}
 			l.delayedAnswer = &looked
@@ -306,7 +306,7 @@
 			b.step(300 * time.Millisecond)
 		}
 		for _, n := range b.notes {
-			if n.What == cell.NoteWorkerGone {
+			if n.Kind == cell.NoteWorkerGone {
 				gone = append(gone, n.Worker)
 			}
 		}
--- a/pkg/process/cell/times.go
+++ b/pkg/process/cell/times.go
@@ -18,7 +18,7 @@
 // learnRunTime learns from how long a run took that ended well. It skips runs that do not show the time of a
 // whole task at full pace: resumed or paused ones, lasting tasks and gangs.
 func (s *State) learnRunTime(now time.Time, u *jobs.Unit, r *jobs.Run) {
-	if r == nil || r.BeganAt.IsZero() || r.Resumed || !r.CutAt.IsZero() || u.Lasting() || u.Spec.GetGang() {
+	if r == nil || r.BeganAt.IsZero() || r.Resumed || !r.PausedAt.IsZero() || u.Lasting() || u.Spec.GetGang() {
 		return
 	}
 	s.runtimes.Learn(u.Job.Spec.GetQueue(), declaredTime(u.Spec), now.Sub(r.BeganAt), len(u.Tasks))
@@ -31,7 +31,7 @@
 
 // refreshEstimate brings the estimates of a job's longest chains of steps up to date.
 func (s *State) refreshEstimate(now time.Time, j *jobs.Job) {
-	if !s.has(LearnedTimes) || (!j.EstimatedAt().IsZero() && now.Sub(j.EstimatedAt()) < estimateValidFor) {
+	if !s.enabled(LearnedTimes) || (!j.EstimatedAt().IsZero() && now.Sub(j.EstimatedAt()) < estimateValidFor) {
 		return
 	}
 	j.Estimate(now, func(step *wire.StepSpec) time.Duration {
@@ -42,9 +42,9 @@
 	})
 }
 
-// taskTime returns the estimated run time of a whole task of a unit.
-func (s *State) taskTime(u *jobs.Unit) time.Duration {
-	if !s.has(LearnedTimes) {
+// estimatedTaskTime returns the estimated run time of a whole task of a unit.
+func (s *State) estimatedTaskTime(u *jobs.Unit) time.Duration {
+	if !s.enabled(LearnedTimes) {
 		return declaredTime(u.Spec)
 	}
 	return s.runtimes.Task(u.Job.Spec.GetQueue(), declaredTime(u.Spec))
--- a/pkg/process/cell/trials.go
+++ b/pkg/process/cell/trials.go
@@ -24,32 +24,32 @@
 	maxReservation = 4 * time.Second
 )
 
-// keptWorker is a worker that is reserved for the isolated run of a task.
-type keptWorker struct {
+// isolationReservation is a worker that is reserved for the isolated run of a task.
+type isolationReservation struct {
 	worker *workers.Worker
 	since  time.Time
 }
 
-// closeForTrials finds the workers that accept no other tasks: an isolated run is in progress there, or the
+// closeIsolatedWorkers finds the workers that accept no other tasks: an isolated run is in progress there, or the
 // worker is reserved for one. Reservations that are obsolete or older than maxReservation end.
-func (s *State) closeForTrials(now time.Time) {
+func (s *State) closeIsolatedWorkers(now time.Time) {
 	s.waiveIsolation(now)
-	clear(s.closed)
-	s.trialsOut = 0
-	for _, t := range s.accused {
+	clear(s.closedWorkers)
+	s.isolatedRuns = 0
+	for _, t := range s.implicated {
 		for _, r := range t.Runs {
-			if w := s.workers[r.Worker]; r.OnTrial && w != nil {
-				s.closed[w] = true
-				s.trialsOut++
+			if w := s.workers[r.Worker]; r.Isolated && w != nil {
+				s.closedWorkers[w] = true
+				s.isolatedRuns++
 			}
 		}
 	}
-	for t, reservation := range s.kept {
-		if !s.triedAlone(t) || !t.Waiting(now) || t.Unit.Job.Ended() || s.workers[reservation.worker.ID] != reservation.worker || now.Sub(reservation.since) > maxReservation {
-			delete(s.kept, t)
+	for t, reservation := range s.isolationReservations {
+		if !s.needsIsolation(t) || !t.Waiting(now) || t.Unit.Job.Ended() || s.workers[reservation.worker.ID] != reservation.worker || now.Sub(reservation.since) > maxReservation {
+			delete(s.isolationReservations, t)
 			continue
 		}
-		s.closed[reservation.worker] = true
+		s.closedWorkers[reservation.worker] = true
 	}
 }
 
@@ -61,7 +61,7 @@
 // run. The unit must have waited for holdAfter, or for maxIsolatedWait if it has a suspect, and any isolated run there
 // must be older than shareIsolatedAfter. To wait until that run exonerates its task would take longer.
 func (s *State) mayJoinIsolated(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
-	minWait := holdAfter
+	minWait := reserveAfter
 	if slices.ContainsFunc(u.Tasks, (*jobs.Task).Suspected) {
 		minWait = maxIsolatedWait
 	}
@@ -73,8 +73,8 @@
 func longestWait(now time.Time, u *jobs.Unit) time.Duration {
 	longest := now.Sub(u.ReadyAt)
 	for _, t := range u.Waiting(now) {
-		if !t.WaitsSince.IsZero() {
-			longest = max(longest, now.Sub(t.WaitsSince))
+		if !t.WaitingSince.IsZero() {
+			longest = max(longest, now.Sub(t.WaitingSince))
 		}
 	}
 	return longest
@@ -83,7 +83,7 @@
 // mayShareIsolated reports whether every isolated run at a worker is old enough for other tasks to join.
 func mayShareIsolated(w *workers.Worker) bool {
 	return !slices.ContainsFunc(w.Runs, func(r *jobs.Run) bool {
-		return r.OnTrial && minRunAge(w, r) < shareIsolatedAfter
+		return r.Isolated && minRunAge(w, r) < shareIsolatedAfter
 	})
 }
 
@@ -101,11 +101,11 @@
 // otherHostFor is how long a task that needs isolation waits for a host that has not crashed under it, and
 // suspectHostFor how long another suspect does: most of these are innocent.
 const (
-	otherHostFor   = 10 * time.Second
-	suspectHostFor = 5 * time.Second
-	// trustedHostFor is the same for a trusted task: a host that has just crashed is empty, and would
+	isolatedOtherHostWait = 10 * time.Second
+	suspectOtherHostWait  = 5 * time.Second
+	// trustedOtherHostWait is the same for a trusted task: a host that has just crashed is empty, and would
 	// often be chosen for that reason.
-	trustedHostFor = 2 * time.Second
+	trustedOtherHostWait = 2 * time.Second
 )
 
 // maxRecordWait is how long a suspect waits for its record while the table does not answer: outages of the table
@@ -114,11 +114,11 @@
 
 // mayRunIsolated reports whether an isolated run of a task may start now, provided that a worker is found.
 func (s *State) mayRunIsolated(now time.Time, t *jobs.Task) bool {
-	inUse := s.trialsOut + len(s.kept)
-	if _, reserved := s.kept[t]; reserved {
+	inUse := s.isolatedRuns + len(s.isolationReservations)
+	if _, reserved := s.isolationReservations[t]; reserved {
 		inUse--
 	}
-	return inUse < blame.Trials(len(s.workers)) && !s.awaitsWord(now, t) && s.isQuiet(now, t)
+	return inUse < blame.MaxIsolatedRuns(len(s.workers)) && !s.awaitsCrashOutcome(now, t) && s.isQuiet(now, t)
 }
 
 // isQuiet reports whether a crash of an isolated run would be evidence against its task because no other workers
@@ -126,20 +126,20 @@
 // one that ends later.
 func (s *State) isQuiet(now time.Time, t *jobs.Task) bool {
 	quietFor, maxWait := quietBeforeIsolated, maxQuietWait
-	decides := blame.NextDecides(t.Crashes)
+	decides := blame.PoisonousAfterNextCrash(t.Crashes)
 	if decides {
 		quietFor, maxWait = quietBeforeDecisive, maxQuietWaitDecisive
 	}
-	quiet := len(s.falls) == 0 || now.Sub(s.falls[len(s.falls)-1].before) >= quietFor
+	quiet := len(s.silences) == 0 || now.Sub(s.silences[len(s.silences)-1].before) >= quietFor
 	if decides {
-		quiet = quiet && s.crashesWithout(now, t) < blame.Common(len(s.workers))
+		quiet = quiet && s.crashesWithout(now, t) < blame.CommonCrashThreshold(len(s.workers))
 	}
 	return quiet || currentWait(now, t) >= maxWait
 }
 
-// triedAlone reports whether a task may start only in an isolated run, where one more crash would identify it.
-func (s *State) triedAlone(t *jobs.Task) bool {
-	return t.Level() == blame.OnTrial && !s.tooWideToTry(t.Unit) && !t.IsolationWaived
+// needsIsolation reports whether a task may start only in an isolated run, where one more crash would identify it.
+func (s *State) needsIsolation(t *jobs.Task) bool {
+	return t.Level() == blame.NeedsIsolation && !s.tooWideToIsolate(t.Unit) && !t.IsolationWaived
 }
 
 // maxIsolatedWait is how long a lasting task waits for an isolated run: a poisonous task is identified without one,
@@ -148,9 +148,9 @@
 
 // waiveIsolation lets lasting tasks that have waited maxIsolatedWait for an isolated run start without isolation.
 func (s *State) waiveIsolation(now time.Time) {
-	for _, t := range s.accused {
+	for _, t := range s.implicated {
 		switch {
-		case !t.Unit.Lasting() || t.Level() != blame.OnTrial || !t.Waiting(now) || s.awaitsWord(now, t):
+		case !t.Unit.Lasting() || t.Level() != blame.NeedsIsolation || !t.Waiting(now) || s.awaitsCrashOutcome(now, t):
 			t.IsolationWaived, t.IsolatedSince = false, time.Time{}
 		case t.IsolatedSince.IsZero():
 			t.IsolatedSince = now
@@ -160,69 +160,69 @@
 	}
 }
 
-// tooWideToTry reports whether a unit is a gang with more members than there may be isolated runs at a time. The
+// tooWideToIsolate reports whether a unit is a gang with more members than there may be isolated runs at a time. The
 // members start together or not at all, so they would wait for isolated runs without end: they start as
 // suspects do.
-func (s *State) tooWideToTry(u *jobs.Unit) bool {
-	return u.Spec.GetGang() && len(u.Tasks) > blame.Trials(len(s.workers))
+func (s *State) tooWideToIsolate(u *jobs.Unit) bool {
+	return u.Spec.GetGang() && len(u.Tasks) > blame.MaxIsolatedRuns(len(s.workers))
 }
 
-// mayTryGang reports whether all members of a gang that need isolated runs can have them at the same time. Two
+// mayIsolateGang reports whether all members of a gang that need isolated runs can have them at the same time. Two
 // gangs that each reserve workers for only some of their members would block each other, and neither would start.
-func (s *State) mayTryGang(u *jobs.Unit) bool {
-	wanted, others := 0, s.trialsOut
-	for t := range s.kept {
+func (s *State) mayIsolateGang(u *jobs.Unit) bool {
+	wanted, others := 0, s.isolatedRuns
+	for t := range s.isolationReservations {
 		if t.Unit != u {
 			others++
 		}
 	}
 	for _, t := range u.Tasks {
-		if s.triedAlone(t) {
+		if s.needsIsolation(t) {
 			wanted++
 		}
 	}
-	return wanted == 0 || wanted+others <= blame.Trials(len(s.workers))
+	return wanted == 0 || wanted+others <= blame.MaxIsolatedRuns(len(s.workers))
 }
 
-// chooseForTrial returns the worker for an isolated run of a task, or nil if none can start yet. It reserves the
+// chooseForIsolatedRun returns the worker for an isolated run of a task, or nil if none can start yet. It reserves the
 // worker where least would be lost until all runs there are old enough and the isolated run is recorded.
-func (s *State) chooseForTrial(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
+func (s *State) chooseForIsolatedRun(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
 	if !s.mayRunIsolated(now, t) {
 		return nil
 	}
-	if _, reserved := s.kept[t]; !reserved {
+	if _, reserved := s.isolationReservations[t]; !reserved {
 		best := s.bestForIsolated(now, t, service, usable)
 		if best == nil {
 			return nil
 		}
-		s.kept[t] = keptWorker{best, now}
+		s.isolationReservations[t] = isolationReservation{best, now}
 	}
-	w := s.kept[t].worker
-	delete(s.closed, w) // the reservation excludes other tasks only
+	w := s.isolationReservations[t].worker
+	delete(s.closedWorkers, w) // the reservation excludes other tasks only
 	fit := s.usable(now, w) && allLongRunning(w) && suspectRuns(w) == 0 && s.fits(now, t.Unit, service, w)
 	if fit && s.isolatedRunRecorded(t) {
-		delete(s.kept, t)
+		delete(s.isolationReservations, t)
 		return w
 	}
-	s.closed[w] = true
+	s.closedWorkers[w] = true
 	return nil
 }
 
 // isolatedRunRecorded reports whether the table holds the record of an isolated run of a task. If the record was
 // not requested yet, isolatedRunRecorded requests it.
 func (s *State) isolatedRunRecorded(t *jobs.Task) bool {
-	if t.Trial == jobs.NoTrial {
-		t.Trial = jobs.TrialWanted
+	if t.Isolation == jobs.NoIsolation {
+		t.Isolation = jobs.IsolationWanted
 		s.markDirty(t.Unit.Job, true)
 	}
-	return t.Trial == jobs.TrialRecorded || s.unsafe.NoTrialRecord
+	return t.Isolation == jobs.IsolationRecorded || s.unsafe.NoTrialRecord
 }
 
 // bestForIsolated returns the usable worker with the highest score for an isolated run of a task, or nil if none fits.
 func (s *State) bestForIsolated(now time.Time, t *jobs.Task, service string, usable []*workers.Worker) *workers.Worker {
 	var best *workers.Worker
 	for _, w := range usable {
-		if awaitsHost(now, t, w, usable) || s.neededByLasting(now, t, w) {
+		if awaitsOtherHost(now, t, w, usable) || s.neededByLasting(now, t, w) {
 			continue
 		}
 		if s.fits(now, t.Unit, service, w) && suspectRuns(w) == 0 && (best == nil || s.isolatedScore(now, t, w) > s.isolatedScore(now, t, best)) {
@@ -235,11 +235,11 @@
 // neededByLasting reports whether a lasting task that has waited for holdAfter and needs no isolation could start
 // at a worker. Such a worker is not reserved for the isolated run of another task.
 func (s *State) neededByLasting(now time.Time, isolated *jobs.Task, w *workers.Worker) bool {
-	for u := range s.waiting {
-		if !u.Lasting() || longestWait(now, u) < holdAfter || !s.fits(now, u, s.service(u.Job), w) {
+	for u := range s.waitingUnits {
+		if !u.Lasting() || longestWait(now, u) < reserveAfter || !s.fits(now, u, s.serviceOf(u.Job), w) {
 			continue
 		}
-		if slices.ContainsFunc(u.Waiting(now), func(t *jobs.Task) bool { return t != isolated && !s.triedAlone(t) }) {
+		if slices.ContainsFunc(u.Waiting(now), func(t *jobs.Task) bool { return t != isolated && !s.needsIsolation(t) }) {
 			return true
 		}
 	}
@@ -250,8 +250,8 @@
 // ready or since the task lost its last run, whichever came later.
 func currentWait(now time.Time, t *jobs.Task) time.Duration {
 	since := t.Unit.ReadyAt
-	if t.WaitsSince.After(since) {
-		since = t.WaitsSince
+	if t.WaitingSince.After(since) {
+		since = t.WaitingSince
 	}
 	return now.Sub(since)
 }
@@ -259,27 +259,27 @@
 // otherHostWait returns how long a task waits for a host that has not crashed under it.
 func otherHostWait(t *jobs.Task) time.Duration {
 	switch t.Level() {
-	case blame.OnTrial:
-		return otherHostFor
-	case blame.Suspect:
-		return suspectHostFor
+	case blame.NeedsIsolation:
+		return isolatedOtherHostWait
+	case blame.Suspected:
+		return suspectOtherHostWait
 	default:
-		return trustedHostFor
+		return trustedOtherHostWait
 	}
 }
 
-// awaitsHost reports whether a task should wait for a host that has not crashed under it, and not start at a given
+// awaitsOtherHost reports whether a task should wait for a host that has not crashed under it, and not start at a given
 // worker: one more crash of the same host would be weak evidence, as the host itself may be at fault.
-func awaitsHost(now time.Time, t *jobs.Task, w *workers.Worker, usable []*workers.Worker) bool {
+func awaitsOtherHost(now time.Time, t *jobs.Task, w *workers.Worker, usable []*workers.Worker) bool {
 	return t.CrashedAt(w.Host) && currentWait(now, t) < otherHostWait(t) &&
 		slices.ContainsFunc(usable, func(other *workers.Worker) bool { return !t.CrashedAt(other.Host) })
 }
 
-// awaitsRecord reports whether a suspect waits until the evidence against it is recorded, so that a successor
+// awaitsEvidenceRecord reports whether a suspect waits until the evidence against it is recorded, so that a successor
 // knows of it. The record was requested when the evidence was added. If the table does not answer, the suspect
 // waits for maxRecordWait at most.
-func (s *State) awaitsRecord(now time.Time, t *jobs.Task) bool {
-	return t.Level() == blame.Suspect && t.Trial == jobs.TrialWanted && currentWait(now, t) < maxRecordWait
+func (s *State) awaitsEvidenceRecord(now time.Time, t *jobs.Task) bool {
+	return t.Level() == blame.Suspected && t.Isolation == jobs.IsolationWanted && currentWait(now, t) < maxRecordWait
 }
 
 // isolatedScore ranks workers for an isolated run of a task. It prefers hosts that have not crashed under the task,
@@ -296,7 +296,7 @@
 // allLongRunning reports whether every run at a worker is too old to count as company of a run that starts now.
 func allLongRunning(w *workers.Worker) bool {
 	for _, r := range w.Runs {
-		if !blame.Settled(minRunAge(w, r)) {
+		if !blame.LongRunning(minRunAge(w, r)) {
 			return false
 		}
 	}
--- a/pkg/process/cell/trials_test.go
+++ b/pkg/process/cell/trials_test.go
@@ -27,7 +27,7 @@
 func startSuspectsFor(span, age time.Duration, workersIdle int, steps ...*wire.StepSpec) map[string][]workers.Active {
 	now := time.Unix(1000, 0)
 	s := cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	s.Take(now, cell.ManifestChanged{Manifest: theManifest})
+	s.Take(now, cell.ManifestChanged{Manifest: testManifest})
 	var list []workers.Record
 	var ids []string
 	for i := range workersIdle {
@@ -59,23 +59,23 @@
 		}
 		units = append(units, up)
 	}
-	s.Take(now, cell.Led{Epoch: 2, RosterUntil: now})
-	s.Take(now, cell.Loaded{Epoch: 2, Wall: now, Fences: someFences(), Jobs: []cell.LoadedJob{{Spec: spec, Progress: &wire.JobProgress{Id: spec.GetId(), Units: units}, Recorded: 1}}})
-	s.Take(now, cell.RosterRecorded{IDs: ids})
+	s.Take(now, cell.LeadershipGained{Epoch: 2, LeasesEndAt: now})
+	s.Take(now, cell.Loaded{Epoch: 2, Wall: now, Fences: testFences(), Jobs: []cell.LoadedJob{{Spec: spec, Progress: &wire.JobProgress{Id: spec.GetId(), Units: units}, Recorded: 1}}})
+	s.Take(now, cell.MembershipRecorded{IDs: ids})
 	active := map[string][]workers.Active{}
 	for range span / (20 * time.Millisecond) {
 		now = now.Add(20 * time.Millisecond)
 		s.Take(now, cell.Tick{})
-		s.Take(now, cell.Confirmed{At: now})
+		s.Take(now, cell.LeadershipConfirmed{SentAt: now})
 		for _, e := range s.Decide(now, now) {
 			switch e := e.(type) {
-			case cell.SendLook:
-				s.Take(now, cell.Looked{Worker: e.To.ID, SentAt: now, Report: workers.Report{Clock: now.Sub(time.Unix(900, 0)), Active: active[e.To.ID]}})
+			case cell.SendPoll:
+				s.Take(now, cell.PollAnswered{Worker: e.To.ID, SentAt: now, Report: workers.Report{Clock: now.Sub(time.Unix(900, 0)), Active: active[e.To.ID]}})
 			case cell.SendStart:
 				active[e.To.ID] = append(active[e.To.ID], workers.Active{Task: e.Start.Task, Run: e.Start.Run, Percent: 100})
-				s.Take(now, cell.Started{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: now.Sub(time.Unix(900, 0))}})
-			case cell.Record:
-				s.Take(now, cell.RecordAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
+				s.Take(now, cell.StartAnswered{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: now.Sub(time.Unix(900, 0))}})
+			case cell.WriteProgress:
+				s.Take(now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
 			}
 		}
 	}
@@ -168,13 +168,13 @@
 func TestALastingTaskIsDelegatedToCapacityBesideIsolatedRuns(t *testing.T) {
 	t.Parallel()
 	b := newBusyCell()
-	b.accept(lentJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
+	b.accept(delegatedJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
 	otherLoad := &wire.CellLoad{Leading: true, Cell: "other", LargestFreeMillicores: 32000, FreeMillicores: 64000, LastingFreeEach: []int64{32000, 32000}}
 	lent := false
 	for range 60 {
-		b.state.Take(b.now, cell.OtherLoad{Load: otherLoad})
+		b.state.Take(b.now, cell.PeerLoad{Load: otherLoad})
 		b.step(50 * time.Millisecond)
 	}
-	b.putsOf(t, rows.SpecKey("other", lentJob), func(table.Row) { lent = true })
+	b.eachPut(t, rows.SpecKey("other", delegatedJob), func(table.Row) { lent = true })
 	must.True(t, lent)
 }
--- a/pkg/process/cell/unseen.go
+++ b/pkg/process/cell/unseen.go
@@ -26,35 +26,35 @@
 // maxNamedAtEnd bounds how many tasks the membership row names for one ended incarnation.
 const maxNamedAtEnd = maxNamedTasks / 4
 
-// keepLife retains an ended incarnation of a worker, which began at born, in the membership row until the evidence from
+// retainMember retains an ended incarnation of a worker, which began at born, in the membership row until the evidence from
 // its end is recorded. The caller has added that evidence to the tasks. The entry names the tasks that ran there if all
 // of them are known and they are few.
-func (s *State) keepLife(w *workers.Worker, born int64) {
-	if s.roster[w.ID] && s.earlier[w.ID] == nil {
-		s.earlier[w.ID] = &wire.RosterEntry{Id: w.ID, Address: w.Address, Host: w.Host, Service: w.Service, Born: born}
+func (s *State) retainMember(w *workers.Worker, born int64) {
+	if s.recordedMembers[w.ID] && s.retainedMembers[w.ID] == nil {
+		s.retainedMembers[w.ID] = &wire.RosterEntry{Id: w.ID, Address: w.Address, Host: w.Host, Service: w.Service, Born: born}
 		if s.holdsOnlyKnownRuns(w) && len(w.Runs) <= maxNamedAtEnd {
-			s.earlier[w.ID].RunsKnown, s.earlier[w.ID].MayRun = true, taskNamesAt(w)
+			s.retainedMembers[w.ID].RunsKnown, s.retainedMembers[w.ID].MayRun = true, taskNamesAt(w)
 		}
 	}
-	s.weighedSeq = s.seq
+	s.evidenceSeq = s.changeSeq
 }
 
-// endedUnseen remembers that an incarnation of the membership row has ended without ever answering this leader. It
+// addUnobservedEnd remembers that an incarnation of the membership row has ended without ever answering this leader. It
 // leaves out leaving workers, whose end is no evidence of a crash. Ends after the cell has settled are handled by
 // unheardEnded.
-func (s *State) endedUnseen(w *workers.Worker) {
-	if s.earlier[w.ID] != nil && !s.settled && !w.Heard && !w.Leaving && !s.earlier[w.ID].GetLeaving() {
-		s.unseen = append(s.unseen, w.ID)
+func (s *State) addUnobservedEnd(w *workers.Worker) {
+	if s.retainedMembers[w.ID] != nil && !s.settled && !w.HasAnswered && !w.Leaving && !s.retainedMembers[w.ID].GetLeaving() {
+		s.unobservedEnds = append(s.unobservedEnds, w.ID)
 	}
 }
 
-// unseenEnds returns the ids of the workers whose incarnation in the membership row has ended and whose end is not
+// unobservedEndsToRecord returns the ids of the workers whose incarnation in the membership row has ended and whose end is not
 // completely recorded: those that endedUnseen remembers, and those at which another incarnation answers under the id.
-func (s *State) unseenEnds() []string {
-	ended := s.unseen
-	for _, id := range slices.Sorted(maps.Keys(s.earlier)) {
-		w, born := s.workers[id], s.earlier[id].GetBorn()
-		if !s.earlier[id].GetLeaving() && w != nil && w.Heard && born != 0 && w.Born != 0 && w.Born != born {
+func (s *State) unobservedEndsToRecord() []string {
+	ended := s.unobservedEnds
+	for _, id := range slices.Sorted(maps.Keys(s.retainedMembers)) {
+		w, born := s.workers[id], s.retainedMembers[id].GetBorn()
+		if !s.retainedMembers[id].GetLeaving() && w != nil && w.HasAnswered && born != 0 && w.Born != 0 && w.Born != born {
 			ended = append(ended, id)
 		}
 	}
@@ -64,7 +64,7 @@
 // isEndRecorded returns whether the job records hold the end of a worker's incarnation as evidence against every task
 // that it implicates. A predecessor may have written only some of these records. Records of ended jobs count, too.
 func (s *State) isEndRecorded(worker string) bool {
-	born, all, held := s.earlier[worker].GetBorn(), 0, 0
+	born, all, held := s.retainedMembers[worker].GetBorn(), 0, 0
 	for _, j := range s.jobs {
 		for _, u := range j.Units {
 			for _, t := range u.Tasks {
@@ -83,12 +83,12 @@
 	return slices.IndexFunc(t.Crashes, func(c blame.Crash) bool { return c.Worker == worker && c.Born == born })
 }
 
-// blameUnseen adds unobserved crashes to the evidence against tasks without a known run, given as nowhere. Each task
+// addUnobservedEvidence adds unobserved crashes to the evidence against tasks without a known run, given as nowhere. Each task
 // gets at most one: that of the first ended incarnation where it may have run and which is not part of its evidence yet.
 // Tasks that were to start only as isolated runs are left out: such a run is recorded before it starts, and
 // trialNowhere handles the tasks that have such a record.
-func (s *State) blameUnseen(now time.Time, nowhere []*jobs.Task) {
-	ended := s.unseenEnds()
+func (s *State) addUnobservedEvidence(now time.Time, nowhere []*jobs.Task) {
+	ended := s.unobservedEndsToRecord()
 	if len(ended) == 0 || s.unsafe.NoBlame || s.unsafe.NoUnseen {
 		return
 	}
@@ -96,7 +96,7 @@
 	mayHaveRun := map[string][]*jobs.Task{}
 	for _, t := range nowhere {
 		first := slices.IndexFunc(ended, func(id string) bool {
-			return crashIndex(t, id, s.earlier[id].GetBorn()) < 0 && mayHaveRunAt(s.earlier[id], t)
+			return crashIndex(t, id, s.retainedMembers[id].GetBorn()) < 0 && mayHaveRunAt(s.retainedMembers[id], t)
 		})
 		if first >= 0 {
 			mayHaveRun[ended[first]] = append(mayHaveRun[ended[first]], t)
@@ -104,83 +104,83 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(mayHaveRun)) {
 		for _, t := range mayHaveRun[id] {
-			c := blame.Unseen(id, s.earlier[id].GetBorn(), len(mayHaveRun[id])-1, len(ended), s.wall)
-			s.holdUnseen(now, t, c)
+			c := blame.UnobservedCrash(id, s.retainedMembers[id].GetBorn(), len(mayHaveRun[id])-1, len(ended), s.wall)
+			s.addUnobservedCrash(now, t, c)
 		}
 	}
-	s.weighedSeq = s.seq
+	s.evidenceSeq = s.changeSeq
 }
 
-// unheardMember is an unreached member: one that had not answered this leader when the cell settled.
-type unheardMember struct {
+// unreachedMember is an unreached member: one that had not answered this leader when the cell settled.
+type unreachedMember struct {
 	entry *wire.RosterEntry // names the incarnation that earlier leaders could use
 	tasks []*jobs.Task      // tasks without a known run that may have run there
 }
 
-// rememberUnheard keeps the unreached members, except leaving ones, until the leader learns whether they have crashed.
+// keepUnreachedMembers keeps the unreached members, except leaving ones, until the leader learns whether they have crashed.
 // nowhere are the tasks without a known run.
-func (s *State) rememberUnheard(nowhere []*jobs.Task) {
-	for id := range s.unsettled {
-		e := s.earlier[id]
+func (s *State) keepUnreachedMembers(nowhere []*jobs.Task) {
+	for id := range s.awaitedMembers {
+		e := s.retainedMembers[id]
 		if w := s.workers[id]; e.GetLeaving() || (w != nil && w.Leaving) {
 			continue
 		}
-		s.unheard[id] = unheardMember{e, slices.DeleteFunc(slices.Clone(nowhere), func(t *jobs.Task) bool { return t.IsolatedBefore || !mayHaveRunAt(e, t) })}
+		s.unreachedMembers[id] = unreachedMember{e, slices.DeleteFunc(slices.Clone(nowhere), func(t *jobs.Task) bool { return t.IsolatedBefore || !mayHaveRunAt(e, t) })}
 	}
 }
 
-// unheardEnded handles the end of an unreached member: it adds an unobserved crash to the evidence against the tasks
+// unreachedMemberEnded handles the end of an unreached member: it adds an unobserved crash to the evidence against the tasks
 // that may have run there.
-func (s *State) unheardEnded(now time.Time, id string) {
-	u := s.unheard[id]
-	delete(s.unheard, id)
+func (s *State) unreachedMemberEnded(now time.Time, id string) {
+	u := s.unreachedMembers[id]
+	delete(s.unreachedMembers, id)
 	for _, t := range u.tasks {
-		if t.Done || t.Unit.Job.Ended() || s.unseenHeld[t] || crashIndex(t, id, u.entry.GetBorn()) >= 0 || s.unsafe.NoBlame || s.unsafe.NoUnseen {
+		if t.Done || t.Unit.Job.Ended() || s.unobservedEvidence[t] || crashIndex(t, id, u.entry.GetBorn()) >= 0 || s.unsafe.NoBlame || s.unsafe.NoUnseen {
 			continue
 		}
-		s.holdUnseen(now, t, blame.Unseen(id, u.entry.GetBorn(), len(u.tasks)-1, 1, s.wall))
+		s.addUnobservedCrash(now, t, blame.UnobservedCrash(id, u.entry.GetBorn(), len(u.tasks)-1, 1, s.wall))
 	}
 }
 
-// holdUnseen adds an unobserved crash to the evidence against a task. unheardEnded adds no second one under the same
+// addUnobservedCrash adds an unobserved crash to the evidence against a task. unheardEnded adds no second one under the same
 // leader, because the task can have run at only one of the unreached members.
-func (s *State) holdUnseen(now time.Time, t *jobs.Task, c blame.Crash) {
-	if t.Accuse(c) {
-		s.unseenHeld[t] = true
-		s.remember(t)
-		s.suspected(now, t, c)
+func (s *State) addUnobservedCrash(now time.Time, t *jobs.Task, c blame.Crash) {
+	if t.AddCrash(c) {
+		s.unobservedEvidence[t] = true
+		s.trackImplicated(t)
+		s.evidenceChanged(now, t, c)
 	}
 }
 
 // endUnreachedOnHost handles an answer of a worker: unreached members on its host are over, because a host runs one
 // worker at a time.
 func (s *State) endUnreachedOnHost(now time.Time, w *workers.Worker) {
-	for _, id := range slices.Sorted(maps.Keys(s.unheard)) {
-		if id != w.ID && s.unheard[id].entry.GetHost() == w.Host {
-			s.unheardEnded(now, id)
+	for _, id := range slices.Sorted(maps.Keys(s.unreachedMembers)) {
+		if id != w.ID && s.unreachedMembers[id].entry.GetHost() == w.Host {
+			s.unreachedMemberEnded(now, id)
 		}
 	}
 }
 
-// unheardAnswers handles the first answer under the id of an unreached member. If another incarnation answers, the
+// unreachedMemberAnswered handles the first answer under the id of an unreached member. If another incarnation answers, the
 // member has ended; otherwise it was only cut off.
-func (s *State) unheardAnswers(now time.Time, w *workers.Worker) {
-	u, was := s.unheard[w.ID]
+func (s *State) unreachedMemberAnswered(now time.Time, w *workers.Worker) {
+	u, was := s.unreachedMembers[w.ID]
 	if !was {
 		return
 	}
 	if born := u.entry.GetBorn(); born != 0 && w.Born != 0 && w.Born != born {
-		s.unheardEnded(now, w.ID)
+		s.unreachedMemberEnded(now, w.ID)
 		return
 	}
-	delete(s.unheard, w.ID)
+	delete(s.unreachedMembers, w.ID)
 }
 
-// rosterEntry returns a worker's entry for the membership row. Until the evidence from the end of an earlier
+// memberEntry returns a worker's entry for the membership row. Until the evidence from the end of an earlier
 // incarnation is recorded, the entry names that incarnation.
-func (s *State) rosterEntry(w *workers.Worker) *wire.RosterEntry {
+func (s *State) memberEntry(w *workers.Worker) *wire.RosterEntry {
 	e := &wire.RosterEntry{Id: w.ID, Address: w.Address, Host: w.Host, Service: w.Service, Born: w.Born, Leaving: w.Leaving, RunsKnown: w.RunsKnown, MayRun: w.MayRun}
-	before := s.earlier[w.ID]
+	before := s.retainedMembers[w.ID]
 	switch {
 	case before.GetBorn() != 0 && w.Born == 0:
 		e.Born, e.Leaving = before.GetBorn(), w.Leaving || before.GetLeaving() // the worker has not answered yet
@@ -192,10 +192,10 @@
 	return e
 }
 
-// forgetEarlier drops the entries that earlier leaders wrote to the membership row, once the cell has settled and the
+// dropRetainedMembers drops the entries that earlier leaders wrote to the membership row, once the cell has settled and the
 // evidence from the ends of these incarnations is recorded.
-func (s *State) forgetEarlier() {
-	if len(s.earlier) > 0 && s.settled && s.recordedUpTo(s.weighedSeq) {
-		clear(s.earlier)
+func (s *State) dropRetainedMembers() {
+	if len(s.retainedMembers) > 0 && s.settled && s.recordedUpTo(s.evidenceSeq) {
+		clear(s.retainedMembers)
 	}
 }
--- a/pkg/process/cell/unseen_test.go
+++ b/pkg/process/cell/unseen_test.go
@@ -36,13 +36,13 @@
 func newSoleSuccessorOf(entry *wire.RosterEntry, born int64, more ...*wire.RosterEntry) *soleSuccessor {
 	h := &soleSuccessor{now: time.Unix(1000, 0)}
 	h.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	h.state.Take(h.now, cell.ManifestChanged{Manifest: theManifest})
+	h.state.Take(h.now, cell.ManifestChanged{Manifest: testManifest})
 	h.state.Take(h.now, cell.WorkersListed{Records: []workers.Record{{
 		ID: "w", Born: born, Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h", Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
 	}}})
-	h.state.Take(h.now, cell.Led{Epoch: 2, RosterUntil: h.now.Add(15 * time.Second)})
+	h.state.Take(h.now, cell.LeadershipGained{Epoch: 2, LeasesEndAt: h.now.Add(15 * time.Second)})
 	h.state.Take(h.now, cell.Loaded{
-		Epoch: 2, Wall: h.now, Fences: someFences(), Roster: append(more, entry),
+		Epoch: 2, Wall: h.now, Fences: testFences(), Members: append(more, entry),
 		Jobs: []cell.LoadedJob{{Spec: &wire.JobSpec{Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 2, Millicores: 1000}, {Count: 1, Millicores: 1000, After: []int32{0}}}}}},
 	})
 	return h
@@ -53,18 +53,18 @@
 	for until := h.now.Add(span); h.now.Before(until); {
 		h.now = h.now.Add(20 * time.Millisecond)
 		h.state.Take(h.now, cell.Tick{})
-		h.state.Take(h.now, cell.Confirmed{At: h.now})
+		h.state.Take(h.now, cell.LeadershipConfirmed{SentAt: h.now})
 		for _, e := range h.state.Decide(h.now, h.now) {
 			switch e := e.(type) {
-			case cell.SendLook:
+			case cell.SendPoll:
 				if h.silent {
-					h.state.Take(h.now, cell.Looked{Worker: e.To.ID, SentAt: h.now, Err: fault.New(fault.Unknown, e.To.ID, "no answer", "")})
+					h.state.Take(h.now, cell.PollAnswered{Worker: e.To.ID, SentAt: h.now, Err: fault.New(fault.Unknown, e.To.ID, "no answer", "")})
 					continue
 				}
-				h.state.Take(h.now, cell.Looked{Worker: e.To.ID, SentAt: h.now, Report: workers.Report{Born: born, Active: h.active, Clock: h.now.Sub(time.Unix(900, 0))}})
-			case cell.Record:
+				h.state.Take(h.now, cell.PollAnswered{Worker: e.To.ID, SentAt: h.now, Report: workers.Report{Born: born, Active: h.active, Clock: h.now.Sub(time.Unix(900, 0))}})
+			case cell.WriteProgress:
 				if !h.tableDown {
-					h.state.Take(h.now, cell.RecordAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
+					h.state.Take(h.now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
 				}
 			}
 		}
@@ -112,10 +112,10 @@
 	h := newSoleSuccessor(2)
 	h.tableDown = true
 	h.run(time.Second, 2)
-	must.Eq(t, 1, h.state.Roster()[0].GetBorn())
+	must.Eq(t, 1, h.state.Members()[0].GetBorn())
 	recorded := newSoleSuccessor(2)
 	recorded.run(time.Second, 2)
-	must.Eq(t, 2, recorded.state.Roster()[0].GetBorn())
+	must.Eq(t, 2, recorded.state.Members()[0].GetBorn())
 }
 
 // The end of a leaving worker is no evidence against any task, also after a takeover.
@@ -134,22 +134,22 @@
 	for _, id := range []string{"w1", "w2", "w3", "w4", "w5"} {
 		delete(f.workers, id)
 	}
-	f.lead()
+	f.newLeader()
 	f.run(time.Second)
 	first, second = f.accept(1, oneTask()), f.accept(2, oneTask())
-	f.guilty[second+".0.0.0"] = 20 * time.Millisecond
-	f.lostPart = lost
+	f.crashAfter[second+".0.0.0"] = 20 * time.Millisecond
+	f.unansweredPart = lost
 	f.run(500 * time.Millisecond)
-	must.Eq(t, 1, f.crash["w0"])
+	must.Eq(t, 1, f.crashCount["w0"])
 	waiting = f.accept(3, oneTask())
 	f.run(500 * time.Millisecond)
-	f.lostPart = ""
+	f.unansweredPart = ""
 	return f, first, second, waiting
 }
 
 // takeOver makes another process lead and runs until the cell has settled.
 func (f *crashFleet) takeOver() {
-	f.lead()
+	f.newLeader()
 	f.runUntilSettled()
 }
 
@@ -202,21 +202,21 @@
 	t.Parallel()
 	f := newCrashFleet()
 	id := f.accept(1, oneTask())
-	f.guilty[id+".0.0.0"] = 20 * time.Millisecond
+	f.crashAfter[id+".0.0.0"] = 20 * time.Millisecond
 	for range 1000 {
 		f.run(crashStep)
-		if evidence := f.evidence(id); len(evidence) == 2 && blame.LevelOf(evidence) == blame.OnTrial {
+		if evidence := f.evidence(id); len(evidence) == 2 && blame.LevelOf(evidence) == blame.NeedsIsolation {
 			break
 		}
 	}
 	before := f.evidence(id)
-	must.Eq(t, blame.OnTrial, blame.LevelOf(before))
+	must.Eq(t, blame.NeedsIsolation, blame.LevelOf(before))
 	f.run(100 * time.Millisecond) // until the second crash is recorded, and before the isolated run
 	must.Len(t, 2, f.starts[id+".0.0.0"])
-	f.lead()
+	f.newLeader()
 	for _, w := range f.sorted() {
-		if !w.gone {
-			f.end(w, 100*time.Millisecond) // before it answers the new leader
+		if !w.down {
+			f.crashWorker(w, 100*time.Millisecond) // before it answers the new leader
 			break
 		}
 	}
--- a/pkg/process/cell/waits.go
+++ b/pkg/process/cell/waits.go
@@ -22,18 +22,18 @@
 	WaitRefused WaitReason = "start-refused"
 	// WaitCrashUnknown: it is not known yet whether the silent worker of the task's last run crashed.
 	WaitCrashUnknown WaitReason = "crash-unknown"
-	// WaitUnrecorded: the evidence of the last crash under the task is not in the table yet.
-	WaitUnrecorded WaitReason = "crash-unrecorded"
-	// WaitIsolated: the task may only run isolated, and no worker is available for an isolated run.
-	WaitIsolated WaitReason = "isolated-run"
-	// WaitKept: the workers with capacity are reserved for isolated runs of other tasks.
-	WaitKept WaitReason = "worker-kept"
-	// WaitOrders: start orders are held back because unanswered orders fill the order window.
-	WaitOrders WaitReason = "orders-held"
-	// WaitWorkers: the workers with capacity are not usable for new work yet.
-	WaitWorkers WaitReason = "worker-not-usable"
-	// WaitTable: other cells have capacity, but the table is unavailable.
-	WaitTable WaitReason = "table-silent"
+	// WaitCrashUnrecorded: the evidence of the last crash under the task is not in the table yet.
+	WaitCrashUnrecorded WaitReason = "crash-unrecorded"
+	// WaitIsolatedRun: the task may only run isolated, and no worker is available for an isolated run.
+	WaitIsolatedRun WaitReason = "isolated-run"
+	// WaitWorkerKept: the workers with capacity are reserved for isolated runs of other tasks.
+	WaitWorkerKept WaitReason = "worker-kept"
+	// WaitOrdersHeld: start orders are held back because unanswered orders fill the order window.
+	WaitOrdersHeld WaitReason = "orders-held"
+	// WaitWorkerNotUsable: the workers with capacity are not usable for new work yet.
+	WaitWorkerNotUsable WaitReason = "worker-not-usable"
+	// WaitTableSilent: other cells have capacity, but the table is unavailable.
+	WaitTableSilent WaitReason = "table-silent"
 	// WaitReturned: other cells have capacity, but have just returned the task.
 	WaitReturned WaitReason = "returned"
 	// WaitDelegation: other cells have capacity, but the task is not delegated yet.
@@ -50,12 +50,12 @@
 	lastingWaitLogLines = 6
 )
 
-// noteLastingWaits logs why lasting tasks wait.
-func (s *State) noteLastingWaits(now time.Time) {
-	if now.Sub(s.waitsNotedAt) < lastingWaitLogInterval {
+// logLastingWaits logs why lasting tasks wait.
+func (s *State) logLastingWaits(now time.Time) {
+	if now.Sub(s.lastingWaitsLoggedAt) < lastingWaitLogInterval {
 		return
 	}
-	s.waitsNotedAt = now
+	s.lastingWaitsLoggedAt = now
 	lines := 0
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j := s.jobs[id]
@@ -63,7 +63,7 @@
 			continue
 		}
 		for _, t := range waitingLastingTasks(j) {
-			waited := now.Sub(waitsSince(t))
+			waited := now.Sub(waitingSince(t))
 			if waited < lastingWaitLogInterval {
 				continue
 			}
@@ -72,7 +72,7 @@
 			}
 			reason, here := s.waitReason(now, t)
 			s.note(Note{
-				What: NoteLastingWaits, Job: id, Task: t.Name(), AgeMs: waited.Milliseconds(), Reason: reason,
+				Kind: NoteLastingWaits, Job: id, Task: t.Name(), AgeMs: waited.Milliseconds(), Reason: reason,
 				FitsHere: here, FitsElsewhere: max(0, s.fitsElsewhere(now, t.Unit)),
 			})
 		}
@@ -92,7 +92,7 @@
 			continue
 		}
 		for _, t := range u.Tasks {
-			if len(t.Runs) == 0 && t.LentTo == "" {
+			if len(t.Runs) == 0 && t.DelegatedTo == "" {
 				list = append(list, t)
 			}
 		}
@@ -108,18 +108,18 @@
 		return WaitUnsettled, fits.free
 	case now.Before(t.RetryAt):
 		return WaitRefused, fits.free
-	case s.awaitsWord(now, t) && t.Level() >= blame.OnTrial:
+	case s.awaitsCrashOutcome(now, t) && t.Level() >= blame.NeedsIsolation:
 		return WaitCrashUnknown, fits.free
-	case s.awaitsRecord(now, t):
-		return WaitUnrecorded, fits.free
-	case s.triedAlone(t):
-		return WaitIsolated, fits.free
-	case fits.usable > 0 && s.has(OrderWindow) && !s.orders.Room():
-		return WaitOrders, fits.free
+	case s.awaitsEvidenceRecord(now, t):
+		return WaitCrashUnrecorded, fits.free
+	case s.needsIsolation(t):
+		return WaitIsolatedRun, fits.free
+	case fits.usable > 0 && s.enabled(OrderWindow) && !s.startWindow.Room():
+		return WaitOrdersHeld, fits.free
 	case fits.reserved > 0 && fits.usable == 0:
-		return WaitKept, fits.free
+		return WaitWorkerKept, fits.free
 	case fits.free > 0 && fits.usable == 0:
-		return WaitWorkers, fits.free
+		return WaitWorkerNotUsable, fits.free
 	}
 	return s.undelegatedReason(now, t), fits.free
 }
@@ -129,9 +129,9 @@
 	switch {
 	case s.fitsElsewhere(now, t.Unit) < minFitsElsewhere:
 		return WaitCapacity
-	case !s.tableAnswers(now):
-		return WaitTable
-	case s.peerForTask(now, t.Unit, t.RefusedAt) == "" && s.peerForTask(now, t.Unit, nil) != "":
+	case !s.tableAvailable(now):
+		return WaitTableSilent
+	case s.peerForTask(now, t.Unit, t.ReturnedAt) == "" && s.peerForTask(now, t.Unit, nil) != "":
 		return WaitReturned
 	}
 	return WaitDelegation
@@ -145,16 +145,16 @@
 // its label.
 func (s *State) fitsHere(now time.Time, t *jobs.Task) localFits {
 	c := localFits{}
-	u, service := t.Unit, s.service(t.Unit.Job)
+	u, service := t.Unit, s.serviceOf(t.Unit.Job)
 	size := workers.Reserved(u)
-	for _, w := range s.sorted() {
+	for _, w := range s.workersByID() {
 		if w.Gone || !w.Listed || w.Leaving || w.Service != service || !w.HasLabel(u.Spec.GetLabel()) || !size.Fits(w.Free()) {
 			continue
 		}
 		n := max(1, w.Free().Millicores/max(1, size.Millicores))
 		c.free += n
 		switch {
-		case s.closed[w]:
+		case s.closedWorkers[w]:
 			c.reserved += n
 		case s.usable(now, w):
 			c.usable += n
--- a/pkg/process/cell/waits_test.go
+++ b/pkg/process/cell/waits_test.go
@@ -11,10 +11,10 @@
 )
 
 // waitReasons returns the reasons that the log gave for the waits of lasting tasks, the newest last.
-func (b *busyCell) waitReasons() []cell.WaitReason {
+func (b *testCell) waitReasons() []cell.WaitReason {
 	var list []cell.WaitReason
 	for _, n := range b.notes {
-		if n.What == cell.NoteLastingWaits {
+		if n.Kind == cell.NoteLastingWaits {
 			list = append(list, n.Reason)
 		}
 	}
@@ -34,18 +34,18 @@
 	}{
 		{"no cell has capacity", nil, false, cell.WaitCapacity},
 		{"another cell has capacity", free, false, cell.WaitDelegation},
-		{"the table is unavailable", free, true, cell.WaitTable},
+		{"the table is unavailable", free, true, cell.WaitTableSilent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			b := newBusyCell()
-			b.down = c.down
+			b.tableDown = c.down
 			b.step(300 * time.Millisecond)
 			b.accept("00000000000000ff", "watches", lasting)
 			b.notes = nil
 			for range 90 {
 				if c.other != nil {
-					b.state.Take(b.now, cell.OtherLoad{Load: c.other})
+					b.state.Take(b.now, cell.PeerLoad{Load: c.other})
 				}
 				b.step(20 * time.Millisecond)
 			}
--- a/pkg/process/fleet/answers.go
+++ b/pkg/process/fleet/answers.go
@@ -14,17 +14,17 @@
 
 // Accepted takes a job that stands in the table.
 func (c *Control) Accepted(spec *wire.JobSpec) {
-	c.tell(cellEvent{cell: spec.GetCell(), event: cell.Accepted{Spec: spec, StoreNow: c.store.Now(clock.Now())}})
+	c.tell(cellEvent{cell: spec.GetCell(), event: cell.JobAccepted{Spec: spec, StoreNow: c.store.Now(clock.Now())}})
 }
 
 // Cancelled takes a cancel that stands in the table.
 func (c *Control) Cancelled(cellName, id string) {
-	c.tell(cellEvent{cell: cellName, event: cell.CancelAsked{ID: id}})
+	c.tell(cellEvent{cell: cellName, event: cell.CancelRequested{ID: id}})
 }
 
 // Returned takes what became of tasks that a cell has lent; it stands in the table.
 func (c *Control) Returned(r *wire.ReturnedTasks) {
-	c.tell(cellEvent{cell: r.GetHome(), event: cell.Returned{Tasks: r}})
+	c.tell(cellEvent{cell: r.GetHome(), event: cell.TasksReturned{Tasks: r}})
 }
 
 // Phase tells a job's phase, if this process leads its cell and knows it.
@@ -94,7 +94,7 @@
 	held := c.Held()
 	for name := range c.View().Cells {
 		if len(l.GetBeliefs()) > 0 || slices.Contains(held, name) {
-			c.tell(cellEvent{cell: name, event: cell.OtherLoad{Load: l}})
+			c.tell(cellEvent{cell: name, event: cell.PeerLoad{Load: l}})
 		}
 	}
 }
--- a/pkg/process/fleet/control.go
+++ b/pkg/process/fleet/control.go
@@ -63,7 +63,7 @@
 	// there; ok is false where it does not answer.
 	leads func(address, cell, holder string) (answer predecessorAnswer, ok bool)
 	// tellThere tells the process at an address what it is to know of its cell.
-	tellThere func(ctx context.Context, address string, e cell.Tell) error
+	tellThere func(ctx context.Context, address string, e cell.NotifyLeader) error
 }
 
 // seat is one cell in this process.
@@ -83,7 +83,7 @@
 		self: self, store: st, caller: caller, advisor: advisor, log: log, metrics: registry, wall: time.Now,
 		inbox: make(chan message, inboxSize), seats: map[string]*seat{}, asked: map[string]time.Time{},
 		yieldTo: func(string, string) {}, handicap: func() int { return 0 }, leads: func(string, string, string) (predecessorAnswer, bool) { return predecessorAnswer{}, false },
-		tellThere: func(context.Context, string, cell.Tell) error { return nil },
+		tellThere: func(context.Context, string, cell.NotifyLeader) error { return nil },
 	}
 	options = append(options, cell.WithPeers(slices.Collect(maps.Keys(cells))))
 	for name, hall := range cells {
@@ -140,7 +140,7 @@
 	for _, s := range c.seats {
 		if at := s.seat.RenewedAt(); s.seat.Role() == election.Leader && at.After(s.confirmed) {
 			s.confirmed = at
-			s.state.Take(now, cell.Confirmed{At: at, Until: at.Add(election.Tenure)})
+			s.state.Take(now, cell.LeadershipConfirmed{SentAt: at, Until: at.Add(election.Tenure)})
 			s.touched = true
 		}
 		if s.touched {
@@ -157,10 +157,10 @@
 	if s.state.Settled() {
 		s.seat.Settled()
 	}
-	if s.seat.Role() == election.Leader && s.state.Quiet() {
+	if s.seat.Role() == election.Leader && s.state.ReadyToHandOver() {
 		s.seat.Release() // a planned stop, or a yield, has come to its end
 	}
-	if w := s.seat.Next(now, s.state.Roster(), c.held(s)+c.handicap(), c.leaving); w != nil {
+	if w := s.seat.Next(now, s.state.Members(), c.held(s)+c.handicap(), c.leaving); w != nil {
 		go c.writeSeat(ctx, s.name, *w)
 	}
 	if s.seat.AskYield(now) && !c.leaving && now.Sub(c.asked[s.name]) > yieldAgain {
@@ -187,7 +187,7 @@
 	switch {
 	case change.Led:
 		epoch := s.seat.Row().GetEpoch()
-		s.state.Take(now, cell.LedBy(now, epoch, change))
+		s.state.Take(now, cell.NewLeadershipGained(now, epoch, change))
 		if c.manifest != nil {
 			s.state.Take(now, cell.ManifestChanged{Manifest: c.manifest})
 		}
@@ -196,7 +196,7 @@
 			c.awaitPredecessor(s, epoch, p)
 		}
 	case change.Lost:
-		s.state.Take(now, cell.Deposed{Why: change.Why})
+		s.state.Take(now, cell.LeadershipLost{Why: change.Why})
 		s.touched = true
 	}
 	c.publish(now)
@@ -231,7 +231,7 @@
 			Hall: s.hall, Leader: row.GetHost(), Address: row.GetAddress(), Epoch: row.GetEpoch(),
 			Fresh: s.seat.Fresh(now), Mine: s.seat.Role() == election.Leader,
 		}
-		v.Waits = v.Waits || s.state.Waits()
+		v.Waits = v.Waits || s.state.HasWaitingTasks()
 	}
 	c.view.Store(v)
 }
--- a/pkg/process/fleet/effects.go
+++ b/pkg/process/fleet/effects.go
@@ -40,11 +40,11 @@
 	case cell.Note:
 		c.logNote(name, e)
 	case cell.StepDown:
-		s.state.Take(now, cell.Deposed{Why: e.Why})
+		s.state.Take(now, cell.LeadershipLost{Why: e.Why})
 		s.touched = true
 	case cell.Load:
 		go c.load(ctx, name, e.Epoch)
-	case cell.SendLook:
+	case cell.SendPoll:
 		go c.sendLook(ctx, name, e, now)
 	case cell.SendStart:
 		go c.sendStart(ctx, name, e)
@@ -52,21 +52,21 @@
 		go c.sendStop(ctx, name, e)
 	case cell.SendPace:
 		go c.sendPace(ctx, name, e)
-	case cell.Record:
+	case cell.WriteProgress:
 		go c.record(ctx, name, e)
-	case cell.Tell:
+	case cell.NotifyLeader:
 		go c.tellCell(ctx, e)
-	case cell.SendAdvice:
+	case cell.SendAdviceRequest:
 		go c.sendAdvice(ctx, name, e)
 	}
 }
 
-func (c *Control) sendLook(ctx context.Context, name string, e cell.SendLook, sentAt time.Time) {
+func (c *Control) sendLook(ctx context.Context, name string, e cell.SendPoll, sentAt time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
-	report, refusal, err := c.caller.Look(ctx, e.To, e.Look)
+	report, refusal, err := c.caller.Poll(ctx, e.To, e.Poll)
 	c.countCall("look", refusal, err)
-	c.tell(cellEvent{name, cell.Looked{Worker: e.To.ID, SentAt: sentAt, Report: report, Refusal: refusal, Err: err}})
+	c.tell(cellEvent{name, cell.PollAnswered{Worker: e.To.ID, SentAt: sentAt, Report: report, Refusal: refusal, Err: err}})
 }
 
 func (c *Control) sendStart(ctx context.Context, name string, e cell.SendStart) {
@@ -77,7 +77,7 @@
 	took := clock.Now().Sub(began)
 	metrics.GetOrRegisterTimer("worker.start", c.metrics).Update(took)
 	c.countCall("start", reply.Refusal, err)
-	c.tell(cellEvent{name, cell.Started{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: reply, Err: err, Took: took, Bytes: e.Bytes}})
+	c.tell(cellEvent{name, cell.StartAnswered{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: reply, Err: err, RoundTrip: took, Bytes: e.Bytes}})
 }
 
 func (c *Control) sendStop(ctx context.Context, name string, e cell.SendStop) {
@@ -98,19 +98,19 @@
 	}})
 }
 
-func (c *Control) sendAdvice(ctx context.Context, name string, e cell.SendAdvice) {
+func (c *Control) sendAdvice(ctx context.Context, name string, e cell.SendAdviceRequest) {
 	ctx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
 	tickets, err := c.advisor.Advise(ctx, e.Unit, e.Workers)
-	c.countCall("advise", workers.RefusedNot, err)
-	c.tell(cellEvent{name, cell.Advised{Unit: e.Unit, Tickets: tickets, Err: err}})
+	c.countCall("advise", workers.NotRefused, err)
+	c.tell(cellEvent{name, cell.AdviceAnswered{Unit: e.Unit, Tickets: tickets, Err: err}})
 }
 
 // tellWait bounds a word to another cell's leader.
 const tellWait = 300 * time.Millisecond
 
 // tellCell tells the leader of another cell what stands in the table.
-func (c *Control) tellCell(ctx context.Context, e cell.Tell) {
+func (c *Control) tellCell(ctx context.Context, e cell.NotifyLeader) {
 	ctx, cancel := context.WithTimeout(ctx, tellWait)
 	defer cancel()
 	view := c.View().Cells[e.Cell]
@@ -128,7 +128,7 @@
 	metrics.GetOrRegisterCounter("tell."+outcome, c.metrics).Inc(1)
 }
 
-func (c *Control) tellHere(e cell.Tell) {
+func (c *Control) tellHere(e cell.NotifyLeader) {
 	switch {
 	case e.Lent != nil:
 		c.Accepted(e.Lent)
@@ -139,11 +139,11 @@
 	}
 }
 
-func (c *Control) record(ctx context.Context, name string, e cell.Record) {
+func (c *Control) record(ctx context.Context, name string, e cell.WriteProgress) {
 	began := clock.Now()
 	done, err := c.store.Commit(ctx, e.Transaction)
 	metrics.GetOrRegisterTimer("record", c.metrics).UpdateSince(began)
-	c.tell(cellEvent{name, cell.RecordAnswered{Part: e.Part, Serial: e.Serial, Committed: done, Err: err}})
+	c.tell(cellEvent{name, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: done, Err: err}})
 }
 
 func (c *Control) countCall(what string, refusal workers.Refusal, err error) {
@@ -151,7 +151,7 @@
 	switch {
 	case err != nil:
 		outcome = "unanswered"
-	case refusal != workers.RefusedNot:
+	case refusal != workers.NotRefused:
 		outcome = "refused." + string(refusal)
 	}
 	metrics.GetOrRegisterCounter("worker."+what+"."+outcome, c.metrics).Inc(1)
@@ -179,6 +179,6 @@
 	if n.Reason != "" {
 		fields["reason"], fields["fits_here"], fields["fits_elsewhere"] = string(n.Reason), n.FitsHere, n.FitsElsewhere
 	}
-	metrics.GetOrRegisterCounter("note."+string(n.What), c.metrics).Inc(1)
-	c.log.WithFields(fields).Info(string(n.What))
+	metrics.GetOrRegisterCounter("note."+string(n.Kind), c.metrics).Inc(1)
+	c.log.WithFields(fields).Info(string(n.Kind))
 }
--- a/pkg/process/fleet/host.go
+++ b/pkg/process/fleet/host.go
@@ -291,7 +291,7 @@
 }
 
 // tellThere tells the process at an address what it is to know of its cell.
-func (h *Host) tellThere(ctx context.Context, address string, e cell.Tell) error {
+func (h *Host) tellThere(ctx context.Context, address string, e cell.NotifyLeader) error {
 	p, err := h.peers.To(address)
 	if err != nil {
 		return err
--- a/pkg/process/fleet/load.go
+++ b/pkg/process/fleet/load.go
@@ -30,7 +30,7 @@
 		}
 		c.log.WithFields(logrus.Fields{"cell": name, "why": err.Error()}).Warn("cell-load-failed")
 		if fault.CodeOf(err) == fault.Conflict {
-			c.tell(cellEvent{name, cell.Deposed{Why: err.Error()}})
+			c.tell(cellEvent{name, cell.LeadershipLost{Why: err.Error()}})
 			return
 		}
 		if v := c.View().Cells[name]; !v.Mine || v.Epoch != epoch {
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	now := clock.Now()
-	event := cell.Loaded{Epoch: epoch, Roster: roster.GetEntries(), Fences: map[string]int64{}, Wall: c.wall(), StoreNow: c.store.Now(now)}
+	event := cell.Loaded{Epoch: epoch, Members: roster.GetEntries(), Fences: map[string]int64{}, Wall: c.wall(), StoreNow: c.store.Now(now)}
 	versions := parts[0].versions
 	for i, p := range parts {
 		if p.err != nil {
