--- a/pkg/process/fleet/messages.go
+++ b/pkg/process/fleet/messages.go
@@ -98,7 +98,7 @@
 	}
 	c.seatChanged(now, s, s.seat.TakeWritten(now, m.version))
 	if m.version != 0 && m.roster != nil {
-		s.state.Take(now, cell.RosterRecorded{IDs: ids(m.roster.GetEntries())})
+		s.state.Take(now, cell.MembershipRecorded{IDs: ids(m.roster.GetEntries())})
 		s.touched = true
 	}
 	c.publish(now)
@@ -117,7 +117,7 @@
 
 func (m yield) apply(c *Control, now time.Time) {
 	if s := c.seats[m.cell]; s != nil && s.hall != c.self.Hall {
-		s.state.Take(now, cell.Release{})
+		s.state.Take(now, cell.ReleaseRequested{})
 		s.touched = true
 	}
 }
@@ -127,7 +127,7 @@
 
 func (m giveUp) apply(c *Control, now time.Time) {
 	if s := c.seats[m.cell]; s != nil {
-		s.state.Take(now, cell.Release{})
+		s.state.Take(now, cell.ReleaseRequested{})
 		s.touched = true
 	}
 }
@@ -138,7 +138,7 @@
 func (leave) apply(c *Control, now time.Time) {
 	c.leaving = true
 	for _, s := range c.seats {
-		s.state.Take(now, cell.Release{})
+		s.state.Take(now, cell.ReleaseRequested{})
 		s.touched = true
 	}
 }
--- a/pkg/process/fleet/predecessors.go
+++ b/pkg/process/fleet/predecessors.go
@@ -66,8 +66,8 @@
 		return
 	}
 	s.seat.Over(m.holder)
-	s.state.Take(now, cell.PredecessorOver{
-		Epoch: m.epoch, Holder: m.holder, Own: m.own, Grants: m.answer.grants, GrantsKnown: m.answer.grantsTold, Since: m.since,
+	s.state.Take(now, cell.PredecessorEnded{
+		Epoch: m.epoch, Holder: m.holder, SameProcess: m.own, Grants: m.answer.grants, GrantsKnown: m.answer.grantsTold, EndedAt: m.since,
 	})
 	s.touched = true
 }
--- a/pkg/process/fleet/watch.go
+++ b/pkg/process/fleet/watch.go
@@ -174,7 +174,7 @@
 			c.Accepted(spec)
 		})
 		if followed {
-			c.tell(cellEvent{cell: name, event: cell.Followed{At: askedAt}})
+			c.tell(cellEvent{cell: name, event: cell.TableCaughtUp{At: askedAt}})
 		}
 		from.cancels, _ = c.followTable(ctx, rows.CancelTable(name), from.cancels, func(r table.Row) {
 			if !rows.IsReturn(r.Key) {
@@ -182,7 +182,7 @@
 				return
 			}
 			if back := c.readReturned(r); back != nil {
-				c.tell(cellEvent{cell: name, event: cell.Returned{Tasks: back}})
+				c.tell(cellEvent{cell: name, event: cell.TasksReturned{Tasks: back}})
 			}
 		})
 	}
--- a/pkg/process/interference/press.go
+++ b/pkg/process/interference/press.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Press learns how much fillers of one image keep serving tasks of another from
+// PressureModel learns how much fillers of one image keep serving tasks of another from
 // their users: one coefficient a pair, beside what the task's own load does.
 //
 // A serving task is a queue: the tail of its answers grows as
@@ -34,7 +34,7 @@
 // Readings teach a filter of one process and cell alone. What leaders of other cells,
 // and earlier ones of the same, say of theirs is heard and merged with it, each
 // weighed by how sure it is (share.go).
-type Press struct {
+type PressureModel struct {
 	images map[string]*filter
 	heard  map[string]Beliefs
 	merged map[string]belief
@@ -89,12 +89,12 @@
 	at  time.Time
 }
 
-// NewPress returns a model that knows nothing.
-func NewPress() *Press {
-	return &Press{images: map[string]*filter{}, heard: map[string]Beliefs{}, merged: map[string]belief{}}
+// NewPressureModel returns a model that knows nothing.
+func NewPressureModel() *PressureModel {
+	return &PressureModel{images: map[string]*filter{}, heard: map[string]Beliefs{}, merged: map[string]belief{}}
 }
 
-func (p *Press) image(serving string) *filter {
+func (p *PressureModel) image(serving string) *filter {
 	f := p.images[serving]
 	if f == nil {
 		f = &filter{index: map[string]int{}}
@@ -127,12 +127,12 @@
 
 // Coefficient is how much the filler's whole use of a worker's processors
 // would add to the serving image's level.
-func (p *Press) Coefficient(serving, filler string) float64 {
+func (p *PressureModel) Coefficient(serving, filler string) float64 {
 	return p.merged[serving].coefficient(filler).Mean
 }
 
 // Alone is the level of a serving image without fillers.
-func (p *Press) Alone(serving string) float64 {
+func (p *PressureModel) Alone(serving string) float64 {
 	if b, ok := p.merged[serving]; ok {
 		return b.alone.Mean
 	}
@@ -144,7 +144,7 @@
 
 // Alike says how alike two serving images are in what presses on them: 1 for the
 // same, 0 for two that share nothing.
-func (p *Press) Alike(one, other string) float64 {
+func (p *PressureModel) Alike(one, other string) float64 {
 	if one == other {
 		return 1
 	}
@@ -167,7 +167,7 @@
 }
 
 // Predict is the level to expect beside the given pressures.
-func (p *Press) Predict(serving string, pressures map[string]float64) float64 {
+func (p *PressureModel) Predict(serving string, pressures map[string]float64) float64 {
 	level := p.Alone(serving)
 	for _, filler := range slices.Sorted(maps.Keys(pressures)) {
 		level += p.Coefficient(serving, filler) * pressures[filler]
@@ -177,7 +177,7 @@
 
 // Learn takes in one reading of a task, and the pressures that were there during
 // it.
-func (p *Press) Learn(now time.Time, serving string, reading Reading, pressures map[string]float64, own *OwnLoad) {
+func (p *PressureModel) Learn(now time.Time, serving string, reading Reading, pressures map[string]float64, own *OwnLoad) {
 	own.drift(now)
 	f := p.image(serving)
 	f.drift(now)
@@ -245,7 +245,7 @@
 }
 
 // Fillers lists the filler images that were seen beside any serving image.
-func (p *Press) Fillers() []string {
+func (p *PressureModel) Fillers() []string {
 	seen := map[string]bool{}
 	for _, b := range p.merged {
 		for name := range b.fillers {
@@ -256,7 +256,7 @@
 }
 
 // Words tells what is believed of each serving image, for the log.
-func (p *Press) Words() []string {
+func (p *PressureModel) Words() []string {
 	list := make([]string, 0, len(p.images))
 	for serving, f := range p.images {
 		fillers := make([]string, 0, len(f.index))
--- a/pkg/process/interference/press_test.go
+++ b/pkg/process/interference/press_test.go
@@ -21,7 +21,7 @@
 // readings plays a serving task for a minute: its own load swings by half in 20 s,
 // the fillers in busyBy press on it by so much at full use. Each filler comes and
 // goes at times that a seed draws.
-func readings(press *interference.Press, image string, busyBy map[string]float64, rough float64) {
+func readings(press *interference.PressureModel, image string, busyBy map[string]float64, rough float64) {
 	const target = 150 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
 	begin := time.Unix(0, 0)
@@ -50,7 +50,7 @@
 // A pair has one coefficient at all loads of the serving task.
 func TestWhatPressesIsToldFromWhatDoesNot(t *testing.T) {
 	t.Parallel()
-	press := interference.NewPress()
+	press := interference.NewPressureModel()
 	readings(press, "quotes", map[string]float64{"hard": 2, "harder": 3, "mild": 0.15, "none": 0}, 0.04)
 	must.Between(t, 8.0, press.Coefficient("quotes", "hard"), 16.0, must.Sprint("6 x 2"))
 	must.Between(t, 12.0, press.Coefficient("quotes", "harder"), 24.0, must.Sprint("6 x 3"))
@@ -61,7 +61,7 @@
 
 func TestImagesThatTheSameFillersPressOnAreAlike(t *testing.T) {
 	t.Parallel()
-	press := interference.NewPress()
+	press := interference.NewPressureModel()
 	readings(press, "quotes", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
 	readings(press, "sheets", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
 	readings(press, "rates", map[string]float64{"a": 0.1, "b": 2, "c": 2, "d": 0.1}, 0.04)
@@ -74,7 +74,7 @@
 // The own load's next second is told from its last ones.
 func TestAnOwnLoadIsFollowed(t *testing.T) {
 	t.Parallel()
-	press := interference.NewPress()
+	press := interference.NewPressureModel()
 	const target = 150 * time.Millisecond
 	own := interference.OwnLoad{}
 	begin := time.Unix(0, 0)
@@ -97,7 +97,7 @@
 
 func TestAReadingFarOverItsTargetOnlySaysAtLeast(t *testing.T) {
 	t.Parallel()
-	press := interference.NewPress()
+	press := interference.NewPressureModel()
 	const target = 150 * time.Millisecond
 	own := interference.OwnLoad{}
 	begin := time.Unix(0, 0)
@@ -114,9 +114,9 @@
 // what is heard back of one's own words adds nothing.
 func TestWhatOthersHaveLearnedCounts(t *testing.T) {
 	t.Parallel()
-	learned := interference.NewPress()
+	learned := interference.NewPressureModel()
 	readings(learned, "quotes", map[string]float64{"hard": 2, "mild": 0.1}, 0.04)
-	fresh := interference.NewPress()
+	fresh := interference.NewPressureModel()
 	fresh.Hear("a", learned.Own())
 	fresh.Merge(time.Unix(100, 0))
 	must.Eq(t, learned.Coefficient("quotes", "hard"), fresh.Coefficient("quotes", "hard"))
--- a/pkg/process/interference/share.go
+++ b/pkg/process/interference/share.go
@@ -40,7 +40,7 @@
 const mergeEvery = 250 * time.Millisecond
 
 // Own returns what this process's filters have learned.
-func (p *Press) Own() Beliefs {
+func (p *PressureModel) Own() Beliefs {
 	own := Beliefs{}
 	for image, f := range p.images {
 		b := ImageBelief{Alone: Estimate{f.mean[0], f.cov[0][0]}, Fillers: map[string]Estimate{}}
@@ -54,7 +54,7 @@
 
 // Hear takes in what another process says that it has learned in a cell. A newer word
 // of the same cell takes the place of an older one, unless it knows less.
-func (p *Press) Hear(cell string, b Beliefs) {
+func (p *PressureModel) Hear(cell string, b Beliefs) {
 	if sureness(b) >= sureness(p.heard[cell]) {
 		p.heard[cell] = b
 	}
@@ -74,7 +74,7 @@
 }
 
 // Merge brings what is used for decisions up to date with what was learned and heard.
-func (p *Press) Merge(now time.Time) {
+func (p *PressureModel) Merge(now time.Time) {
 	if age := now.Sub(p.mergedAt); !p.mergedAt.IsZero() && age >= 0 && age < mergeEvery {
 		return
 	}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (p *Press) mergeIn(b Beliefs) {
+func (p *PressureModel) mergeIn(b Beliefs) {
 	for image, in := range b {
 		if in.Alone.Variance <= 0 {
 			continue // nobody is that sure: a word that can't be right
--- a/pkg/process/jobs/job.go
+++ b/pkg/process/jobs/job.go
@@ -33,13 +33,13 @@
 	Reason  string
 	// Begun says that a task has started at some time.
 	Begun bool
-	// CancelAsked says that its caller has asked for its end: rows of that stand in the table.
-	CancelAsked bool
-	Units       []*Unit
+	// CancelRequested says that its caller has asked for its end: rows of that stand in the table.
+	CancelRequested bool
+	Units           []*Unit
 
 	times int
-	// borrowers are the cells that have had tasks of the job.
-	borrowers map[string]bool
+	// targetCells are the cells that have had tasks of the job.
+	targetCells map[string]bool
 	// chains are the longest chains of estimated work from each step on, as of chainsAt.
 	chains   []time.Duration
 	chainsAt time.Time
@@ -61,8 +61,8 @@
 	ReadyAt time.Time
 	// Outlook is what the unit's job could still earn when it was last placed.
 	Outlook Outlook
-	// WaitToldAt is when the log last said why they wait.
-	WaitToldAt time.Time
+	// WaitLoggedAt is when the log last said why they wait.
+	WaitLoggedAt time.Time
 
 	done int
 	name string
@@ -86,9 +86,9 @@
 	FailedElsewhere int
 	// Crashes are held against the task: workers crashed under it. Trial is how far the record is
 	// that it may be tried alone.
-	Crashes []blame.Crash
-	Trial   Trial
-	level   blame.Level
+	Crashes   []blame.Crash
+	Isolation IsolationState
+	level     blame.Level
 	// IsolationWaived says that its next run need not be isolated, though it is to be tried; IsolatedSince is since when
 	// it has waited for one that is.
 	IsolationWaived bool
@@ -104,22 +104,22 @@
 	// AvoidWorker is where its last run failed: the next one goes elsewhere, if
 	// it can.
 	AvoidWorker string
-	// LentTo is the cell that runs the task instead of this one; for a guest's
+	// DelegatedTo is the cell that runs the task instead of this one; for a guest's
 	// other tasks, the cell that keeps the job.
-	LentTo string
-	// Lending is how often the task has been lent: word of an earlier time is old.
-	Lending int32
-	// RefusedAt is when cells gave the task back, for want of room; the zero time:
+	DelegatedTo string
+	// Delegations is how often the task has been lent: word of an earlier time is old.
+	Delegations int32
+	// ReturnedAt is when cells gave the task back, for want of room; the zero time:
 	// before this process came to know of it.
-	RefusedAt map[string]time.Time
-	// Tried says that it has had a run here, or may have had one.
-	Tried bool
-	// WaitsSince is when it last lost a run, in any cell; zero: it never had one.
-	WaitsSince time.Time
-	// HereSince is since when it waits in this cell, Waited how long it had had no run when it was last
+	ReturnedAt map[string]time.Time
+	// MayHaveRun says that it has had a run here, or may have had one.
+	MayHaveRun bool
+	// WaitingSince is when it last lost a run, in any cell; zero: it never had one.
+	WaitingSince time.Time
+	// InCellSince is since when it waits in this cell, Waited how long it had had no run when it was last
 	// handed over to another one.
-	HereSince time.Time
-	Waited    time.Duration
+	InCellSince          time.Time
+	WaitedBeforeHandover time.Duration
 
 	name string
 }
@@ -151,7 +151,7 @@
 		j.Units = append(j.Units, u)
 	}
 	j.times = max(j.times, time+1)
-	if j.Guest() {
+	if j.Delegated() {
 		j.leaveToHome(time)
 	}
 }
@@ -160,7 +160,7 @@
 // returns the units that are new.
 // A guest's times are opened by what is lent of them.
 func (j *Job) OpenDue(wall time.Time) []*Unit {
-	if j.Guest() {
+	if j.Delegated() {
 		return nil
 	}
 	before := len(j.Units)
@@ -175,17 +175,17 @@
 	return time.UnixMilli(j.Spec.GetFirstUnixMs() + int64(n)*j.Spec.GetIntervalMs())
 }
 
-// OpensLater says whether a task is of one of the job's times that has not been opened yet. A guest's
+// NotYetDue says whether a task is of one of the job's times that has not been opened yet. A guest's
 // times are opened by what is lent of them, not by the time of day.
-func (j *Job) OpensLater(id TaskID) bool {
-	return !j.Guest() && id.Time >= j.times && id.Time < j.Repeats() && id.Step < len(j.Spec.GetSteps())
+func (j *Job) NotYetDue(id TaskID) bool {
+	return !j.Delegated() && id.Time >= j.times && id.Time < j.Repeats() && id.Step < len(j.Spec.GetSteps())
 }
 
 // Ended says whether the job's phase is its last.
 func (j *Job) Ended() bool { return j.Phase.Terminal() }
 
-// Last says whether a phase is one that a job never leaves.
-func Last(p wire.JobPhase) bool { return p.Terminal() }
+// IsFinal says whether a phase is one that a job never leaves.
+func IsFinal(p wire.JobPhase) bool { return p.Terminal() }
 
 // End gives the job its last phase. A job that has ended stays as it is.
 func (j *Job) End(phase wire.JobPhase, reason string, now time.Time) {
@@ -265,7 +265,7 @@
 // comes after, at the same time, have ended well. A guest's tasks were ready when
 // they were lent.
 func (u *Unit) Ready() bool {
-	if u.Job.Guest() {
+	if u.Job.Delegated() {
 		return true
 	}
 	for _, a := range u.Spec.GetAfter() {
@@ -280,7 +280,7 @@
 // MayHaveBegun says whether an earlier leader may have started the unit's tasks: all that it comes after has ended well,
 // or has no run here, as where an end was seen and not recorded.
 func (u *Unit) MayHaveBegun() bool {
-	if u.Job.Guest() {
+	if u.Job.Delegated() {
 		return true
 	}
 	for _, a := range u.Spec.GetAfter() {
@@ -327,7 +327,7 @@
 
 // Waiting says whether the task wants a start.
 func (t *Task) Waiting(now time.Time) bool {
-	return !t.Done && t.LentTo == "" && t.Settled && len(t.Runs) == 0 && !now.Before(t.RetryAt)
+	return !t.Done && t.DelegatedTo == "" && t.Settled && len(t.Runs) == 0 && !now.Before(t.RetryAt)
 }
 
 // MarkDone records that a run of the task ended well. It says whether that was
--- a/pkg/process/jobs/lending.go
+++ b/pkg/process/jobs/lending.go
@@ -18,8 +18,8 @@
 // elsewhere stands for the cell that keeps a guest's job.
 const elsewhere = "elsewhere"
 
-// Guest says whether another cell keeps the job and has lent some tasks here.
-func (j *Job) Guest() bool { return len(j.Spec.GetGuest()) > 0 }
+// Delegated says whether another cell keeps the job and has lent some tasks here.
+func (j *Job) Delegated() bool { return len(j.Spec.GetGuest()) > 0 }
 
 // leaveToHome leaves the tasks of a guest's time to the cell that keeps the job.
 func (j *Job) leaveToHome(time int) {
@@ -28,7 +28,7 @@
 			continue
 		}
 		for _, t := range u.Tasks {
-			t.LentTo = elsewhere
+			t.DelegatedTo = elsewhere
 		}
 	}
 }
@@ -46,7 +46,7 @@
 	for _, r := range j.Spec.GetGuest() {
 		j.openFor(r)
 		if t := j.at(r); t != nil {
-			t.LentTo, t.Lending = "", r.GetLending()
+			t.DelegatedTo, t.Delegations = "", r.GetLending()
 			t.takeOver(r)
 		}
 	}
@@ -55,7 +55,7 @@
 // Arrived says when a guest's tasks came to this cell: they wait since then.
 func (j *Job) Arrived(now time.Time) {
 	for _, r := range j.Spec.GetGuest() {
-		if t := j.at(r); t != nil && t.LentTo == "" {
+		if t := j.at(r); t != nil && t.DelegatedTo == "" {
 			t.arrive(now, r)
 		}
 	}
@@ -63,14 +63,14 @@
 
 // arrive takes in that a task comes from another cell, where it had waited already.
 func (t *Task) arrive(now time.Time, r *wire.TaskRef) {
-	t.HereSince = now
-	t.WaitsSince = now.Add(-time.Duration(r.GetWaitedMs()) * time.Millisecond)
+	t.InCellSince = now
+	t.WaitingSince = now.Add(-time.Duration(r.GetWaitedMs()) * time.Millisecond)
 }
 
 // takeOver takes over what is known of a task where it comes from.
 func (t *Task) takeOver(r *wire.TaskRef) {
 	t.setCrashes(crashesOf(r.GetCrashes()))
-	t.Trial = NoTrial
+	t.Isolation = NoIsolation
 	t.failedElsewhere(r)
 	if r.GetCheckpoint() != "" {
 		t.Checkpoint = r.GetCheckpoint()
@@ -82,20 +82,20 @@
 	t.FailedElsewhere = max(t.FailedElsewhere, int(r.GetFailed())-(t.Failures()-t.FailedElsewhere))
 }
 
-// MoreGuests takes in that more of the job's tasks are lent to this cell. It
+// AddDelegated takes in that more of the job's tasks are lent to this cell. It
 // says whether that is so. settled says that no forerunner may have started them already.
-func (j *Job) MoreGuests(spec *wire.JobSpec, now time.Time, settled bool) bool {
-	if !j.Guest() {
+func (j *Job) AddDelegated(spec *wire.JobSpec, now time.Time, settled bool) bool {
+	if !j.Delegated() {
 		return false
 	}
 	more := false
 	for _, r := range spec.GetGuest() {
 		j.openFor(r)
 		t := j.at(r)
-		if t == nil || (t.LentTo != elsewhere && (t.LentTo == "" || r.GetLending() <= t.Lending)) {
+		if t == nil || (t.DelegatedTo != elsewhere && (t.DelegatedTo == "" || r.GetLending() <= t.Delegations)) {
 			continue
 		}
-		t.LentTo, t.Lending, more = "", r.GetLending(), true
+		t.DelegatedTo, t.Delegations, more = "", r.GetLending(), true
 		t.Settled = settled
 		t.arrive(now, r)
 		t.takeOver(r)
@@ -106,13 +106,13 @@
 	return more
 }
 
-// LearnOfCrashes takes in which silent workers have crashed since the guest's tasks were lent, as their home says with
+// MergeHomeEvidence takes in which silent workers have crashed since the guest's tasks were lent, as their home says with
 // a later specification. It returns the tasks of which more is held now.
-func (j *Job) LearnOfCrashes(spec *wire.JobSpec) []*Task {
+func (j *Job) MergeHomeEvidence(spec *wire.JobSpec) []*Task {
 	var list []*Task
 	for _, r := range spec.GetGuest() {
 		t := j.at(r)
-		if t == nil || t.LentTo != "" || r.GetLending() != t.Lending {
+		if t == nil || t.DelegatedTo != "" || r.GetLending() != t.Delegations {
 			continue
 		}
 		news := false
@@ -130,15 +130,15 @@
 	return j.Task(int(r.GetTime()), int(r.GetStep()), int(r.GetIndex()))
 }
 
-// GiveBack leaves a guest's task to the cell that keeps its job, until that lends it
+// ReturnTask leaves a guest's task to the cell that keeps its job, until that lends it
 // again.
-func (j *Job) GiveBack(t *Task) { t.LentTo = j.Spec.GetHome() }
+func (j *Job) ReturnTask(t *Task) { t.DelegatedTo = j.Spec.GetHome() }
 
 // Report is what a guest's cell tells the one that keeps the job: the tasks that it
 // has given back, those that are done, and whether one has failed for good; nil:
 // nothing yet.
 func (j *Job) Report() *wire.ReturnedTasks {
-	if !j.Guest() || j.Spec.GetHome() == "" || j.Phase == wire.JobPhase_JOB_PHASE_CANCELLED {
+	if !j.Delegated() || j.Spec.GetHome() == "" || j.Phase == wire.JobPhase_JOB_PHASE_CANCELLED {
 		return nil // a cancel is its home's own word
 	}
 	report := &wire.ReturnedTasks{
@@ -154,16 +154,16 @@
 	return report
 }
 
-// LentDone says whether all that was lent to a guest, and not given back, is done.
-func (j *Job) LentDone() bool {
-	open := j.refs(func(t *Task) bool { return t.LentTo == "" && !t.Done })
-	return j.Guest() && len(open) == 0
+// DelegatedDone says whether all that was lent to a guest, and not given back, is done.
+func (j *Job) DelegatedDone() bool {
+	open := j.refs(func(t *Task) bool { return t.DelegatedTo == "" && !t.Done })
+	return j.Delegated() && len(open) == 0
 }
 
-// TakeBack takes in what another cell gives back or has done. It says whether a task
+// ApplyReturned takes in what another cell gives back or has done. It says whether a task
 // was lent there until now. settled says that no forerunner may have taken it back, and started it,
 // already.
-func (j *Job) TakeBack(r *wire.ReturnedTasks, now time.Time, settled bool) bool {
+func (j *Job) ApplyReturned(r *wire.ReturnedTasks, now time.Time, settled bool) bool {
 	news := j.takeDone(r)
 	j.borrowed(r.GetFrom())
 	for _, ref := range r.GetTasks() {
@@ -171,20 +171,20 @@
 		if t == nil {
 			continue
 		}
-		if t.RefusedAt == nil {
-			t.RefusedAt = map[string]time.Time{}
+		if t.ReturnedAt == nil {
+			t.ReturnedAt = map[string]time.Time{}
 		}
-		if t.LentTo == r.GetFrom() && t.Lending == ref.GetLending() {
-			t.LentTo, t.Settled, news = "", settled, true
+		if t.DelegatedTo == r.GetFrom() && t.Delegations == ref.GetLending() {
+			t.DelegatedTo, t.Settled, news = "", settled, true
 			t.arrive(now, ref)
-			t.RefusedAt[r.GetFrom()] = now
+			t.ReturnedAt[r.GetFrom()] = now
 			t.takeBackCrashes(crashesOf(ref.GetCrashes()))
 			t.failedElsewhere(ref)
 			if ref.GetCheckpoint() != "" {
 				t.Checkpoint = ref.GetCheckpoint()
 			}
-		} else if _, known := t.RefusedAt[r.GetFrom()]; !known {
-			t.RefusedAt[r.GetFrom()] = time.Time{}
+		} else if _, known := t.ReturnedAt[r.GetFrom()]; !known {
+			t.ReturnedAt[r.GetFrom()] = time.Time{}
 		}
 	}
 	return news
@@ -194,10 +194,10 @@
 	news := false
 	for _, ref := range r.GetDone() {
 		t := j.at(ref)
-		if t == nil || t.LentTo != r.GetFrom() || t.Lending != ref.GetLending() {
+		if t == nil || t.DelegatedTo != r.GetFrom() || t.Delegations != ref.GetLending() {
 			continue
 		}
-		t.LentTo = ""
+		t.DelegatedTo = ""
 		news = t.MarkDone() || news
 	}
 	j.Begun = j.Begun || news
@@ -206,15 +206,15 @@
 
 // borrowed remembers that a cell has had tasks of the job.
 func (j *Job) borrowed(cell string) {
-	if j.borrowers == nil {
-		j.borrowers = map[string]bool{}
+	if j.targetCells == nil {
+		j.targetCells = map[string]bool{}
 	}
-	j.borrowers[cell] = true
+	j.targetCells[cell] = true
 }
 
 // refsTo lists the tasks that are left to a cell.
 func (j *Job) refsTo(cell string) []*wire.TaskRef {
-	return j.refs(func(t *Task) bool { return t.LentTo == cell })
+	return j.refs(func(t *Task) bool { return t.DelegatedTo == cell })
 }
 
 func (j *Job) refs(which func(t *Task) bool) []*wire.TaskRef {
@@ -222,19 +222,19 @@
 	for _, u := range j.Units {
 		for _, t := range u.Tasks {
 			if which(t) {
-				refs = append(refs, &wire.TaskRef{Time: int32(u.Time), Step: int32(u.Step), Index: int32(t.Index), Lending: t.Lending, Crashes: crashNotes(t.Crashes), Failed: int32(t.Failures()), Checkpoint: t.Checkpoint, WaitedMs: t.Waited.Milliseconds()})
+				refs = append(refs, &wire.TaskRef{Time: int32(u.Time), Step: int32(u.Step), Index: int32(t.Index), Lending: t.Delegations, Crashes: crashNotes(t.Crashes), Failed: int32(t.Failures()), Checkpoint: t.Checkpoint, WaitedMs: t.WaitedBeforeHandover.Milliseconds()})
 			}
 		}
 	}
 	return refs
 }
 
-// Lend leaves tasks to another cell, and returns the specification that this cell is
+// Delegate leaves tasks to another cell, and returns the specification that this cell is
 // to have. Tasks lent to it before stay with it.
-func (j *Job) Lend(cell string, tasks ...*Task) *wire.JobSpec {
+func (j *Job) Delegate(cell string, tasks ...*Task) *wire.JobSpec {
 	for _, t := range tasks {
-		t.LentTo = cell
-		t.Lending++
+		t.DelegatedTo = cell
+		t.Delegations++
 	}
 	j.borrowed(cell)
 	spec, ok := proto.Clone(j.Spec).(*wire.JobSpec)
@@ -245,11 +245,11 @@
 	return spec
 }
 
-// Borrowers lists the cells that have had tasks of the job, also those that gave them
+// TargetCells lists the cells that have had tasks of the job, also those that gave them
 // back or have done them: they are told when the job ends.
-func (j *Job) Borrowers() []string {
-	if j.Guest() {
+func (j *Job) TargetCells() []string {
+	if j.Delegated() {
 		return nil
 	}
-	return slices.Sorted(maps.Keys(j.borrowers))
+	return slices.Sorted(maps.Keys(j.targetCells))
 }
--- a/pkg/process/jobs/lending_test.go
+++ b/pkg/process/jobs/lending_test.go
@@ -21,7 +21,7 @@
 	gang[0].MarkFailed(1_000_001)
 	gang[0].Checkpoint = "half"
 
-	lent := home.Lend("other", gang...)
+	lent := home.Delegate("other", gang...)
 	guest := jobs.New(lent, now)
 	must.Eq(t, 1, guest.Units[0].Tasks[0].Failures())
 	must.Eq(t, "half", guest.Units[0].Tasks[0].Checkpoint)
@@ -30,9 +30,9 @@
 	successor := jobs.Restore(lent, guest.Progress(), 1, now, now)
 	for _, member := range successor.Units[0].Tasks {
 		must.Eq(t, 2, member.Failures())
-		successor.GiveBack(member)
+		successor.ReturnTask(member)
 	}
-	must.True(t, home.TakeBack(successor.Report(), now, true))
+	must.True(t, home.ApplyReturned(successor.Report(), now, true))
 	must.Eq(t, 2, gang[0].Failures())
 	must.Eq(t, 3, gang[0].MarkFailed(1_000_002))
 
--- a/pkg/process/jobs/progress.go
+++ b/pkg/process/jobs/progress.go
@@ -32,14 +32,14 @@
 			up.Done[i/8] |= 1 << (i % 8)
 			continue
 		}
-		lent := t.LentTo
+		lent := t.DelegatedTo
 		if lent == elsewhere {
 			lent = "" // the specification says so already
 		}
-		if len(t.FailedRuns) > 0 || t.FailedElsewhere > 0 || t.Checkpoint != "" || lent != "" || t.Lending > 0 || len(t.Crashes) > 0 {
+		if len(t.FailedRuns) > 0 || t.FailedElsewhere > 0 || t.Checkpoint != "" || lent != "" || t.Delegations > 0 || len(t.Crashes) > 0 {
 			up.Notes = append(up.Notes, &wire.TaskNote{
-				Index: int32(i), FailedRuns: t.FailedRuns, FailedElsewhere: int32(t.FailedElsewhere), Checkpoint: t.Checkpoint, LentTo: lent, Lending: t.Lending,
-				Crashes: crashNotes(t.Crashes), Trial: t.Trial != NoTrial,
+				Index: int32(i), FailedRuns: t.FailedRuns, FailedElsewhere: int32(t.FailedElsewhere), Checkpoint: t.Checkpoint, LentTo: lent, Lending: t.Delegations,
+				Crashes: crashNotes(t.Crashes), Trial: t.Isolation != NoIsolation,
 			})
 		}
 	}
@@ -92,20 +92,20 @@
 		if n.GetCheckpoint() != "" {
 			t.Checkpoint = n.GetCheckpoint()
 		}
-		lentAgain := j.Guest() && t.Lending > n.GetLending() // after the note was made
+		lentAgain := j.Delegated() && t.Delegations > n.GetLending() // after the note was made
 		if !lentAgain {
 			t.setCrashes(crashesOf(n.GetCrashes()))
-			t.IsolatedBefore = t.Level() == blame.OnTrial && !u.Spec.GetGang() && !u.Lasting()
-			t.Trial = NoTrial
+			t.IsolatedBefore = t.Level() == blame.NeedsIsolation && !u.Spec.GetGang() && !u.Lasting()
+			t.Isolation = NoIsolation
 			if n.GetTrial() {
-				t.Trial = TrialRecorded
+				t.Isolation = IsolationRecorded
 			}
 		}
 		if n.GetLentTo() != "" && !lentAgain {
-			t.LentTo = n.GetLentTo()
-			j.borrowed(t.LentTo)
+			t.DelegatedTo = n.GetLentTo()
+			j.borrowed(t.DelegatedTo)
 		}
-		t.Lending = max(t.Lending, n.GetLending())
+		t.Delegations = max(t.Delegations, n.GetLending())
 		for _, r := range n.GetFailedRuns() {
 			t.MarkFailed(r)
 		}
--- a/pkg/process/jobs/run.go
+++ b/pkg/process/jobs/run.go
@@ -63,22 +63,22 @@
 	Pace, PaceWanted int
 	PaceSending      bool
 	PacedAt          time.Time
-	// OverSince is since when the tail is above its target; zero: it is not.
-	OverSince time.Time
-	// CutAt is when it was last made to stand still for a tail that stayed over
+	// OverTargetSince is since when the tail is above its target; zero: it is not.
+	OverTargetSince time.Time
+	// PausedAt is when it was last made to stand still for a tail that stayed over
 	// its target.
-	CutAt time.Time
+	PausedAt time.Time
 	// OwnLoad is what is believed of a serving task's own load.
 	OwnLoad interference.OwnLoad
 	// StopSentAt is when it was last asked to stop, and Why.
 	StopSentAt time.Time
 	// Resumed says that it went on from a checkpoint, or was found running: what it took is
 	// not all that its task takes.
-	Resumed bool
-	Why     string
-	Ticket  string
-	// OnTrial says that the run tries its task alone.
-	OnTrial bool
+	Resumed    bool
+	StopReason string
+	Ticket     string
+	// Isolated says that the run tries its task alone.
+	Isolated bool
 }
 
 // TaskID is a task's name, taken apart.
--- a/pkg/process/jobs/suspicion.go
+++ b/pkg/process/jobs/suspicion.go
@@ -10,16 +10,16 @@
 
 // What crashes of workers say of a task: see the package blame.
 
-// Trial is how far the record is that a task may be tried alone. It must stand before the run is
+// IsolationState is how far the record is that a task may be tried alone. It must stand before the run is
 // ordered, and is made when there is a worker for it: a successor that finds the run nowhere then knows
 // that it may have ended its worker.
-type Trial int
+type IsolationState int
 
 // The states of a trial.
 const (
-	NoTrial Trial = iota
-	TrialWanted
-	TrialRecorded
+	NoIsolation IsolationState = iota
+	IsolationWanted
+	IsolationRecorded
 )
 
 // maxCrashes bounds what is kept of a task's crashes: more than it takes to give it up.
@@ -35,16 +35,16 @@
 	t.crashedSomewhere = slices.ContainsFunc(crashes, func(c blame.Crash) bool { return c.Host != "" })
 }
 
-// Choosy says whether not every worker with room will do: the task waits for one by itself, and others of its
+// NeedsSpecificWorker says whether not every worker with room will do: the task waits for one by itself, and others of its
 // step may find a place meanwhile.
-func (t *Task) Choosy() bool { return t.crashedSomewhere || t.Suspected() }
+func (t *Task) NeedsSpecificWorker() bool { return t.crashedSomewhere || t.Suspected() }
 
 // Suspected says whether the task is suspected at all.
-func (t *Task) Suspected() bool { return t.Level() >= blame.Suspect }
+func (t *Task) Suspected() bool { return t.Level() >= blame.Suspected }
 
-// Accuse holds a crash against the task. What was held against it when the worker fell silent is
+// AddCrash holds a crash against the task. What was held against it when the worker fell silent is
 // the same one. It says whether that is news.
-func (t *Task) Accuse(c blame.Crash) bool {
+func (t *Task) AddCrash(c blame.Crash) bool {
 	if i := t.crash(c.Worker, c.Run); i >= 0 && c.Run != 0 {
 		if c.Silent || !t.Crashes[i].Silent {
 			return false
@@ -58,7 +58,7 @@
 		crashes = crashes[1:]
 	}
 	t.setCrashes(crashes)
-	t.Trial = NoTrial
+	t.Isolation = NoIsolation
 	return true
 }
 
@@ -67,13 +67,13 @@
 	return host != "" && slices.ContainsFunc(t.Crashes, func(c blame.Crash) bool { return c.Host == host })
 }
 
-// GuiltyIfSilentCrashed says whether the task is to be given up if the workers that fell silent under it have crashed.
-func (t *Task) GuiltyIfSilentCrashed() bool {
+// PoisonousIfSilentCrashed says whether the task is to be given up if the workers that fell silent under it have crashed.
+func (t *Task) PoisonousIfSilentCrashed() bool {
 	crashes := slices.Clone(t.Crashes)
 	for i := range crashes {
 		crashes[i].Silent = false
 	}
-	return blame.LevelOf(crashes) == blame.Guilty
+	return blame.LevelOf(crashes) == blame.Poisonous
 }
 
 // SilentAt says whether a worker fell silent under a run and is not known to have crashed.
@@ -100,7 +100,7 @@
 		crashes = slices.Delete(crashes, i, i+1)
 	}
 	t.setCrashes(crashes)
-	t.Trial = NoTrial
+	t.Isolation = NoIsolation
 	return true
 }
 
@@ -113,30 +113,30 @@
 		}
 	}
 	t.setCrashes(crashes)
-	t.Trial = NoTrial
+	t.Isolation = NoIsolation
 }
 
-// Clear takes all suspicion off the task.
-func (t *Task) Clear() {
+// Exonerate takes all suspicion off the task.
+func (t *Task) Exonerate() {
 	t.setCrashes(nil)
-	t.Trial = NoTrial
+	t.Isolation = NoIsolation
 }
 
-// TrialNowhere holds against the task that a forerunner may have tried it: no worker lists a run.
-func (t *Task) TrialNowhere(at time.Time) bool {
-	if t.Trial != TrialRecorded || len(t.Runs) > 0 || t.Done {
+// IsolatedRunLost holds against the task that a forerunner may have tried it: no worker lists a run.
+func (t *Task) IsolatedRunLost(at time.Time) bool {
+	if t.Isolation != IsolationRecorded || len(t.Runs) > 0 || t.Done {
 		return false
 	}
-	t.Accuse(blame.Crash{Company: 1, Lives: 1, At: at})
+	t.AddCrash(blame.Crash{Company: 1, Lives: 1, At: at})
 	return true
 }
 
-// TrialsWanted are the tasks that want to be tried alone, once that is recorded.
-func (j *Job) TrialsWanted() []*Task {
+// IsolationsWanted are the tasks that want to be tried alone, once that is recorded.
+func (j *Job) IsolationsWanted() []*Task {
 	var list []*Task
 	for _, u := range j.Units {
 		for _, t := range u.Tasks {
-			if t.Trial == TrialWanted {
+			if t.Isolation == IsolationWanted {
 				list = append(list, t)
 			}
 		}
--- a/pkg/process/workers/health.go
+++ b/pkg/process/workers/health.go
@@ -58,8 +58,8 @@
 	return true
 }
 
-// StoodStill puts the worker aside since a run does not move on there.
-func (h *Health) StoodStill(now time.Time) {
+// Stalled puts the worker aside since a run does not move on there.
+func (h *Health) Stalled(now time.Time) {
 	if !h.aside || !now.Before(h.until) {
 		h.putAside("a run stands still", true, now)
 	}
@@ -79,8 +79,8 @@
 	return was
 }
 
-// Moved takes in that a run moves on.
-func (h *Health) Moved() bool { return h.aside && h.still && h.Worked() }
+// Progressed takes in that a run moves on.
+func (h *Health) Progressed() bool { return h.aside && h.still && h.Worked() }
 
 // TrialGiven takes in that a run was started there.
 func (h *Health) TrialGiven(now time.Time) {
@@ -100,14 +100,14 @@
 	h.failures = nil
 }
 
-// Aside says whether the worker gets no work at present: it is left alone, or
+// Quarantined says whether the worker gets no work at present: it is left alone, or
 // its trial run is out.
-func (h *Health) Aside(now time.Time) bool {
+func (h *Health) Quarantined(now time.Time) bool {
 	if !h.aside {
 		return false
 	}
 	return now.Before(h.until) || (!h.trialAt.IsZero() && now.Sub(h.trialAt) < trialLimit)
 }
 
-// IsAside says whether the worker is put aside or on trial, and why.
-func (h *Health) IsAside() (string, bool) { return h.reason, h.aside }
+// QuarantineReason says whether the worker is put aside or on trial, and why.
+func (h *Health) QuarantineReason() (string, bool) { return h.reason, h.aside }
--- a/pkg/process/workers/lives.go
+++ b/pkg/process/workers/lives.go
@@ -10,15 +10,15 @@
 // knows nothing of before, and its counts and its clock begin anew: whatever is believed of a
 // worker is a belief about one life of it, which Born names.
 
-// OtherLife says whether a row is about another life than the one that is known.
-func (w *Worker) OtherLife(r Record) bool {
+// IsOtherIncarnation says whether a row is about another life than the one that is known.
+func (w *Worker) IsOtherIncarnation(r Record) bool {
 	return r.Born != 0 && w.Born != 0 && r.Born != w.Born
 }
 
-// TakeOtherRow takes in a row of another life. It may be of a later one, or an old row that
+// NoteOtherIncarnation takes in a row of another life. It may be of a later one, or an old row that
 // came late: which one it is, the next answer says. Until then no new work goes there. It
 // says whether the row is news.
-func (w *Worker) TakeOtherRow(now time.Time, r Record) bool {
+func (w *Worker) NoteOtherIncarnation(now time.Time, r Record) bool {
 	if r.Born == w.oldRow {
 		return false
 	}
@@ -31,9 +31,9 @@
 	return news
 }
 
-// LookAnew makes a look due, though one may be out: that one is not waited for, since the life
+// PollNow makes a look due, though one may be out: that one is not waited for, since the life
 // that it was sent to may be over.
-func (w *Worker) LookAnew(now time.Time) { w.Looking, w.LookAt = false, now }
+func (w *Worker) PollNow(now time.Time) { w.PollOutstanding, w.NextPollAt = false, now }
 
 // Unlist takes in that the list of workers does not hold this life.
 func (w *Worker) Unlist(now time.Time) {
@@ -51,10 +51,10 @@
 	w.Unlist(now)
 }
 
-// Left says whether the worker leaves, or answered though its row had gone: such a life ends without
+// LeftOrderly says whether the worker leaves, or answered though its row had gone: such a life ends without
 // a crash. (Where the row goes after it fell silent, that is why.)
-func (w *Worker) Left() bool {
-	return w.Leaving || (!w.RowGoneAt.IsZero() && w.RowGoneAt.Before(w.AnsweredAt))
+func (w *Worker) LeftOrderly() bool {
+	return w.Leaving || (!w.RowGoneAt.IsZero() && w.RowGoneAt.Before(w.LastAnswerAt))
 }
 
 // EndedAt is when a life that is over by now ended at the latest.
@@ -76,25 +76,25 @@
 	}
 }
 
-// InDoubt says whether another life may answer the next look.
-func (w *Worker) InDoubt() bool { return w.next != nil || !w.SilentSince.IsZero() }
+// MayHaveRestarted says whether another life may answer the next look.
+func (w *Worker) MayHaveRestarted() bool { return w.next != nil || !w.SilentSince.IsZero() }
 
-// LookAddress is where to look for the worker: if the life that is known is silent, where the
+// PollAddress is where to look for the worker: if the life that is known is silent, where the
 // next one's row says.
-func (w *Worker) LookAddress() string {
+func (w *Worker) PollAddress() string {
 	if w.next != nil && !w.SilentSince.IsZero() {
 		return w.next.Address
 	}
 	return w.Address
 }
 
-// Begin makes this the worker's next life, which has just answered, and returns the runs of the
+// Restart makes this the worker's next life, which has just answered, and returns the runs of the
 // life before: nothing else that was believed holds.
-func (w *Worker) Begin(now time.Time, born int64) []*jobs.Run {
+func (w *Worker) Restart(now time.Time, born int64) []*jobs.Run {
 	runs := w.Runs
 	begun := Worker{
 		Record:  Record{ID: w.ID, Host: w.Host, Service: w.Service, Address: w.Address, Hall: w.Hall},
-		KnownAt: now, SureFrom: now, LookSentAt: w.LookSentAt, UnlistedAt: now, units: map[*jobs.Unit]int64{},
+		KnownAt: now, UsableFrom: now, PollSentAt: w.PollSentAt, UnlistedAt: now, units: map[*jobs.Unit]int64{},
 	}
 	if w.next != nil && w.next.Born == born {
 		begun.Record, begun.Listed = *w.next, true
--- a/pkg/process/workers/report.go
+++ b/pkg/process/workers/report.go
@@ -16,8 +16,8 @@
 	Address string
 }
 
-// Look asks a worker what runs and what has ended there, and renews its lease.
-type Look struct {
+// Poll asks a worker what runs and what has ended there, and renews its lease.
+type Poll struct {
 	// Fence is the leader's epoch; a worker does nothing for a lower one.
 	Fence int64
 	// Until is the end of the lease by the worker's clock; 0: no renewal.
@@ -96,8 +96,8 @@
 	Ended  []End
 	// Room is what the worker says of its room, where it does.
 	Room *ledger.Size
-	// Odd is how many lines of both lists could not be read.
-	Odd int
+	// UnreadableLines is how many lines of both lists could not be read.
+	UnreadableLines int
 }
 
 // Refusal is why a worker did not do as it was told.
@@ -105,17 +105,17 @@
 
 // The refusals. None means that it did.
 const (
-	RefusedNot       Refusal = ""
-	RefusedFence     Refusal = "fence"     // another leader's epoch is higher
-	RefusedOld       Refusal = "old"       // not above a run that ended there
-	RefusedLate      Refusal = "late"      // the order's limit was over
-	RefusedRoom      Refusal = "room"      // it does not fit
-	RefusedTicket    Refusal = "ticket"    // not allowed there
-	RefusedLife      Refusal = "life"      // a worker of another id lives there
-	RefusedBegun     Refusal = "begun"     // not sent: the worker has started again since
-	RefusedBusy      Refusal = "busy"      // unwell: it has done nothing
-	RefusedMalformed Refusal = "malformed" // it can't read the order
-	RefusedMissing   Refusal = "missing"   // no such run there
+	NotRefused         Refusal = ""
+	RefusedFence       Refusal = "fence"     // another leader's epoch is higher
+	RefusedOld         Refusal = "old"       // not above a run that ended there
+	RefusedLate        Refusal = "late"      // the order's limit was over
+	RefusedRoom        Refusal = "room"      // it does not fit
+	RefusedTicket      Refusal = "ticket"    // not allowed there
+	RefusedIncarnation Refusal = "life"      // a worker of another id lives there
+	RefusedRestarted   Refusal = "begun"     // not sent: the worker has started again since
+	RefusedBusy        Refusal = "busy"      // unwell: it has done nothing
+	RefusedMalformed   Refusal = "malformed" // it can't read the order
+	RefusedMissing     Refusal = "missing"   // no such run there
 )
 
 // Reply is a worker's answer to an order.
@@ -127,7 +127,7 @@
 // Caller carries calls to workers. An error says that nobody knows whether the
 // order was or will be carried out, unless its code is fault.NotRun.
 type Caller interface {
-	Look(ctx context.Context, to Target, l Look) (Report, Refusal, error)
+	Poll(ctx context.Context, to Target, l Poll) (Report, Refusal, error)
 	Start(ctx context.Context, to Target, s Start) (Reply, error)
 	Stop(ctx context.Context, to Target, s Stop) (Reply, error)
 	Pace(ctx context.Context, to Target, p Pace) (Reply, error)
--- a/pkg/process/workers/worker.go
+++ b/pkg/process/workers/worker.go
@@ -52,14 +52,14 @@
 	clockSlack = 20 * time.Millisecond
 )
 
-// Stray is a listed run of a task that is not known, and since when it is listed.
-type Stray struct {
+// OrphanedRun is a listed run of a task that is not known, and since when it is listed.
+type OrphanedRun struct {
 	Active
 	Since time.Time
 }
 
-// HeldEnd is an end of such a task, and when it was listed first.
-type HeldEnd struct {
+// OrphanedEnd is an end of such a task, and when it was listed first.
+type OrphanedEnd struct {
 	End
 	At time.Time
 }
@@ -69,9 +69,9 @@
 	Record
 	// KnownAt is when this leader first came to know of this life.
 	KnownAt time.Time
-	// SureFrom is since when this leader must be known to have led, for new work to go there;
+	// UsableFrom is since when this leader must be known to have led, for new work to go there;
 	// zero: any time.
-	SureFrom time.Time
+	UsableFrom time.Time
 	// Listed says that the list of workers still holds it.
 	Listed     bool
 	UnlistedAt time.Time
@@ -81,37 +81,37 @@
 	LeavingAt time.Time
 	// Runs are those that may be running there.
 	Runs []*jobs.Run
-	// Heard says that it has answered since this leader came to lead.
-	Heard bool
-	// HeardAt is since when.
-	HeardAt time.Time
-	// AnsweredAt is when its last answer came, SilentSince when calls began to
+	// HasAnswered says that it has answered since this leader came to lead.
+	HasAnswered bool
+	// FirstAnswerAt is since when.
+	FirstAnswerAt time.Time
+	// LastAnswerAt is when its last answer came, SilentSince when calls began to
 	// fail; zero while they don't.
-	AnsweredAt  time.Time
-	SilentSince time.Time
+	LastAnswerAt time.Time
+	SilentSince  time.Time
 	// Failures is how many looks in a row have failed.
 	Failures int
-	// LookSentAt is when the last look was sent; Looking while it is out.
-	LookSentAt time.Time
-	Looking    bool
-	LookAt     time.Time
-	// Seen is the newest end that was taken in, and Recorded the newest that is
+	// PollSentAt is when the last look was sent; Looking while it is out.
+	PollSentAt      time.Time
+	PollOutstanding bool
+	NextPollAt      time.Time
+	// LastEnd is the newest end that was taken in, and Recorded the newest that is
 	// durable.
-	Seen, Recorded int64
-	Health         Health
-	// Strays are the runs that it last listed of tasks that are not known, by task; NewStrays
+	LastEnd, LastRecordedEnd int64
+	Health                   Health
+	// OrphanedRuns are the runs that it last listed of tasks that are not known, by task; NewStrays
 	// those of the list that is being taken in. HeldEnds are ends of such tasks.
-	Strays, NewStrays map[string]Stray
-	HeldEnds          []HeldEnd
-	// Dropped says that the cell's membership no longer names this incarnation: it takes no new work
+	OrphanedRuns, NewOrphanedRuns map[string]OrphanedRun
+	OrphanedEnds                  []OrphanedEnd
+	// DroppedFromMembership says that the cell's membership no longer names this incarnation: it takes no new work
 	// and holds nothing.
-	Dropped bool
+	DroppedFromMembership bool
 	// RunsKnown says that no more runs are ordered there, and that MayRun names each task that may have a run there or
 	// an end that is not recorded, as of this leader or the ones before.
 	RunsKnown bool
 	MayRun    []string
-	// Odd is how many lines of its last lists could not be read.
-	Odd int
+	// UnreadableLines is how many lines of its last lists could not be read.
+	UnreadableLines int
 	// NoFillersUntil is until when no filler may join: those that are there have
 	// just been cut.
 	NoFillersUntil time.Time
@@ -248,9 +248,9 @@
 // Lasting is the room that lasting tasks have reserved.
 func (w *Worker) Lasting() ledger.Size { return w.lasting }
 
-// SetForeign sets the room taken by runs that belong to no job of this cell:
+// SetForeignSize sets the room taken by runs that belong to no job of this cell:
 // listed by the worker, and being stopped.
-func (w *Worker) SetForeign(size ledger.Size) { w.foreign = size }
+func (w *Worker) SetForeignSize(size ledger.Size) { w.foreign = size }
 
 // Free is the room that is not reserved. A filler's processors aren't counted.
 func (w *Worker) Free() ledger.Size { return w.Capacity.Minus(w.foreign).Minus(w.taken) }
@@ -272,22 +272,22 @@
 // those is a latency). 0.5: half of what is reserved, as for most services.
 const servingLoad = 0.5
 
-// HoldsNothing says whether this incarnation surely holds no run and lists no end that is not taken
+// Empty says whether this incarnation surely holds no run and lists no end that is not taken
 // in, as long as nothing more is started there.
-func (w *Worker) HoldsNothing() bool { return len(w.Runs) == 0 && w.HoldsNoOthers() }
+func (w *Worker) Empty() bool { return len(w.Runs) == 0 && w.OnlyKnownRuns() }
 
-// HoldsNoOthers says whether this incarnation surely holds no runs but Runs, and lists no end that is not taken in,
+// OnlyKnownRuns says whether this incarnation surely holds no runs but Runs, and lists no end that is not taken in,
 // as long as nothing more is started there.
-func (w *Worker) HoldsNoOthers() bool {
-	return w.Heard && w.next == nil && w.Odd == 0 && len(w.Strays) == 0 && len(w.HeldEnds) == 0 && w.foreign == ledger.Size{}
+func (w *Worker) OnlyKnownRuns() bool {
+	return w.HasAnswered && w.next == nil && w.UnreadableLines == 0 && len(w.OrphanedRuns) == 0 && len(w.OrphanedEnds) == 0 && w.foreign == ledger.Size{}
 }
 
 // Unused estimates the processors that fillers could take, after what those
 // that are there ask for.
 func (w *Worker) Unused() int64 { return w.Capacity.Millicores - w.asked }
 
-// FillersAsk is the processors that the fillers there ask for.
-func (w *Worker) FillersAsk() int64 { return w.fillersAsk }
+// FillersRequested is the processors that the fillers there ask for.
+func (w *Worker) FillersRequested() int64 { return w.fillersAsk }
 
 // Serving says whether a task runs there whose users' latency has a target.
 func (w *Worker) Serving() bool { return w.serving > 0 }
@@ -298,8 +298,8 @@
 // Usable says whether new work may go there: listed, not leaving, heard within
 // the given span, not put aside.
 func (w *Worker) Usable(now time.Time, span time.Duration) bool {
-	if w.Gone || !w.Listed || !w.Ready || w.Leaving || !w.Heard || !w.Clocked() {
+	if w.Gone || !w.Listed || !w.Ready || w.Leaving || !w.HasAnswered || !w.Clocked() {
 		return false
 	}
-	return now.Sub(w.AnsweredAt) <= span && w.SilentSince.IsZero()
+	return now.Sub(w.LastAnswerAt) <= span && w.SilentSince.IsZero()
 }
