--- a/pkg/cli/fleet_status_test.go
+++ b/pkg/cli/fleet_status_test.go
@@ -12,9 +12,9 @@
 	"github.com/shoenig/test/must"
 
 	"github.com/wrenferry/wrenferry/pkg/cli"
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 	"github.com/wrenferry/wrenferry/pkg/process/fleet"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 )
 
 // statusHost answers as a host does that leads one cell.
@@ -70,7 +70,7 @@
 			*cleared = append(*cleared, r.URL.Path)
 		case r.Method == http.MethodGet && r.URL.Path == "/suspects":
 			_ = json.NewEncoder(w).Encode(map[string][]cell.Suspect{"hall-a": {{
-				Task: "ab.0.0.1", Level: "on trial", Crashes: []blame.Crash{
+				Task: "ab.0.0.1", Level: "on trial", Crashes: []poisontask.Crash{
 					{Worker: "w1", Run: 7, Age: 10 * time.Millisecond, Company: 4}, {Worker: "w2", Run: 9, Outside: true, Lives: 5},
 				},
 			}}})
--- a/pkg/cli/fleet_suspects.go
+++ b/pkg/cli/fleet_suspects.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"github.com/wrenferry/wrenferry/pkg/fault"
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 )
 
 var fleetSuspects = verb{
@@ -68,7 +68,7 @@
 }
 
 // otherCause is what speaks for another cause than the task.
-func otherCause(c blame.Crash) string {
+func otherCause(c poisontask.Crash) string {
 	switch {
 	case c.Run == 0:
 		return "nobody saw whether it ran"
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -37,7 +37,7 @@
 	}
 	other := regexp.MustCompile(`\btime\.(Now|Since|Until)\b`)
 	for _, folder := range []string{
-		"pkg/process/fleet", "pkg/process/cell", "pkg/process/election", "pkg/process/jobs", "pkg/process/workers", "pkg/process/blame",
+		"pkg/process/fleet", "pkg/process/cell", "pkg/process/election", "pkg/process/jobs", "pkg/process/workers", "pkg/process/poisontask",
 		"pkg/process/flow", "pkg/request/cellchoice", "pkg/process/runtimes", "pkg/process/interference", "pkg/connection/store", "pkg/request/intake", "platform",
 	} {
 		files, err := filepath.Glob(filepath.Join("..", "..", folder, "*.go"))
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -6,14 +6,14 @@
 	"strings"
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
 // Crash evidence. When a worker incarnation ends without a stop or a leave, that is evidence against the tasks
-// that ran there. The package blame weighs it; suspects are then placed so that one more crash identifies
+// that ran there. The package poisontask weighs it; suspects are then placed so that one more crash identifies
 // the task. The record of a task's job holds the evidence, so that it survives this leader.
 // A worker that was leaving, or whose row was gone, before it went silent gives no evidence. A silent
 // worker has crashed or is cut off: its evidence is withdrawn if the same incarnation answers again.
@@ -152,9 +152,9 @@
 		return
 	}
 	lives, isolated := s.simultaneousSilences(w, at)
-	ended := blame.EndedIncarnation{Worker: w.ID, Host: w.Host, Born: w.Born, Silent: silent, TimedOut: foundByTimeout(w), Lives: lives, OthersIsolated: isolated, Workers: len(s.workers), At: s.wall.Add(-now.Sub(at))}
+	ended := poisontask.EndedIncarnation{Worker: w.ID, Host: w.Host, Born: w.Born, Silent: silent, TimedOut: foundByTimeout(w), Lives: lives, OthersIsolated: isolated, Workers: len(s.workers), At: s.wall.Add(-now.Sub(at))}
 	for _, r := range w.Runs {
-		ended.Runs = append(ended.Runs, blame.EndedRun{Run: r.Number, Began: !r.BeganAt.IsZero(), Age: minRunAge(w, r), HostCrashedWithout: s.hostCrashedWithout(now, w, r.Task), CrashesWithout: s.crashesWithout(now, r.Task), Gang: gangOf(r), Isolated: r.Isolated})
+		ended.Runs = append(ended.Runs, poisontask.EndedRun{Run: r.Number, Began: !r.BeganAt.IsZero(), Age: minRunAge(w, r), HostCrashedWithout: s.hostCrashedWithout(now, w, r.Task), CrashesWithout: s.crashesWithout(now, r.Task), Gang: gangOf(r), Isolated: r.Isolated})
 	}
 	if !silent {
 		s.addHostCrash(now, w)
@@ -185,7 +185,7 @@
 }
 
 // addEvidence adds a crash to the evidence against a task and acts on it.
-func (s *State) addEvidence(now time.Time, t *jobs.Task, c blame.Crash) {
+func (s *State) addEvidence(now time.Time, t *jobs.Task, c poisontask.Crash) {
 	if t.Done || t.Unit.Job.Ended() || !t.AddCrash(c) {
 		return
 	}
@@ -214,20 +214,20 @@
 
 // evidenceChanged acts on new evidence against a task: it has the evidence recorded, logs the suspicion, and fails
 // the job of a poisonous task.
-func (s *State) evidenceChanged(now time.Time, t *jobs.Task, c blame.Crash) {
+func (s *State) evidenceChanged(now time.Time, t *jobs.Task, c poisontask.Crash) {
 	j := t.Unit.Job
 	level := t.Level()
-	if level == blame.Suspected {
+	if level == poisontask.Suspected {
 		t.Isolation = jobs.IsolationWanted // recorded along with the evidence, so that the next start waits for no record of its own
 	}
 	s.markDirty(j, true)
-	if level >= blame.Suspected {
+	if level >= poisontask.Suspected {
 		s.note(Note{
 			Kind: NoteSuspected, Job: j.Spec.GetId(), Task: t.Name(), Run: c.Run, Worker: c.Worker, AgeMs: -1,
 			Detail: fmt.Sprintf("%s after %d crashes; last run age %s, company of %d runs, worker only silent: %v, external cause likely: %v", level, len(t.Crashes), c.Age.Round(time.Millisecond), c.Company, c.Silent, c.Outside),
 		})
 	}
-	if level == blame.Poisonous {
+	if level == poisontask.Poisonous {
 		s.endJob(now, j, wire.JobPhase_JOB_PHASE_FAILED, poisonousReason(t))
 	}
 }
@@ -298,7 +298,7 @@
 }
 
 // trackSilentRun tracks a run on a silent worker until it is known whether the worker crashed.
-func (s *State) trackSilentRun(now, since time.Time, t *jobs.Task, c blame.Crash) {
+func (s *State) trackSilentRun(now, since time.Time, t *jobs.Task, c poisontask.Crash) {
 	if c.Silent {
 		s.silentRuns = append(s.silentRuns, silentRun{task: t, run: c.Run, worker: c.Worker, host: c.Host, born: c.Born, at: now, since: since})
 	}
@@ -337,7 +337,7 @@
 			if w == nil || w.Gone || !w.SilentSince.IsZero() || r.State != jobs.Running {
 				continue
 			}
-			if blame.Exonerates(t.Crashes, minRunAge(w, r)) {
+			if poisontask.Exonerates(t.Crashes, minRunAge(w, r)) {
 				s.exonerate(w, r)
 			}
 		}
@@ -348,7 +348,7 @@
 // had lasted for long enough.
 func (s *State) endedWithoutCrash(w *workers.Worker, t *jobs.Task, r *jobs.Run) {
 	t.Isolation = jobs.NoIsolation // an isolated run has ended as well
-	if r != nil && !r.BeganAt.IsZero() && len(t.Crashes) > 0 && blame.EndExonerates(t.Crashes, minRunAge(w, r)) {
+	if r != nil && !r.BeganAt.IsZero() && len(t.Crashes) > 0 && poisontask.EndExonerates(t.Crashes, minRunAge(w, r)) {
 		s.exonerate(w, r)
 	}
 }
@@ -367,7 +367,7 @@
 
 // noteCrash logs the end or silence of an incarnation: its runs with their ages, and how many workers went
 // silent at the same time.
-func (s *State) noteCrash(now time.Time, w *workers.Worker, at time.Time, ended blame.EndedIncarnation) {
+func (s *State) noteCrash(now time.Time, w *workers.Worker, at time.Time, ended poisontask.EndedIncarnation) {
 	var runs []string
 	for _, r := range w.Runs {
 		if len(runs) == maxLoggedRuns {
--- a/pkg/process/cell/lend.go
+++ b/pkg/process/cell/lend.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
@@ -110,7 +110,7 @@
 			switch {
 			case u.Job.Delegated() && now.Sub(waitingHereSince(t)) >= returnAfter:
 				s.returnTask(now, t)
-			case s.awaitsCrashOutcome(now, t) && t.Level() >= blame.NeedsIsolation:
+			case s.awaitsCrashOutcome(now, t) && t.Level() >= poisontask.NeedsIsolation:
 				// The task may be given up once it is known whether its silent worker crashed.
 			case !u.Job.Delegated() && waited >= delegateAfter && now.Sub(waitingHereSince(t)) >= ownCellGrace:
 				s.delegateTask(now, t)
--- a/pkg/process/cell/suspects.go
+++ b/pkg/process/cell/suspects.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 )
 
 // How operators list the implicated tasks, those with crash evidence against them, and drop that evidence.
@@ -15,7 +15,7 @@
 type Suspect struct {
 	Task    string
 	Level   string
-	Crashes []blame.Crash
+	Crashes []poisontask.Crash
 }
 
 // ClearSuspicion is an operator's request to drop all evidence against a task.
--- a/pkg/process/cell/trials.go
+++ b/pkg/process/cell/trials.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
@@ -20,7 +20,7 @@
 	// makes up for it.
 	otherSuspectPenalty = 5.0
 	// maxReservation is how long a worker may stay reserved for an isolated run before another worker is
-	// considered. Each run at the worker has to be 1.3 s old first (see blame.Settled).
+	// considered. Each run at the worker has to be 1.3 s old first (see poisontask.Settled).
 	maxReservation = 4 * time.Second
 )
 
@@ -118,7 +118,7 @@
 	if _, reserved := s.isolationReservations[t]; reserved {
 		inUse--
 	}
-	return inUse < blame.MaxIsolatedRuns(len(s.workers)) && !s.awaitsCrashOutcome(now, t) && s.isQuiet(now, t)
+	return inUse < poisontask.MaxIsolatedRuns(len(s.workers)) && !s.awaitsCrashOutcome(now, t) && s.isQuiet(now, t)
 }
 
 // isQuiet reports whether a crash of an isolated run would be evidence against its task because no other workers
@@ -126,20 +126,20 @@
 // one that ends later.
 func (s *State) isQuiet(now time.Time, t *jobs.Task) bool {
 	quietFor, maxWait := quietBeforeIsolated, maxQuietWait
-	decides := blame.PoisonousAfterNextCrash(t.Crashes)
+	decides := poisontask.PoisonousAfterNextCrash(t.Crashes)
 	if decides {
 		quietFor, maxWait = quietBeforeDecisive, maxQuietWaitDecisive
 	}
 	quiet := len(s.silences) == 0 || now.Sub(s.silences[len(s.silences)-1].before) >= quietFor
 	if decides {
-		quiet = quiet && s.crashesWithout(now, t) < blame.CommonCrashThreshold(len(s.workers))
+		quiet = quiet && s.crashesWithout(now, t) < poisontask.CommonCrashThreshold(len(s.workers))
 	}
 	return quiet || currentWait(now, t) >= maxWait
 }
 
 // needsIsolation reports whether a task may start only in an isolated run, where one more crash would identify it.
 func (s *State) needsIsolation(t *jobs.Task) bool {
-	return t.Level() == blame.NeedsIsolation && !s.tooWideToIsolate(t.Unit) && !t.IsolationWaived
+	return t.Level() == poisontask.NeedsIsolation && !s.tooWideToIsolate(t.Unit) && !t.IsolationWaived
 }
 
 // maxIsolatedWait is how long a lasting task waits for an isolated run: a poisonous task is identified without one,
@@ -150,7 +150,7 @@
 func (s *State) waiveIsolation(now time.Time) {
 	for _, t := range s.implicated {
 		switch {
-		case !t.Unit.Lasting() || t.Level() != blame.NeedsIsolation || !t.Waiting(now) || s.awaitsCrashOutcome(now, t):
+		case !t.Unit.Lasting() || t.Level() != poisontask.NeedsIsolation || !t.Waiting(now) || s.awaitsCrashOutcome(now, t):
 			t.IsolationWaived, t.IsolatedSince = false, time.Time{}
 		case t.IsolatedSince.IsZero():
 			t.IsolatedSince = now
@@ -164,7 +164,7 @@
 // members start together or not at all, so they would wait for isolated runs without end: they start as
 // suspects do.
 func (s *State) tooWideToIsolate(u *jobs.Unit) bool {
-	return u.Spec.GetGang() && len(u.Tasks) > blame.MaxIsolatedRuns(len(s.workers))
+	return u.Spec.GetGang() && len(u.Tasks) > poisontask.MaxIsolatedRuns(len(s.workers))
 }
 
 // mayIsolateGang reports whether all members of a gang that need isolated runs can have them at the same time. Two
@@ -181,7 +181,7 @@
 			wanted++
 		}
 	}
-	return wanted == 0 || wanted+others <= blame.MaxIsolatedRuns(len(s.workers))
+	return wanted == 0 || wanted+others <= poisontask.MaxIsolatedRuns(len(s.workers))
 }
 
 // chooseForIsolatedRun returns the worker for an isolated run of a task, or nil if none can start yet. It reserves the
@@ -259,9 +259,9 @@
 // otherHostWait returns how long a task waits for a host that has not crashed under it.
 func otherHostWait(t *jobs.Task) time.Duration {
 	switch t.Level() {
-	case blame.NeedsIsolation:
+	case poisontask.NeedsIsolation:
 		return isolatedOtherHostWait
-	case blame.Suspected:
+	case poisontask.Suspected:
 		return suspectOtherHostWait
 	default:
 		return trustedOtherHostWait
@@ -279,7 +279,7 @@
 // knows of it. The record was requested when the evidence was added. If the table does not answer, the suspect
 // waits for maxRecordWait at most.
 func (s *State) awaitsEvidenceRecord(now time.Time, t *jobs.Task) bool {
-	return t.Level() == blame.Suspected && t.Isolation == jobs.IsolationWanted && currentWait(now, t) < maxRecordWait
+	return t.Level() == poisontask.Suspected && t.Isolation == jobs.IsolationWanted && currentWait(now, t) < maxRecordWait
 }
 
 // isolatedScore ranks workers for an isolated run of a task. It prefers hosts that have not crashed under the task,
@@ -296,7 +296,7 @@
 // allLongRunning reports whether every run at a worker is too old to count as company of a run that starts now.
 func allLongRunning(w *workers.Worker) bool {
 	for _, r := range w.Runs {
-		if !blame.LongRunning(minRunAge(w, r)) {
+		if !poisontask.LongRunning(minRunAge(w, r)) {
 			return false
 		}
 	}
--- a/pkg/process/cell/unseen.go
+++ b/pkg/process/cell/unseen.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
@@ -80,7 +80,7 @@
 
 // crashIndex returns the index of the end of a worker's incarnation in the evidence against a task, or -1.
 func crashIndex(t *jobs.Task, worker string, born int64) int {
-	return slices.IndexFunc(t.Crashes, func(c blame.Crash) bool { return c.Worker == worker && c.Born == born })
+	return slices.IndexFunc(t.Crashes, func(c poisontask.Crash) bool { return c.Worker == worker && c.Born == born })
 }
 
 // addUnobservedEvidence adds unobserved crashes to the evidence against tasks without a known run, given as nowhere. Each task
@@ -104,7 +104,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(mayHaveRun)) {
 		for _, t := range mayHaveRun[id] {
-			c := blame.UnobservedCrash(id, s.retainedMembers[id].GetBorn(), len(mayHaveRun[id])-1, len(ended), s.wall)
+			c := poisontask.UnobservedCrash(id, s.retainedMembers[id].GetBorn(), len(mayHaveRun[id])-1, len(ended), s.wall)
 			s.addUnobservedCrash(now, t, c)
 		}
 	}
@@ -138,13 +138,13 @@
 		if t.Done || t.Unit.Job.Ended() || s.unobservedEvidence[t] || crashIndex(t, id, u.entry.GetBorn()) >= 0 || s.unsafe.NoBlame || s.unsafe.NoUnseen {
 			continue
 		}
-		s.addUnobservedCrash(now, t, blame.UnobservedCrash(id, u.entry.GetBorn(), len(u.tasks)-1, 1, s.wall))
+		s.addUnobservedCrash(now, t, poisontask.UnobservedCrash(id, u.entry.GetBorn(), len(u.tasks)-1, 1, s.wall))
 	}
 }
 
 // addUnobservedCrash adds an unobserved crash to the evidence against a task. unheardEnded adds no second one under the same
 // leader, because the task can have run at only one of the unreached members.
-func (s *State) addUnobservedCrash(now time.Time, t *jobs.Task, c blame.Crash) {
+func (s *State) addUnobservedCrash(now time.Time, t *jobs.Task, c poisontask.Crash) {
 	if t.AddCrash(c) {
 		s.unobservedEvidence[t] = true
 		s.trackImplicated(t)
--- a/pkg/process/cell/unseen_test.go
+++ b/pkg/process/cell/unseen_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 
 	"github.com/wrenferry/wrenferry/pkg/fault"
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 	"github.com/wrenferry/wrenferry/pkg/process/ledger"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 	"github.com/wrenferry/wrenferry/pkg/rows"
 	"github.com/wrenferry/wrenferry/pkg/table"
@@ -82,7 +82,7 @@
 	for _, s := range suspects {
 		must.Len(t, 1, s.Crashes)
 		must.True(t, s.Crashes[0].Unseen)
-		must.Eq(t, blame.Trusted.String(), s.Level)
+		must.Eq(t, poisontask.Trusted.String(), s.Level)
 	}
 }
 
@@ -161,7 +161,7 @@
 }
 
 // evidence returns the crash evidence against the only task of a job.
-func (f *crashFleet) evidence(job string) []blame.Crash {
+func (f *crashFleet) evidence(job string) []poisontask.Crash {
 	for _, s := range f.state.Suspects() {
 		if s.Task == job+".0.0.0" {
 			return s.Crashes
@@ -205,12 +205,12 @@
 	f.crashAfter[id+".0.0.0"] = 20 * time.Millisecond
 	for range 1000 {
 		f.run(crashStep)
-		if evidence := f.evidence(id); len(evidence) == 2 && blame.LevelOf(evidence) == blame.NeedsIsolation {
+		if evidence := f.evidence(id); len(evidence) == 2 && poisontask.LevelOf(evidence) == poisontask.NeedsIsolation {
 			break
 		}
 	}
 	before := f.evidence(id)
-	must.Eq(t, blame.NeedsIsolation, blame.LevelOf(before))
+	must.Eq(t, poisontask.NeedsIsolation, poisontask.LevelOf(before))
 	f.run(100 * time.Millisecond) // until the second crash is recorded, and before the isolated run
 	must.Len(t, 2, f.starts[id+".0.0.0"])
 	f.newLeader()
--- a/pkg/process/cell/waits.go
+++ b/pkg/process/cell/waits.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
@@ -108,7 +108,7 @@
 		return WaitUnsettled, fits.free
 	case now.Before(t.RetryAt):
 		return WaitRefused, fits.free
-	case s.awaitsCrashOutcome(now, t) && t.Level() >= blame.NeedsIsolation:
+	case s.awaitsCrashOutcome(now, t) && t.Level() >= poisontask.NeedsIsolation:
 		return WaitCrashUnknown, fits.free
 	case s.awaitsEvidenceRecord(now, t):
 		return WaitCrashUnrecorded, fits.free
--- a/pkg/process/jobs/job.go
+++ b/pkg/process/jobs/job.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
 	"github.com/wrenferry/wrenferry/pkg/process/ledger"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
@@ -86,9 +86,9 @@
 	FailedElsewhere int
 	// Crashes are held against the task: workers crashed under it. Trial is how far the record is
 	// that it may be tried alone.
-	Crashes   []blame.Crash
+	Crashes   []poisontask.Crash
 	Isolation IsolationState
-	level     blame.Level
+	level     poisontask.Level
 	// IsolationWaived says that its next run need not be isolated, though it is to be tried; IsolatedSince is since when
 	// it has waited for one that is.
 	IsolationWaived bool
--- a/pkg/process/jobs/progress.go
+++ b/pkg/process/jobs/progress.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
@@ -95,7 +95,7 @@
 		lentAgain := j.Delegated() && t.Delegations > n.GetLending() // after the note was made
 		if !lentAgain {
 			t.setCrashes(crashesOf(n.GetCrashes()))
-			t.IsolatedBefore = t.Level() == blame.NeedsIsolation && !u.Spec.GetGang() && !u.Lasting()
+			t.IsolatedBefore = t.Level() == poisontask.NeedsIsolation && !u.Spec.GetGang() && !u.Lasting()
 			t.Isolation = NoIsolation
 			if n.GetTrial() {
 				t.Isolation = IsolationRecorded
--- a/pkg/process/jobs/suspicion.go
+++ b/pkg/process/jobs/suspicion.go
@@ -4,11 +4,11 @@
 	"slices"
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/process/blame"
+	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// What crashes of workers say of a task: see the package blame.
+// What crashes of workers say of a task: see the package poisontask.
 
 // IsolationState is how far the record is that a task may be tried alone. It must stand before the run is
 // ordered, and is made when there is a worker for it: a successor that finds the run nowhere then knows
@@ -26,13 +26,13 @@
 const maxCrashes = 6
 
 // Level is how much the task is suspected of crashing workers.
-func (t *Task) Level() blame.Level { return t.level }
+func (t *Task) Level() poisontask.Level { return t.level }
 
 // setCrashes changes what is held against the task, and works out how much it is suspected: that is asked at
 // each placing.
-func (t *Task) setCrashes(crashes []blame.Crash) {
-	t.Crashes, t.level = crashes, blame.LevelOf(crashes)
-	t.crashedSomewhere = slices.ContainsFunc(crashes, func(c blame.Crash) bool { return c.Host != "" })
+func (t *Task) setCrashes(crashes []poisontask.Crash) {
+	t.Crashes, t.level = crashes, poisontask.LevelOf(crashes)
+	t.crashedSomewhere = slices.ContainsFunc(crashes, func(c poisontask.Crash) bool { return c.Host != "" })
 }
 
 // NeedsSpecificWorker says whether not every worker with room will do: the task waits for one by itself, and others of its
@@ -40,11 +40,11 @@
 func (t *Task) NeedsSpecificWorker() bool { return t.crashedSomewhere || t.Suspected() }
 
 // Suspected says whether the task is suspected at all.
-func (t *Task) Suspected() bool { return t.Level() >= blame.Suspected }
+func (t *Task) Suspected() bool { return t.Level() >= poisontask.Suspected }
 
 // AddCrash holds a crash against the task. What was held against it when the worker fell silent is
 // the same one. It says whether that is news.
-func (t *Task) AddCrash(c blame.Crash) bool {
+func (t *Task) AddCrash(c poisontask.Crash) bool {
 	if i := t.crash(c.Worker, c.Run); i >= 0 && c.Run != 0 {
 		if c.Silent || !t.Crashes[i].Silent {
 			return false
@@ -64,7 +64,7 @@
 
 // CrashedAt says whether a crash at a host is held against the task.
 func (t *Task) CrashedAt(host string) bool {
-	return host != "" && slices.ContainsFunc(t.Crashes, func(c blame.Crash) bool { return c.Host == host })
+	return host != "" && slices.ContainsFunc(t.Crashes, func(c poisontask.Crash) bool { return c.Host == host })
 }
 
 // PoisonousIfSilentCrashed says whether the task is to be given up if the workers that fell silent under it have crashed.
@@ -73,7 +73,7 @@
 	for i := range crashes {
 		crashes[i].Silent = false
 	}
-	return blame.LevelOf(crashes) == blame.Poisonous
+	return poisontask.LevelOf(crashes) == poisontask.Poisonous
 }
 
 // SilentAt says whether a worker fell silent under a run and is not known to have crashed.
@@ -83,7 +83,7 @@
 }
 
 func (t *Task) crash(worker string, run int64) int {
-	return slices.IndexFunc(t.Crashes, func(c blame.Crash) bool { return c.Worker == worker && c.Run == run })
+	return slices.IndexFunc(t.Crashes, func(c poisontask.Crash) bool { return c.Worker == worker && c.Run == run })
 }
 
 // Resolve takes in whether a worker that had fallen silent under a run has crashed, or was only cut
@@ -106,7 +106,7 @@
 
 // takeBackCrashes takes over what is held against the task where it was lent to. What has come to be
 // known here of workers that had fallen silent before, that cell could not learn.
-func (t *Task) takeBackCrashes(crashes []blame.Crash) {
+func (t *Task) takeBackCrashes(crashes []poisontask.Crash) {
 	for i, c := range crashes {
 		if j := t.crash(c.Worker, c.Run); j >= 0 && !t.Crashes[j].Silent {
 			crashes[i].Silent = false
@@ -127,7 +127,7 @@
 	if t.Isolation != IsolationRecorded || len(t.Runs) > 0 || t.Done {
 		return false
 	}
-	t.AddCrash(blame.Crash{Company: 1, Lives: 1, At: at})
+	t.AddCrash(poisontask.Crash{Company: 1, Lives: 1, At: at})
 	return true
 }
 
@@ -144,7 +144,7 @@
 	return list
 }
 
-func crashNotes(crashes []blame.Crash) []*wire.CrashNote {
+func crashNotes(crashes []poisontask.Crash) []*wire.CrashNote {
 	var list []*wire.CrashNote
 	for _, c := range crashes {
 		list = append(list, &wire.CrashNote{
@@ -155,10 +155,10 @@
 	return list
 }
 
-func crashesOf(notes []*wire.CrashNote) []blame.Crash {
-	var list []blame.Crash
+func crashesOf(notes []*wire.CrashNote) []poisontask.Crash {
+	var list []poisontask.Crash
 	for _, n := range notes {
-		list = append(list, blame.Crash{
+		list = append(list, poisontask.Crash{
 			Worker: n.GetWorker(), Run: n.GetRun(), Age: time.Duration(n.GetAgeMs()) * time.Millisecond, Company: int(n.GetCompany()), Excused: n.GetExcused(),
 			Lives: int(n.GetLives()), Outside: n.GetOutside(), Silent: n.GetSilent(), At: time.UnixMilli(n.GetUnixMs()), Born: n.GetBorn(), Host: n.GetHost(), Began: n.GetBegan(), Again: n.GetAgain(), Unseen: n.GetUnseen(), Accused: int(n.GetAccused()),
 		})
--- a/pkg/process/blame/accuse.go
+++ b/pkg/process/poisontask/evidence.go
@@ -1,4 +1,4 @@
-package blame
+package poisontask
 
 import "time"
 
--- a/pkg/process/blame/blame.go
+++ b/pkg/process/poisontask/poisontask.go
@@ -1,4 +1,4 @@
-// Package blame decides which task causes worker crashes.
+// Package poisontask decides which task causes worker crashes.
 //
 // A task may crash each worker that starts it. The tasks beside it are lost with the worker and may
 // start again beside it, so a mere count of crashes would condemn these neighbours, too. Run ages tell
@@ -10,7 +10,7 @@
 //	a run that goes on                      -> Outlived: whether it exonerates its task
 //
 // The package knows no jobs and no workers; times are arguments.
-package blame
+package poisontask
 
 import (
 	"slices"
--- a/test/tree/heads_test.go
+++ b/test/tree/heads_test.go
@@ -12,9 +12,9 @@
 // longHeadsAllowed are the files whose package heads are too long. One that is short now has
 // to leave the table.
 var longHeadsAllowed = map[string]bool{
-	"pkg/emulator/emulator.go":   true,
-	"pkg/process/blame/blame.go": true,
-	"pkg/process/cell/state.go":  true,
+	"pkg/emulator/emulator.go":             true,
+	"pkg/process/poisontask/poisontask.go": true,
+	"pkg/process/cell/state.go":            true,
 }
 
 func TestPackageHeadsAreShort(t *testing.T) {
