--- a/pkg/process/jobs/job.go
+++ b/pkg/process/jobs/job.go
@@ -1,11 +1,9 @@
-// Package jobs answers one question: which tasks of which jobs may start now?
+// Package jobs keeps the accepted jobs of a cell and decides which of their tasks may start now.
 //
-// A job has steps, a step has tasks that are alike. A step waits for the steps
-// that it comes after; a job that repeats runs its steps once for each of its
-// times. A step at one time is a Unit here. Nothing in this package knows
-// workers or makes calls; times are arguments. Data flows one way: a
-// specification and, after a takeover, recorded progress come in; ends of runs
-// change tasks; the progress to record goes out.
+// A job has steps, and a step has identical tasks. A step waits until the steps that it depends on are done. A job
+// that repeats runs its steps once per repetition. A Unit is one step in one repetition. The package knows no
+// workers and makes no calls. Times are arguments. Data flows one way: specifications come in, and recorded
+// progress after a takeover; ends of runs change tasks; the progress to record goes out.
 package jobs
 
 import (
@@ -17,35 +15,36 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Job is one accepted job. It belongs to one thread.
+// Job is one accepted job. It is not safe for concurrent use.
 type Job struct {
 	Spec *wire.JobSpec
-	// Phase is what callers are told once the record that says so is durable.
+	// Phase is the job's current phase. Callers are told of it once a progress row with this phase is durable.
 	Phase wire.JobPhase
-	// Recorded is the version of the progress row; 0 before the first.
+	// Recorded is the version of the job's progress row, 0 before the first.
 	Recorded int64
-	// Durable is the phase that the progress row holds.
+	// Durable is the phase in the progress row.
 	Durable wire.JobPhase
-	// AcceptedAt is the local reading of the steady clock when it was accepted.
+	// AcceptedAt is the local monotonic time at which the job was accepted.
 	AcceptedAt time.Time
-	// EndedAt is when its last phase was decided.
+	// EndedAt is the time at which the job's final phase was decided.
 	EndedAt time.Time
 	Reason  string
-	// Begun says that a task has started at some time.
+	// Begun is true once any task of the job has started.
 	Begun bool
-	// CancelRequested says that its caller has asked for its end: rows of that stand in the table.
+	// CancelRequested is true once the caller has requested a cancel. The rows of that request are in the table.
 	CancelRequested bool
 	Units           []*Unit
 
 	times int
-	// targetCells are the cells that have had tasks of the job.
+	// targetCells are the cells that have had delegated tasks of the job.
 	targetCells map[string]bool
-	// chains are the longest chains of estimated work from each step on, as of chainsAt.
+	// chains holds, per step, the longest chain of estimated work that begins with the step. The estimates are of
+	// the time chainsAt.
 	chains   []time.Duration
 	chainsAt time.Time
 }
 
-// Unit is one step at one of the job's times.
+// Unit is one step in one of the job's repetitions.
 type Unit struct {
 	Job   *Job
 	Time  int
@@ -53,78 +52,80 @@
 	Spec  *wire.StepSpec
 	Tasks []*Task
 	Size  ledger.Size
-	// FailedAt are workers where runs of the unit failed. Failures at several of
-	// them speak against the unit, not the workers.
+	// FailedAt are the workers at which runs of the unit failed. Failures at several workers count as evidence
+	// that the unit is at fault, not the workers.
 	FailedAt map[string]bool
 
-	// ReadyAt is since when tasks of it want a start.
+	// ReadyAt is the time from which tasks of the unit could start.
 	ReadyAt time.Time
-	// Outlook is what the unit's job could still earn when it was last placed.
+	// Outlook is the job's outlook at the last placement of the unit.
 	Outlook Outlook
-	// WaitLoggedAt is when the log last said why they wait.
+	// WaitLoggedAt is the time of the last log line on why tasks of the unit wait.
 	WaitLoggedAt time.Time
 
 	done int
 	name string
-	// gangFailures are run numbers of a gang that ended in failure.
+	// gangFailures holds the numbers of the gang's failed runs.
 	gangFailures map[int64]bool
 }
 
-// Task is one task. It runs at most once at a time, unless its step allows
-// copies.
+// Task is one task. It has at most one run at a time, unless its step allows copies.
 type Task struct {
 	Unit  *Unit
 	Index int
 	Done  bool
-	// Settled is false while the task may run at a worker that has not yet been
-	// heard since the cell changed its leader.
+	// Settled is false while the task may be running at a worker that has not answered since the cell's last
+	// change of leader.
 	Settled bool
-	// Checkpoint is the newest that is known; empty: from the start.
+	// Checkpoint is the newest known checkpoint. If it is empty, the task starts from the beginning.
 	Checkpoint string
 	FailedRuns []int64
-	// FailedElsewhere is how many of its runs have ended in failure in other cells.
+	// FailedElsewhere is the number of the task's runs that failed in other cells.
 	FailedElsewhere int
-	// Crashes are held against the task: workers crashed under it. Trial is how far the record is
-	// that it may be tried alone.
+	// Crashes is the task's crash evidence: crashes of workers at which the task ran or may have run. Isolation is
+	// the state of the record that allows an isolated run.
 	Crashes   []poisontask.Crash
 	Isolation IsolationState
 	level     poisontask.Level
-	// IsolationWaived says that its next run need not be isolated, though it is to be tried; IsolatedSince is since when
-	// it has waited for one that is.
+	// IsolationWaived is true if the next run need not be isolated although the task's level is
+	// poisontask.NeedsIsolation. IsolatedSince is the time from which the task has waited for an isolated run.
 	IsolationWaived bool
 	IsolatedSince   time.Time
-	// IsolatedBefore says that by the record only isolated runs of it were to start, each of which is recorded first.
+	// IsolatedBefore is true if the predecessor's record allowed only isolated runs of the task. Each isolated run
+	// is recorded before it starts.
 	IsolatedBefore bool
-	// crashedSomewhere says that one of the crashes names a host.
+	// crashedSomewhere is true if one of the crashes names a host.
 	crashedSomewhere bool
-	// Runs are those that may be running now.
+	// Runs are the runs that may be running now.
 	Runs []*Run
-	// RetryAt holds back a task whose last start was refused.
+	// RetryAt is the earliest time of the next start after a worker refused one.
 	RetryAt time.Time
-	// AvoidWorker is where its last run failed: the next one goes elsewhere, if
-	// it can.
+	// AvoidWorker is the worker at which the last run failed. The next run is placed at another worker if
+	// possible.
 	AvoidWorker string
-	// DelegatedTo is the cell that runs the task instead of this one; for a guest's
-	// other tasks, the cell that keeps the job.
+	// DelegatedTo is the cell that runs the task, empty if this cell does. In a delegated job, tasks that do not run
+	// in this cell have the home cell's name or the constant notDelegatedHere.
 	DelegatedTo string
-	// Delegations is how often the task has been lent: word of an earlier time is old.
+	// Delegations is the number of times the task has been delegated. Reports on an earlier delegation have no
+	// effect.
 	Delegations int32
-	// ReturnedAt is when cells gave the task back, for want of room; the zero time:
-	// before this process came to know of it.
+	// ReturnedAt holds, per cell, the time at which the cell returned the task for lack of capacity. The zero time
+	// means that this process does not know the time: the cell returned the task before.
 	ReturnedAt map[string]time.Time
-	// MayHaveRun says that it has had a run here, or may have had one.
+	// MayHaveRun is true if the task has had a run in this cell, or may have had one.
 	MayHaveRun bool
-	// WaitingSince is when it last lost a run, in any cell; zero: it never had one.
+	// WaitingSince is the time at which the task last lost a run, in any cell. It is zero if the task has never
+	// had a run.
 	WaitingSince time.Time
-	// InCellSince is since when it waits in this cell, Waited how long it had had no run when it was last
-	// handed over to another one.
+	// InCellSince is the time from which the task has waited in this cell. WaitedBeforeHandover is how long the
+	// task had been without a run when it was last handed over to another cell.
 	InCellSince          time.Time
 	WaitedBeforeHandover time.Duration
 
 	name string
 }
 
-// New returns a job that nobody has worked on yet.
+// New returns a job without progress.
 func New(spec *wire.JobSpec, acceptedAt time.Time) *Job {
 	j := &Job{Spec: spec, Phase: wire.JobPhase_JOB_PHASE_QUEUED, AcceptedAt: acceptedAt}
 	j.Estimate(time.Time{}, func(step *wire.StepSpec) time.Duration { return time.Duration(step.GetEstimateMs()) * time.Millisecond })
@@ -135,7 +136,7 @@
 	return j
 }
 
-// Repeats is how many times the steps run in all.
+// Repeats returns the number of repetitions of the job, at least 1.
 func (j *Job) Repeats() int { return max(1, int(j.Spec.GetRepeats())) }
 
 func (j *Job) openTime(time int) {
@@ -156,9 +157,8 @@
 	}
 }
 
-// OpenDue opens the times that have fallen due by the time of day wall, and
-// returns the units that are new.
-// A guest's times are opened by what is lent of them.
+// OpenDue creates the units of all repetitions that are due at the wall-clock time wall, and returns the new
+// units. It returns nil for a delegated job: the delegated tasks determine its repetitions.
 func (j *Job) OpenDue(wall time.Time) []*Unit {
 	if j.Delegated() {
 		return nil
@@ -170,24 +170,24 @@
 	return j.Units[before:]
 }
 
-// DueAt is the time of day at which the job's given time falls due.
+// DueAt returns the wall-clock time at which repetition n is due.
 func (j *Job) DueAt(n int) time.Time {
 	return time.UnixMilli(j.Spec.GetFirstUnixMs() + int64(n)*j.Spec.GetIntervalMs())
 }
 
-// NotYetDue says whether a task is of one of the job's times that has not been opened yet. A guest's
-// times are opened by what is lent of them, not by the time of day.
+// NotYetDue returns whether the task belongs to a repetition whose units do not exist yet. It is false for a
+// delegated job, where the delegated tasks determine the repetitions, not the wall-clock time.
 func (j *Job) NotYetDue(id TaskID) bool {
 	return !j.Delegated() && id.Time >= j.times && id.Time < j.Repeats() && id.Step < len(j.Spec.GetSteps())
 }
 
-// Ended says whether the job's phase is its last.
+// Ended returns whether the job is in a final phase.
 func (j *Job) Ended() bool { return j.Phase.Terminal() }
 
-// IsFinal says whether a phase is one that a job never leaves.
+// IsFinal returns whether p is a final phase: a job never leaves it.
 func IsFinal(p wire.JobPhase) bool { return p.Terminal() }
 
-// End gives the job its last phase. A job that has ended stays as it is.
+// End sets the job's final phase. It does nothing if the job has already ended.
 func (j *Job) End(phase wire.JobPhase, reason string, now time.Time) {
 	if j.Ended() {
 		return
@@ -195,7 +195,7 @@
 	j.Phase, j.Reason, j.EndedAt = phase, reason, now
 }
 
-// AllDone says whether every task of every time has ended well.
+// AllDone returns whether every task of every repetition has succeeded.
 func (j *Job) AllDone() bool {
 	if j.times < j.Repeats() {
 		return false
@@ -208,7 +208,7 @@
 	return true
 }
 
-// unit finds the unit of a step at a time.
+// unit returns the unit of a step in a repetition, nil if there is none.
 func (j *Job) unit(time, step int) *Unit {
 	at := time*len(j.Spec.GetSteps()) + step
 	if time < 0 || step < 0 || step >= len(j.Spec.GetSteps()) || at >= len(j.Units) {
@@ -217,7 +217,7 @@
 	return j.Units[at]
 }
 
-// Task finds a task by its numbers; it is nil where there is none.
+// Task returns the task with the given repetition, step and index, nil if there is none.
 func (j *Job) Task(time, step, index int) *Task {
 	u := j.unit(time, step)
 	if u == nil || index < 0 || index >= len(u.Tasks) {
@@ -226,11 +226,10 @@
 	return u.Tasks[index]
 }
 
-// Chain is the longest chain of estimated work from a step to the job's end,
-// the step included.
+// Chain returns the longest chain of estimated work from the given step to the job's end, including the step.
 func (j *Job) Chain(step int) time.Duration { return j.chains[step] }
 
-// WholeChain is the longest chain of estimated work of the whole job.
+// WholeChain returns the longest chain of estimated work of the whole job.
 func (j *Job) WholeChain() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range j.chains {
@@ -239,11 +238,11 @@
 	return longest
 }
 
-// EstimatedAt is when the chains of work were last estimated.
+// EstimatedAt returns the time at which the chains of work were last estimated.
 func (j *Job) EstimatedAt() time.Time { return j.chainsAt }
 
-// Estimate works the chains of work out anew, from the last step back, since steps only
-// come after earlier ones; takes says how long a step takes.
+// Estimate recomputes the chains of work. It goes from the last step to the first, because a step depends only on
+// earlier ones. takes returns the estimated duration of a step.
 func (j *Job) Estimate(now time.Time, takes func(*wire.StepSpec) time.Duration) {
 	steps := j.Spec.GetSteps()
 	list := make([]time.Duration, len(steps))
@@ -258,12 +257,11 @@
 
 // ------------------------------------------------------------------ units
 
-// Done says whether all tasks of the unit have ended well.
+// Done returns whether all tasks of the unit have succeeded.
 func (u *Unit) Done() bool { return u.done == len(u.Tasks) }
 
-// Ready says whether the unit's tasks may start: all tasks of the steps that it
-// comes after, at the same time, have ended well. A guest's tasks were ready when
-// they were lent.
+// Ready returns whether the unit's tasks may start: all tasks of the steps that it depends on, in the same
+// repetition, have succeeded. Delegated tasks were ready when they were delegated.
 func (u *Unit) Ready() bool {
 	if u.Job.Delegated() {
 		return true
@@ -277,8 +275,9 @@
 	return true
 }
 
-// MayHaveBegun says whether an earlier leader may have started the unit's tasks: all that it comes after has ended well,
-// or has no run here, as where an end was seen and not recorded.
+// MayHaveBegun returns whether a predecessor may have started the unit's tasks. It returns false if a task of a
+// step that the unit depends on, directly or indirectly, is not done and has a run here. A task that is not done
+// and has no run does not rule a start out: the predecessor may have observed its end without recording it.
 func (u *Unit) MayHaveBegun() bool {
 	if u.Job.Delegated() {
 		return true
@@ -297,16 +296,16 @@
 	return true
 }
 
-// ImageOf names what a step's tasks run.
+// ImageOf returns the name of the image that a step's tasks run.
 func ImageOf(job *wire.JobSpec, step *wire.StepSpec) string { return job.ImageOf(step) }
 
-// Image names what the unit's tasks run.
+// Image returns the name of the image that the unit's tasks run.
 func (u *Unit) Image() string { return u.Job.Spec.ImageOf(u.Spec) }
 
-// Lasting says whether the unit's tasks run until the job is cancelled.
+// Lasting returns whether the unit's tasks run until the job is cancelled.
 func (u *Unit) Lasting() bool { return u.Spec.GetLasting() }
 
-// Waiting lists the tasks that may start now.
+// Waiting returns the tasks that may start now.
 func (u *Unit) Waiting(now time.Time) []*Task {
 	var list []*Task
 	for _, t := range u.Tasks {
@@ -317,21 +316,21 @@
 	return list
 }
 
-// Name is the unit's name in advice and logs: ID.TIME.STEP.
+// Name returns the unit's name in advice and logs: ID.TIME.STEP.
 func (u *Unit) Name() string { return u.name }
 
 // ------------------------------------------------------------------ tasks
 
-// Name is the task's name at workers: ID.TIME.STEP.INDEX.
+// Name returns the task's name at workers: ID.TIME.STEP.INDEX.
 func (t *Task) Name() string { return t.name }
 
-// Waiting says whether the task wants a start.
+// Waiting returns whether the task may start now.
 func (t *Task) Waiting(now time.Time) bool {
 	return !t.Done && t.DelegatedTo == "" && t.Settled && len(t.Runs) == 0 && !now.Before(t.RetryAt)
 }
 
-// MarkDone records that a run of the task ended well. It says whether that was
-// news.
+// MarkDone marks the task as done after a run of it succeeded. It returns whether that changed the task. A lasting
+// task is never done.
 func (t *Task) MarkDone() bool {
 	if t.Done || t.Unit.Lasting() {
 		return false
@@ -342,8 +341,8 @@
 	return true
 }
 
-// MarkFailed counts a run that ended in failure, once, and says how many have.
-// A gang counts its runs as one.
+// MarkFailed counts a failed run, once per run number, and returns the number of failures. The runs of a gang with
+// the same number count as one failure of the gang.
 func (t *Task) MarkFailed(run int64) int {
 	if t.Unit.Spec.GetGang() {
 		if t.Unit.gangFailures == nil {
@@ -361,12 +360,12 @@
 	return t.Failures()
 }
 
-// Failures is how many runs of the task, or of its gang, have ended in failure, in any cell.
+// Failures returns how many runs of the task, or of its gang, have failed in any cell.
 func (t *Task) Failures() int {
 	return t.FailedElsewhere + max(len(t.FailedRuns), len(t.Unit.gangFailures))
 }
 
-// Run finds the task's run with the given number at the given worker.
+// Run returns the task's run with the given number at the given worker, nil if there is none.
 func (t *Task) Run(number int64, worker string) *Run {
 	for _, r := range t.Runs {
 		if r.Number == number && r.Worker == worker {
@@ -376,7 +375,7 @@
 	return nil
 }
 
-// Drop takes a run out of those that may be running.
+// Drop removes a run from Runs.
 func (t *Task) Drop(r *Run) {
 	for i, have := range t.Runs {
 		if have == r {
--- a/pkg/process/jobs/lending.go
+++ b/pkg/process/jobs/lending.go
@@ -10,18 +10,19 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Lending. A task may be left to another cell, where the job is a guest that has just
-// the tasks it was lent; that cell may give one back, or report that it is done or has
-// failed. Lendings of a task are numbered: what is said of an earlier one counts no
-// more.
+// Delegation. A task may be delegated to another cell, the target cell. There the job has only the tasks that were
+// delegated. The target cell may return a task, or report that it is done or has failed. The delegations of a task
+// are numbered, so that reports on an earlier one have no effect.
 
-// elsewhere stands for the cell that keeps a guest's job.
+// elsewhere is the value of Task.DelegatedTo for tasks of a delegated job that were never delegated to this cell.
+// Tasks that this cell has returned have the home cell's name there.
 const elsewhere = "elsewhere"
 
-// Delegated says whether another cell keeps the job and has lent some tasks here.
+// Delegated returns whether another cell, the home cell, keeps the job and has delegated some of its tasks to this
+// cell.
 func (j *Job) Delegated() bool { return len(j.Spec.GetGuest()) > 0 }
 
-// leaveToHome leaves the tasks of a guest's time to the cell that keeps the job.
+// leaveToHome leaves all tasks of one repetition of a delegated job to the home cell.
 func (j *Job) leaveToHome(time int) {
 	for _, u := range j.Units {
 		if u.Time != time {
@@ -33,15 +34,14 @@
 	}
 }
 
-// openFor opens the times up to that of a task that is lent.
+// openFor creates the units of all repetitions up to that of a delegated task.
 func (j *Job) openFor(r *wire.TaskRef) {
 	for j.times <= int(r.GetTime()) && j.times < j.Repeats() {
 		j.openTime(j.times)
 	}
 }
 
-// markGuest takes in which tasks a guest was lent; the others are left to the cell that
-// keeps the job.
+// markGuest applies the specification's list of delegated tasks. All other tasks are left to the home cell.
 func (j *Job) markGuest() {
 	for _, r := range j.Spec.GetGuest() {
 		j.openFor(r)
@@ -52,7 +52,7 @@
 	}
 }
 
-// Arrived says when a guest's tasks came to this cell: they wait since then.
+// Arrived sets the time at which delegated tasks came to this cell. Their wait here begins then.
 func (j *Job) Arrived(now time.Time) {
 	for _, r := range j.Spec.GetGuest() {
 		if t := j.at(r); t != nil && t.DelegatedTo == "" {
@@ -61,13 +61,13 @@
 	}
 }
 
-// arrive takes in that a task comes from another cell, where it had waited already.
+// arrive sets the times of a task that comes from another cell, including its wait there.
 func (t *Task) arrive(now time.Time, r *wire.TaskRef) {
 	t.InCellSince = now
 	t.WaitingSince = now.Add(-time.Duration(r.GetWaitedMs()) * time.Millisecond)
 }
 
-// takeOver takes over what is known of a task where it comes from.
+// takeOver copies the crash evidence, failures and checkpoint that the cell the task comes from knows.
 func (t *Task) takeOver(r *wire.TaskRef) {
 	t.setCrashes(crashesOf(r.GetCrashes()))
 	t.Isolation = NoIsolation
@@ -77,13 +77,14 @@
 	}
 }
 
-// failedElsewhere counts the failures that are known where a task comes from beside this cell's own.
+// failedElsewhere updates FailedElsewhere from the total number of failures in r, which includes those in this
+// cell.
 func (t *Task) failedElsewhere(r *wire.TaskRef) {
 	t.FailedElsewhere = max(t.FailedElsewhere, int(r.GetFailed())-(t.Failures()-t.FailedElsewhere))
 }
 
-// AddDelegated takes in that more of the job's tasks are lent to this cell. It
-// says whether that is so. settled says that no forerunner may have started them already.
+// AddDelegated applies a later specification that delegates more of the job's tasks to this cell. It returns
+// whether the specification adds any. settled is true if no predecessor can have started them already.
 func (j *Job) AddDelegated(spec *wire.JobSpec, now time.Time, settled bool) bool {
 	if !j.Delegated() {
 		return false
@@ -106,8 +107,9 @@
 	return more
 }
 
-// MergeHomeEvidence takes in which silent workers have crashed since the guest's tasks were lent, as their home says with
-// a later specification. It returns the tasks of which more is held now.
+// MergeHomeEvidence applies a later specification of the home cell to the crash evidence of delegated tasks:
+// workers that were only silent when the tasks were delegated may have crashed since. It returns the tasks whose
+// evidence grew.
 func (j *Job) MergeHomeEvidence(spec *wire.JobSpec) []*Task {
 	var list []*Task
 	for _, r := range spec.GetGuest() {
@@ -130,16 +132,14 @@
 	return j.Task(int(r.GetTime()), int(r.GetStep()), int(r.GetIndex()))
 }
 
-// ReturnTask leaves a guest's task to the cell that keeps its job, until that lends it
-// again.
+// ReturnTask leaves a delegated task to the home cell until the home cell delegates it again.
 func (j *Job) ReturnTask(t *Task) { t.DelegatedTo = j.Spec.GetHome() }
 
-// Report is what a guest's cell tells the one that keeps the job: the tasks that it
-// has given back, those that are done, and whether one has failed for good; nil:
-// nothing yet.
+// Report returns the target cell's report to the home cell: the returned tasks, the done tasks, and the reason if
+// the job has failed. It returns nil if there is nothing to report yet.
 func (j *Job) Report() *wire.ReturnedTasks {
 	if !j.Delegated() || j.Spec.GetHome() == "" || j.Phase == wire.JobPhase_JOB_PHASE_CANCELLED {
-		return nil // a cancel is its home's own word
+		return nil // the home cell decided the cancel itself
 	}
 	report := &wire.ReturnedTasks{
 		Id: j.Spec.GetId(), From: j.Spec.GetCell(), Home: j.Spec.GetHome(),
@@ -154,15 +154,14 @@
 	return report
 }
 
-// DelegatedDone says whether all that was lent to a guest, and not given back, is done.
+// DelegatedDone returns whether all delegated tasks that were not returned are done.
 func (j *Job) DelegatedDone() bool {
 	open := j.refs(func(t *Task) bool { return t.DelegatedTo == "" && !t.Done })
 	return j.Delegated() && len(open) == 0
 }
 
-// ApplyReturned takes in what another cell gives back or has done. It says whether a task
-// was lent there until now. settled says that no forerunner may have taken it back, and started it,
-// already.
+// ApplyReturned applies another cell's report of returned and done tasks. It returns whether it changed any task.
+// settled is true if no predecessor can have applied the report and started the tasks already.
 func (j *Job) ApplyReturned(r *wire.ReturnedTasks, now time.Time, settled bool) bool {
 	news := j.takeDone(r)
 	j.borrowed(r.GetFrom())
@@ -204,7 +203,7 @@
 	return news
 }
 
-// borrowed remembers that a cell has had tasks of the job.
+// borrowed records that a cell has had tasks of the job.
 func (j *Job) borrowed(cell string) {
 	if j.targetCells == nil {
 		j.targetCells = map[string]bool{}
@@ -212,7 +211,7 @@
 	j.targetCells[cell] = true
 }
 
-// refsTo lists the tasks that are left to a cell.
+// refsTo returns references to the tasks that are left to a cell.
 func (j *Job) refsTo(cell string) []*wire.TaskRef {
 	return j.refs(func(t *Task) bool { return t.DelegatedTo == cell })
 }
@@ -229,8 +228,8 @@
 	return refs
 }
 
-// Delegate leaves tasks to another cell, and returns the specification that this cell is
-// to have. Tasks lent to it before stay with it.
+// Delegate delegates tasks to another cell and returns the specification for that cell. Tasks that were delegated
+// to it earlier stay in the specification.
 func (j *Job) Delegate(cell string, tasks ...*Task) *wire.JobSpec {
 	for _, t := range tasks {
 		t.DelegatedTo = cell
@@ -239,14 +238,14 @@
 	j.borrowed(cell)
 	spec, ok := proto.Clone(j.Spec).(*wire.JobSpec)
 	if !ok {
-		return nil // a clone has the type of what it is a clone of
+		return nil // unreachable: proto.Clone returns its argument's type
 	}
 	spec.Cell, spec.Home, spec.Guest = cell, j.Spec.GetCell(), j.refsTo(cell)
 	return spec
 }
 
-// TargetCells lists the cells that have had tasks of the job, also those that gave them
-// back or have done them: they are told when the job ends.
+// TargetCells returns the cells that have had tasks of the job, including cells that returned them or completed
+// them. The home cell tells all of them when the job ends.
 func (j *Job) TargetCells() []string {
 	if j.Delegated() {
 		return nil
--- a/pkg/process/jobs/lending_test.go
+++ b/pkg/process/jobs/lending_test.go
@@ -10,8 +10,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A gang failed once at home, and once where it was lent; that cell gave it back. Each cell knows of all
-// failures, also after it has changed its leader, so that together they start it no more often than one alone.
+// A gang fails once in its home cell and once in the target cell, which returns it. Each cell must know of all
+// failures, also after a change of its leader. Otherwise the two cells together would start the gang more often
+// than one cell alone may.
 func TestFailuresAndCheckpointsGoWithWhatIsLent(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
@@ -25,7 +26,7 @@
 	guest := jobs.New(lent, now)
 	must.Eq(t, 1, guest.Units[0].Tasks[0].Failures())
 	must.Eq(t, "half", guest.Units[0].Tasks[0].Checkpoint)
-	must.Eq(t, 2, guest.Units[0].Tasks[0].MarkFailed(1_000_001)) // numbered alike in both cells
+	must.Eq(t, 2, guest.Units[0].Tasks[0].MarkFailed(1_000_001)) // the same run number as in the home cell
 
 	successor := jobs.Restore(lent, guest.Progress(), 1, now, now)
 	for _, member := range successor.Units[0].Tasks {
--- a/pkg/process/jobs/outlook.go
+++ b/pkg/process/jobs/outlook.go
@@ -1,14 +1,14 @@
 package jobs
 
-// Outlook is what a job can still earn.
+// Outlook classifies a job by what it can still earn.
 type Outlook int
 
-// The outlooks, best first.
+// Outlooks, best first.
 const (
-	// OnTime: it can still meet its objective.
+	// OnTime means that the job can still meet its objective.
 	OnTime Outlook = iota
-	// Late: it earns the little that late jobs earn.
+	// Late means that the job earns only the small value of a late job.
 	Late
-	// Hopeless: it earns nothing, and runs in what room is left.
+	// Hopeless means that the job earns nothing. It runs in capacity that no other job needs.
 	Hopeless
 )
--- a/pkg/process/jobs/progress.go
+++ b/pkg/process/jobs/progress.go
@@ -7,8 +7,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Progress encodes what must outlive the leader: what is done, which runs
-// failed, checkpoints, and the phase. Runs are not recorded: workers list them.
+// Progress returns the state that a successor needs: done tasks, failed runs, checkpoints, delegations, crash
+// evidence, and the phase. Runs are not included, because workers list them.
 func (j *Job) Progress() *wire.JobProgress {
 	p := &wire.JobProgress{Id: j.Spec.GetId(), Phase: j.Phase, Reason: j.Reason}
 	if j.Ended() {
@@ -34,7 +34,7 @@
 		}
 		lent := t.DelegatedTo
 		if lent == elsewhere {
-			lent = "" // the specification says so already
+			lent = "" // the specification implies it
 		}
 		if len(t.FailedRuns) > 0 || t.FailedElsewhere > 0 || t.Checkpoint != "" || lent != "" || t.Delegations > 0 || len(t.Crashes) > 0 {
 			up.Notes = append(up.Notes, &wire.TaskNote{
@@ -49,8 +49,8 @@
 	return up
 }
 
-// Restore takes over what an earlier leader recorded. Every task that is not
-// done counts as unsettled: it may be running somewhere.
+// Restore returns a job with the progress that a predecessor recorded. Every task that is not done is unsettled:
+// it may be running at some worker. wall is the wall-clock time.
 func Restore(spec *wire.JobSpec, p *wire.JobProgress, recorded int64, acceptedAt, wall time.Time) *Job {
 	j := New(spec, acceptedAt)
 	j.Recorded = recorded
@@ -72,7 +72,7 @@
 
 func (j *Job) restoreUnit(up *wire.UnitProgress) {
 	for int(up.GetTime()) >= j.times && j.times < j.Repeats() {
-		j.openTime(j.times) // it had begun, so its time had come
+		j.openTime(j.times) // the repetition has progress, so it was due
 	}
 	u := j.unit(int(up.GetTime()), int(up.GetStep()))
 	if u == nil {
@@ -92,7 +92,7 @@
 		if n.GetCheckpoint() != "" {
 			t.Checkpoint = n.GetCheckpoint()
 		}
-		lentAgain := j.Delegated() && t.Delegations > n.GetLending() // after the note was made
+		lentAgain := j.Delegated() && t.Delegations > n.GetLending() // after the note was written
 		if !lentAgain {
 			t.setCrashes(crashesOf(n.GetCrashes()))
 			t.IsolatedBefore = t.Level() == poisontask.NeedsIsolation && !u.Spec.GetGang() && !u.Lasting()
--- a/pkg/process/jobs/run.go
+++ b/pkg/process/jobs/run.go
@@ -8,86 +8,87 @@
 	"github.com/wrenferry/wrenferry/pkg/process/interference"
 )
 
-// RunState is how much is known of a run.
+// RunState is the leader's knowledge of a run.
 type RunState int
 
-// The states of a run.
+// Run states.
 const (
-	// Sent: ordered, and not answered yet. It counts as running.
+	// Sent: the start order was sent and has not been answered. The run counts as running.
 	Sent RunState = iota
-	// Unsure: the order got no answer. It may run, or start running later,
-	// until the order's own limit is over by the worker's clock.
+	// Unsure: the start order failed without an answer. The run may be running, or may begin until the worker's
+	// clock passes the order's time limit.
 	Unsure
-	// Running: the worker has said so.
+	// Running: the worker has reported the run.
 	Running
-	// Stopping: we asked the worker to end it. It counts until its end is seen.
+	// Stopping: the leader has asked the worker to stop the run. The run counts as running until its end is
+	// reported.
 	Stopping
-	// Died: its worker has started again since. It counts until this process is known to have
-	// led the cell after that: a later leader may have seen its end.
+	// Died: the worker has restarted since. The run counts as running until this process is confirmed to have led
+	// the cell after the restart, because a later leader may have observed its end.
 	Died
 )
 
-// PaceUnknown stands for the pace of a run that an earlier leader may have changed:
-// workers do not list it.
+// PaceUnknown is the pace of a run whose pace a predecessor may have changed. Workers do not list paces.
 const PaceUnknown = -1
 
 // Run is one start of a task at one worker.
 type Run struct {
 	Task   *Task
 	Number int64
-	// Worker is the worker's id.
+	// Worker is the worker's ID.
 	Worker string
 	State  RunState
-	// SentAt is when the order was first sent, AckedAt when it was answered.
+	// SentAt is the time at which the start order was first sent, AckedAt the time of its answer.
 	SentAt  time.Time
 	AckedAt time.Time
-	// Tries counts how often the order was sent.
+	// Tries is the number of times the start order was sent.
 	Tries int
-	// ValidUntil is the limit of the order, by the worker's clock: after it the
-	// worker does not begin the run.
+	// ValidUntil is the order's time limit on the worker's clock. The worker does not begin the run after it.
 	ValidUntil time.Duration
-	// Percent is the progress as the worker last told; ProgressAt is when it
-	// last rose, BeganAt when the run was first seen to run.
+	// Percent is the progress that the worker last reported. ProgressAt is the time of its last increase. BeganAt
+	// is the time at which the run was first known to be running.
 	Percent    int
 	ProgressAt time.Time
 	BeganAt    time.Time
-	// Tail is the tail latency of a lasting task's users; UsedMillicores what
-	// another one uses. Both are rough and late.
+	// Tail is the tail latency for users of a lasting task. UsedMillicores is the CPU use of any other task. Both
+	// are imprecise and delayed.
 	Tail           time.Duration
 	UsedMillicores int64
-	// LearnedTail is the tail that was last learned from, and LearnedAt when.
+	// LearnedTail is the tail latency that the interference model last learned from, and LearnedAt the time of
+	// that.
 	LearnedTail time.Duration
 	LearnedAt   time.Time
-	// Pace is the share in percent at which the run works, as it was last told,
-	// PaceWanted what it should be.
+	// Pace is the share of full speed at which the run works, in percent, as the worker was last told. PaceWanted
+	// is the share at which it should work.
 	Pace, PaceWanted int
 	PaceSending      bool
 	PacedAt          time.Time
-	// OverTargetSince is since when the tail is above its target; zero: it is not.
+	// OverTargetSince is the time since which the tail latency has been above its target. It is zero while it is
+	// not.
 	OverTargetSince time.Time
-	// PausedAt is when it was last made to stand still for a tail that stayed over
-	// its target.
+	// PausedAt is the time at which the run was last paused because a neighbour's tail latency stayed above its
+	// target.
 	PausedAt time.Time
-	// OwnLoad is what is believed of a serving task's own load.
+	// OwnLoad is the estimate of a serving task's own load.
 	OwnLoad interference.OwnLoad
-	// StopSentAt is when it was last asked to stop, and Why.
+	// StopSentAt is the time of the last stop request, StopReason the reason for it.
 	StopSentAt time.Time
-	// Resumed says that it went on from a checkpoint, or was found running: what it took is
-	// not all that its task takes.
+	// Resumed is true if the run went on from a checkpoint, or was already running when this leader found it. The
+	// duration of such a run is not the whole duration of its task.
 	Resumed    bool
 	StopReason string
 	Ticket     string
-	// Isolated says that the run tries its task alone.
+	// Isolated is true for an isolated run.
 	Isolated bool
 }
 
-// TaskID is a task's name, taken apart.
+// TaskID is a task's name in its parts: ID.TIME.STEP.INDEX.
 type TaskID struct {
 	Job               string
 	Time, Step, Index int
 }
 
-// ParseTask reads a task's name as workers list it.
+// ParseTask parses a task's name, as workers list it. It returns false if the name is malformed.
 func ParseTask(name string) (TaskID, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
--- a/pkg/process/jobs/suspicion.go
+++ b/pkg/process/jobs/suspicion.go
@@ -8,42 +8,43 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// What crashes of workers say of a task: see the package poisontask.
+// The crash evidence of a task. Package poisontask explains how evidence is weighed.
 
-// IsolationState is how far the record is that a task may be tried alone. It must stand before the run is
-// ordered, and is made when there is a worker for it: a successor that finds the run nowhere then knows
-// that it may have ended its worker.
+// IsolationState is the state of the record that allows an isolated run of a task. The record must be durable
+// before the run is ordered, and is written once there is a worker for the run. So a successor that finds a
+// record, and no worker that lists the run, knows that the run may have crashed its worker.
 type IsolationState int
 
-// The states of a trial.
+// Isolation states.
 const (
 	NoIsolation IsolationState = iota
 	IsolationWanted
 	IsolationRecorded
 )
 
-// maxCrashes bounds what is kept of a task's crashes: more than it takes to give it up.
+// maxCrashes bounds the number of crashes that are kept per task. It exceeds the number after which a task is
+// classified as poisonous.
 const maxCrashes = 6
 
-// Level is how much the task is suspected of crashing workers.
+// Level returns how strongly the task is suspected of crashing workers.
 func (t *Task) Level() poisontask.Level { return t.level }
 
-// setCrashes changes what is held against the task, and works out how much it is suspected: that is asked at
-// each placing.
+// setCrashes replaces the task's crash evidence. It computes the level here because each placement reads it.
 func (t *Task) setCrashes(crashes []poisontask.Crash) {
 	t.Crashes, t.level = crashes, poisontask.LevelOf(crashes)
 	t.crashedSomewhere = slices.ContainsFunc(crashes, func(c poisontask.Crash) bool { return c.Host != "" })
 }
 
-// NeedsSpecificWorker says whether not every worker with room will do: the task waits for one by itself, and others of its
-// step may find a place meanwhile.
+// NeedsSpecificWorker returns whether some workers with enough free capacity are unsuitable for the task. Such a
+// task waits on its own: other tasks of its step may be placed in the meantime.
 func (t *Task) NeedsSpecificWorker() bool { return t.crashedSomewhere || t.Suspected() }
 
-// Suspected says whether the task is suspected at all.
+// Suspected returns whether the task's level is poisontask.Suspected or higher.
 func (t *Task) Suspected() bool { return t.Level() >= poisontask.Suspected }
 
-// AddCrash holds a crash against the task. What was held against it when the worker fell silent is
-// the same one. It says whether that is news.
+// AddCrash adds a crash to the task's evidence. If the evidence already has the same run at the same worker as
+// silent, and c is a confirmed crash, the entry is confirmed and nothing is added. AddCrash returns whether the
+// evidence changed.
 func (t *Task) AddCrash(c poisontask.Crash) bool {
 	if i := t.crash(c.Worker, c.Run); i >= 0 && c.Run != 0 {
 		if c.Silent || !t.Crashes[i].Silent {
@@ -62,12 +63,13 @@
 	return true
 }
 
-// CrashedAt says whether a crash at a host is held against the task.
+// CrashedAt returns whether the evidence has a crash at the given host.
 func (t *Task) CrashedAt(host string) bool {
 	return host != "" && slices.ContainsFunc(t.Crashes, func(c poisontask.Crash) bool { return c.Host == host })
 }
 
-// PoisonousIfSilentCrashed says whether the task is to be given up if the workers that fell silent under it have crashed.
+// PoisonousIfSilentCrashed returns whether the task would be poisonous if all workers that became silent under it
+// had crashed.
 func (t *Task) PoisonousIfSilentCrashed() bool {
 	crashes := slices.Clone(t.Crashes)
 	for i := range crashes {
@@ -76,7 +78,7 @@
 	return poisontask.LevelOf(crashes) == poisontask.Poisonous
 }
 
-// SilentAt says whether a worker fell silent under a run and is not known to have crashed.
+// SilentAt returns whether the worker became silent during the run and is not known to have crashed.
 func (t *Task) SilentAt(worker string, run int64) bool {
 	i := t.crash(worker, run)
 	return i >= 0 && t.Crashes[i].Silent
@@ -86,8 +88,8 @@
 	return slices.IndexFunc(t.Crashes, func(c poisontask.Crash) bool { return c.Worker == worker && c.Run == run })
 }
 
-// Resolve takes in whether a worker that had fallen silent under a run has crashed, or was only cut
-// off. It says whether that changes what is held against the task.
+// Resolve records whether a worker that became silent during a run has crashed or was only unreachable. It returns
+// whether the evidence changed.
 func (t *Task) Resolve(worker string, run int64, crashed bool) bool {
 	i := t.crash(worker, run)
 	if i < 0 || !t.Crashes[i].Silent {
@@ -104,8 +106,8 @@
 	return true
 }
 
-// takeBackCrashes takes over what is held against the task where it was lent to. What has come to be
-// known here of workers that had fallen silent before, that cell could not learn.
+// takeBackCrashes replaces the evidence by that of the cell that returned the task. Crashes that were confirmed
+// here since the task was delegated stay confirmed, because the other cell could not learn of them.
 func (t *Task) takeBackCrashes(crashes []poisontask.Crash) {
 	for i, c := range crashes {
 		if j := t.crash(c.Worker, c.Run); j >= 0 && !t.Crashes[j].Silent {
@@ -116,13 +118,14 @@
 	t.Isolation = NoIsolation
 }
 
-// Exonerate takes all suspicion off the task.
+// Exonerate removes all crash evidence of the task.
 func (t *Task) Exonerate() {
 	t.setCrashes(nil)
 	t.Isolation = NoIsolation
 }
 
-// IsolatedRunLost holds against the task that a forerunner may have tried it: no worker lists a run.
+// IsolatedRunLost adds crash evidence if a predecessor may have started an isolated run: the run is recorded and
+// no worker lists it. It returns whether it added any.
 func (t *Task) IsolatedRunLost(at time.Time) bool {
 	if t.Isolation != IsolationRecorded || len(t.Runs) > 0 || t.Done {
 		return false
@@ -131,7 +134,7 @@
 	return true
 }
 
-// IsolationsWanted are the tasks that want to be tried alone, once that is recorded.
+// IsolationsWanted returns the tasks that need a record for an isolated run.
 func (j *Job) IsolationsWanted() []*Task {
 	var list []*Task
 	for _, u := range j.Units {
--- a/pkg/process/ledger/ledger.go
+++ b/pkg/process/ledger/ledger.go
@@ -1,10 +1,9 @@
-// Package ledger keeps what is committed on each worker. Package hall asks it before it sends a
-// start.
+// Package ledger keeps the reservations on each worker. Package hall asks it before it sends a start.
 //
-// A host is never committed beyond its processors, memory or accelerators. That promise is kept
-// here and nowhere else: a reservation is made before a start is sent and taken back only when
-// the worker has said that the attempt ended, or when its lease is surely over. Measured use
-// never enters: a host that looks idle is still full when its reservations say so.
+// A host is never committed beyond its processors, memory or accelerators. Only this package enforces that: a
+// reservation is made before a start is sent, and released only after the worker has reported the end of the
+// attempt, or when the attempt's lease is certainly over. Measured use does not count: a host that looks idle is
+// full if its reservations add up to its capacity.
 package ledger
 
 import (
@@ -15,11 +14,11 @@
 // Size is an amount of a host's resources.
 type Size = capacity.Size
 
-// FromWire reads a size off a message; an absent one is zero.
+// FromWire converts a size from a message. An absent size is zero.
 func FromWire(s *wire.Size) Size { return capacity.FromWire(s) }
 
-// Worker is the account of one worker. Its methods return what changed so that
-// callers needn't look twice; a Worker belongs to the control thread alone.
+// Worker is the account of one worker's resources. Its methods return what they changed, so that callers need no
+// second query. Only the control thread may use it.
 type Worker struct {
 	capacity Size
 	services Size
@@ -27,30 +26,28 @@
 	sum      Size
 }
 
-// NewWorker opens an account with no room: nothing fits until the worker has
-// said how large it is.
+// NewWorker returns an account with zero capacity: nothing fits until the worker has reported its size.
 func NewWorker() *Worker {
 	return &Worker{reserved: map[string]Size{}}
 }
 
-// SetCapacity takes in what the worker says of itself: its whole size and what
-// its services hold of it.
+// SetCapacity sets the size that the worker reports, and the part of it that the worker's services occupy.
 func (w *Worker) SetCapacity(capacity, services Size) {
 	w.capacity = capacity
 	w.services = services
 }
 
-// Capacity is the worker's whole size less its services.
+// Capacity returns the worker's size less that of its services.
 func (w *Worker) Capacity() Size { return w.capacity.Minus(w.services) }
 
-// Free is what may still be reserved.
+// Free returns the capacity that is not reserved.
 func (w *Worker) Free() Size { return w.Capacity().Minus(w.sum) }
 
-// Reserved is the sum of what is reserved.
+// Reserved returns the sum of all reservations.
 func (w *Worker) Reserved() Size { return w.sum }
 
-// Reserve books a size under an attempt's name if it fits, and says whether it
-// did. Booking the same attempt twice changes nothing.
+// Reserve makes a reservation for the named attempt if size fits into the free capacity. It returns whether the
+// attempt has a reservation. A second call for the same attempt changes nothing.
 func (w *Worker) Reserve(name string, size Size) bool {
 	if _, ok := w.reserved[name]; ok {
 		return true
@@ -62,15 +59,15 @@
 	return true
 }
 
-// Adopt books what a worker says is already running there, whether or not it
-// fits: it is a fact, and hiding it would over-commit the host.
+// Adopt adds a reservation for an attempt that the worker reports as running, even if it does not fit. The attempt
+// uses the resources in any case, and omitting it would over-commit the host.
 func (w *Worker) Adopt(name string, size Size) {
 	if _, ok := w.reserved[name]; !ok {
 		w.book(name, size)
 	}
 }
 
-// Release takes a booking back.
+// Release removes the named attempt's reservation, if there is one.
 func (w *Worker) Release(name string) {
 	if size, ok := w.reserved[name]; ok {
 		w.sum = w.sum.Minus(size)
@@ -78,13 +75,13 @@
 	}
 }
 
-// Holds says whether an attempt is booked.
+// Holds returns whether the named attempt has a reservation.
 func (w *Worker) Holds(name string) bool {
 	_, ok := w.reserved[name]
 	return ok
 }
 
-// Names lists the booked attempts, in no order.
+// Names returns the names of all attempts with a reservation, in no particular order.
 func (w *Worker) Names() []string {
 	names := make([]string, 0, len(w.reserved))
 	for name := range w.reserved {
--- a/pkg/process/quota/quota.go
+++ b/pkg/process/quota/quota.go
@@ -1,8 +1,8 @@
-// Package quota decides whose task goes next, and whether a team may have more.
+// Package quota decides the order in which tasks are placed, and whether a team may reserve more.
 //
-// Order: higher priority first; among equals the team with the smallest
-// dominant share of the hall (dominant-resource fairness); within a team, the
-// task that has waited longest. A team at its quota is passed over.
+// Tasks with higher priority go first. Among equal priorities, the team with the smallest dominant share of the
+// hall goes first (dominant-resource fairness). Within a team, the task with the longest wait goes first. Tasks of
+// a team at its quota are skipped.
 package quota
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/wrenferry/wrenferry/pkg/process/ledger"
 )
 
-// Limit is a team's quota; a zero part means no limit.
+// Limit is a team's quota. A resource with limit zero is unlimited.
 type Limit = ledger.Size
 
 // Waiting is one task in the queue.
@@ -25,10 +25,10 @@
 	Size     ledger.Size
 }
 
-// Usage is what each team has reserved in the hall.
+// Usage holds the reservations of each team in the hall.
 type Usage map[string]ledger.Size
 
-// Over says whether a task would take the team over its limit.
+// Over returns whether a task of the given size would take the team over its limit.
 func Over(used, size ledger.Size, limit Limit) bool {
 	after := used.Plus(size)
 	return over(after.Millicores, limit.Millicores) ||
@@ -38,8 +38,8 @@
 
 func over(amount, limit int64) bool { return limit > 0 && amount > limit }
 
-// Order sorts the queue. Shares are taken once, before the round: one round
-// places few tasks beside what is running.
+// Order sorts the queue in place. It computes the shares once, before the round, because one round places few
+// tasks compared with those already running.
 func Order(queue []Waiting, usage Usage, total ledger.Size) {
 	shares := make(map[string]float64, len(usage))
 	for team, used := range usage {
--- a/pkg/process/runtimes/runtimes.go
+++ b/pkg/process/runtimes/runtimes.go
@@ -1,12 +1,11 @@
-// Package runtimes estimates how long tasks run. Package cell asks it when it places tasks and
-// tells it each end.
+// Package runtimes estimates how long tasks run. Package cell asks for estimates at placement and reports each end
+// of a run.
 //
-// The load pattern: callers declare run times that are off by more than the steps of one kind
-// differ among themselves. So the times of a kind's earlier steps say more of a step than its
-// caller does. Both are used, each weighed by how far off it is. Times are logarithms here:
-// they are off by factors.
+// Callers declare run times with larger errors than the spread among the steps of one kind of job. So the times of
+// earlier steps of the kind predict a step better than its declared time. An estimate uses both, weighted by their
+// variances. Computations use logarithms of times, because errors are factors.
 //
-// It makes no calls and reads no clock.
+// The package makes no calls and reads no clock.
 package runtimes
 
 import (
@@ -17,35 +16,37 @@
 )
 
 const (
-	// firstVariance is what is believed at first of a kind: of its steps' times as of
-	// what callers declare of them.
+	// firstVariance is the prior variance of a kind's step times, and of the errors in the times that callers
+	// declare.
 	firstVariance = 0.25
-	// firstWeight is how many steps that belief counts for.
+	// firstWeight is the weight of the prior, in steps.
 	firstWeight = 4.0
-	// withinSD is how much the tasks of one step differ.
+	// withinSD is the standard deviation of the run times within one step.
 	withinSD = 0.28
-	// leastVariance keeps weights finite.
+	// leastVariance is the lower bound of a variance. It keeps weights finite.
 	leastVariance = 0.01
-	// strayMost bounds what one run can say: slow workers take many times as long.
+	// strayMost bounds the effect of one run: the logarithm of its time counts as at most this far from the mean.
+	// Slow workers take many times as long as others.
 	strayMost = 2.0
-	// memory is how many steps back a kind is remembered: loads change within minutes.
+	// memory is the upper bound of a distribution's weight, in steps. Older steps lose influence beyond it,
+	// because loads change within minutes.
 	memory = 200.0
 )
 
-// Estimates is what has been learned, by kind. It belongs to one thread.
+// Estimates holds what was learned per kind of job. It is not safe for concurrent use.
 type Estimates struct{ kinds map[string]*kind }
 
-// New returns estimates that have learned nothing.
+// New returns empty estimates.
 func New() *Estimates { return &Estimates{kinds: map[string]*kind{}} }
 
-// kind is what has been learned of one kind of job.
+// kind holds what was learned of one kind of job.
 type kind struct {
-	// times are the steps' true times, errors by how much what was declared exceeded
-	// them.
+	// times are the run times of the kind's steps, errors the factors by which declared times exceeded them. Both
+	// are logarithms.
 	times, errors spread
 }
 
-// spread is a mean and a variance that forget.
+// spread is a running mean and variance with a bounded memory.
 type spread struct{ weight, mean, variance float64 }
 
 func (s *spread) take(value, weight float64) {
@@ -61,13 +62,14 @@
 	s.variance += gain * (miss*miss*(1-gain) - s.variance)
 }
 
-// between is the variance between steps, with what is believed at first.
+// between returns the variance between steps: the total variance less that within a step, combined with the prior.
 func (s *spread) between() float64 {
 	sum := firstWeight*firstVariance + s.weight*(s.variance-withinSD*withinSD)
 	return max(leastVariance, sum/(firstWeight+s.weight))
 }
 
-// Learn takes in how long one of the tasks of a step ran, of which so much was declared.
+// Learn adds the run time of one task of a step. declared is its declared run time, 0 if there is none. tasks is
+// the number of tasks of the step, which weigh as much as one step together.
 func (e *Estimates) Learn(name string, declared, took time.Duration, tasks int) {
 	if took <= 0 || tasks <= 0 {
 		return
@@ -84,15 +86,14 @@
 	}
 }
 
-// Task estimates how long a task of a kind runs, of which so much is declared; 0: nothing
-// is declared and nothing was seen.
+// Task returns the estimated run time of a task of the named kind. It returns 0 if no time is declared and no run
+// of the kind is known.
 func (e *Estimates) Task(name string, declared time.Duration) time.Duration {
 	k := e.kinds[name]
 	if k == nil {
 		return declared
 	}
-	// What is believed of the kind's mean is one more step's worth at first: the declared
-	// time's.
+	// The prior for the kind's mean is the declared time, with the weight of one step.
 	known := k.times.weight / (k.times.weight + 1)
 	if declared <= 0 {
 		return inTime(k.times.mean)
@@ -104,13 +105,12 @@
 	return inTime(share*k.times.mean + (1-share)*(own-bias))
 }
 
-// Step estimates how long a step runs whose tasks all begin at once: as long as its
-// longest task.
+// Step returns the estimated run time of a step whose tasks all start at once: that of its longest task.
 func (e *Estimates) Step(name string, declared time.Duration, tasks int) time.Duration {
 	return time.Duration(float64(e.Task(name, declared)) * longest(tasks))
 }
 
-// longest is by how much the longest of some tasks exceeds the usual one.
+// longest returns the expected ratio between the longest of the given number of tasks and the median task.
 func longest(tasks int) float64 {
 	if tasks <= 1 {
 		return 1
--- a/pkg/process/runtimes/runtimes_test.go
+++ b/pkg/process/runtimes/runtimes_test.go
@@ -11,9 +11,9 @@
 	"github.com/wrenferry/wrenferry/pkg/process/runtimes"
 )
 
-// play lets steps of 8 tasks end, whose callers are off by a factor with the given
-// deviation of its logarithm, and returns by how much declared times and estimates were
-// off for the steps after them.
+// play simulates steps of 8 tasks. The logarithms of their declared times have errors with the given standard
+// deviation. It returns the mean absolute errors of the declared times and of the estimates, as logarithms, over
+// the second half of the steps.
 func play(stray float64) (declaredOff, estimateOff float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	e := runtimes.New()
@@ -34,7 +34,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Callers who know little say less than what was seen of their kind of job.
+// If callers declare inaccurate times, past run times of the kind give the better estimate.
 func TestWhatWasSeenCountsWhereCallersAreFarOff(t *testing.T) {
 	t.Parallel()
 	declared, estimate := play(0.9)
@@ -42,7 +42,7 @@
 	must.Less(t, 0.4, estimate)
 }
 
-// Callers who know their jobs are believed.
+// If callers declare accurate times, the estimate stays close to them.
 func TestWhatIsDeclaredCountsWhereCallersAreRight(t *testing.T) {
 	t.Parallel()
 	declared, estimate := play(0.05)
@@ -59,7 +59,7 @@
 	must.Between(t, 1999*time.Millisecond, e.Task("new", 0), 2001*time.Millisecond)
 }
 
-// A wide step takes as long as its longest task.
+// A step with many tasks takes as long as its longest task.
 func TestAWideStepTakesLonger(t *testing.T) {
 	t.Parallel()
 	e := runtimes.New()
@@ -67,7 +67,7 @@
 	must.Between(t, 1400*time.Millisecond, e.Step("new", time.Second, 8), 1600*time.Millisecond)
 }
 
-// A worker that runs a hundred times slower does not spoil what is known.
+// A worker that runs a hundred times slower than the others must not distort the estimate.
 func TestOneSlowRunSaysLittle(t *testing.T) {
 	t.Parallel()
 	e := runtimes.New()
