--- a/pkg/process/jobs/job.go
+++ b/pkg/process/jobs/job.go
@@ -35,12 +35,12 @@
 	CancelRequested bool
 	Units           []*Unit
 
-	times int
+	openedRepetitions int
 	// targetCells are the cells that have had delegated tasks of the job.
 	targetCells map[string]bool
-	// chains holds, per step, the longest chain of estimated work that begins with the step. The estimates are of
+	// longestChains holds, per step, the longest chain of estimated work that begins with the step. The estimates are of
 	// the time chainsAt.
-	chains   []time.Duration
+	longestChains   []time.Duration
 	chainsAt time.Time
 }
 
@@ -94,8 +94,8 @@
 	// IsolatedBefore is true if the predecessor's record allowed only isolated runs of the task. Each isolated run
 	// is recorded before it starts.
 	IsolatedBefore bool
-	// crashedSomewhere is true if one of the crashes names a host.
-	crashedSomewhere bool
+	// crashHostKnown is true if one of the crashes names a host.
+	crashHostKnown bool
 	// Runs are the runs that may be running now.
 	Runs []*Run
 	// RetryAt is the earliest time of the next start after a worker refused one.
@@ -130,16 +130,16 @@
 	j := &Job{Spec: spec, Phase: wire.JobPhase_JOB_PHASE_QUEUED, AcceptedAt: acceptedAt}
 	j.Estimate(time.Time{}, func(step *wire.StepSpec) time.Duration { return time.Duration(step.GetEstimateMs()) * time.Millisecond })
 	if spec.GetRepeats() == 0 {
-		j.openTime(0)
+		j.openRepetition(0)
 	}
-	j.markGuest()
+	j.applyDelegatedTasks()
 	return j
 }
 
 // Repeats returns the number of repetitions of the job, at least 1.
 func (j *Job) Repeats() int { return max(1, int(j.Spec.GetRepeats())) }
 
-func (j *Job) openTime(time int) {
+func (j *Job) openRepetition(time int) {
 	for i, step := range j.Spec.GetSteps() {
 		u := &Unit{
 			Job: j, Time: time, Step: i, Spec: step,
@@ -151,9 +151,9 @@
 		}
 		j.Units = append(j.Units, u)
 	}
-	j.times = max(j.times, time+1)
+	j.openedRepetitions = max(j.openedRepetitions, time+1)
 	if j.Delegated() {
-		j.leaveToHome(time)
+		j.leaveTasksToHome(time)
 	}
 }
 
@@ -164,8 +164,8 @@
 		return nil
 	}
 	before := len(j.Units)
-	for j.times < int(j.Spec.GetRepeats()) && !wall.Before(j.DueAt(j.times)) {
-		j.openTime(j.times)
+	for j.openedRepetitions < int(j.Spec.GetRepeats()) && !wall.Before(j.DueAt(j.openedRepetitions)) {
+		j.openRepetition(j.openedRepetitions)
 	}
 	return j.Units[before:]
 }
@@ -178,7 +178,7 @@
 // NotYetDue returns whether the task belongs to a repetition whose units do not exist yet. It is false for a
 // delegated job, where the delegated tasks determine the repetitions, not the wall-clock time.
 func (j *Job) NotYetDue(id TaskID) bool {
-	return !j.Delegated() && id.Time >= j.times && id.Time < j.Repeats() && id.Step < len(j.Spec.GetSteps())
+	return !j.Delegated() && id.Time >= j.openedRepetitions && id.Time < j.Repeats() && id.Step < len(j.Spec.GetSteps())
 }
 
 // Ended returns whether the job is in a final phase.
@@ -197,7 +197,7 @@
 
 // AllDone returns whether every task of every repetition has succeeded.
 func (j *Job) AllDone() bool {
-	if j.times < j.Repeats() {
+	if j.openedRepetitions < j.Repeats() {
 		return false
 	}
 	for _, u := range j.Units {
@@ -227,12 +227,12 @@
 }
 
 // Chain returns the longest chain of estimated work from the given step to the job's end, including the step.
-func (j *Job) Chain(step int) time.Duration { return j.chains[step] }
+func (j *Job) Chain(step int) time.Duration { return j.longestChains[step] }
 
 // WholeChain returns the longest chain of estimated work of the whole job.
 func (j *Job) WholeChain() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range j.chains {
+	for _, c := range j.longestChains {
 		longest = max(longest, c)
 	}
 	return longest
@@ -252,7 +252,7 @@
 			list[before] = max(list[before], list[i])
 		}
 	}
-	j.chains, j.chainsAt = list, now
+	j.longestChains, j.chainsAt = list, now
 }
 
 // ------------------------------------------------------------------ units
--- a/pkg/process/jobs/lending.go
+++ b/pkg/process/jobs/lending.go
@@ -14,40 +14,40 @@
 // delegated. The target cell may return a task, or report that it is done or has failed. The delegations of a task
 // are numbered, so that reports on an earlier one have no effect.
 
-// elsewhere is the value of Task.DelegatedTo for tasks of a delegated job that were never delegated to this cell.
+// notDelegatedHere is the value of Task.DelegatedTo for tasks of a delegated job that were never delegated to this cell.
 // Tasks that this cell has returned have the home cell's name there.
-const elsewhere = "elsewhere"
+const notDelegatedHere = "elsewhere"
 
 // Delegated returns whether another cell, the home cell, keeps the job and has delegated some of its tasks to this
 // cell.
 func (j *Job) Delegated() bool { return len(j.Spec.GetGuest()) > 0 }
 
-// leaveToHome leaves all tasks of one repetition of a delegated job to the home cell.
-func (j *Job) leaveToHome(time int) {
+// leaveTasksToHome leaves all tasks of one repetition of a delegated job to the home cell.
+func (j *Job) leaveTasksToHome(time int) {
 	for _, u := range j.Units {
 		if u.Time != time {
 			continue
 		}
 		for _, t := range u.Tasks {
-			t.DelegatedTo = elsewhere
+			t.DelegatedTo = notDelegatedHere
 		}
 	}
 }
 
-// openFor creates the units of all repetitions up to that of a delegated task.
-func (j *Job) openFor(r *wire.TaskRef) {
-	for j.times <= int(r.GetTime()) && j.times < j.Repeats() {
-		j.openTime(j.times)
+// openRepetitionOf creates the units of all repetitions up to that of a delegated task.
+func (j *Job) openRepetitionOf(r *wire.TaskRef) {
+	for j.openedRepetitions <= int(r.GetTime()) && j.openedRepetitions < j.Repeats() {
+		j.openRepetition(j.openedRepetitions)
 	}
 }
 
-// markGuest applies the specification's list of delegated tasks. All other tasks are left to the home cell.
-func (j *Job) markGuest() {
+// applyDelegatedTasks applies the specification's list of delegated tasks. All other tasks are left to the home cell.
+func (j *Job) applyDelegatedTasks() {
 	for _, r := range j.Spec.GetGuest() {
-		j.openFor(r)
-		if t := j.at(r); t != nil {
+		j.openRepetitionOf(r)
+		if t := j.taskByRef(r); t != nil {
 			t.DelegatedTo, t.Delegations = "", r.GetLending()
-			t.takeOver(r)
+			t.copyStateFrom(r)
 		}
 	}
 }
@@ -55,31 +55,31 @@
 // Arrived sets the time at which delegated tasks came to this cell. Their wait here begins then.
 func (j *Job) Arrived(now time.Time) {
 	for _, r := range j.Spec.GetGuest() {
-		if t := j.at(r); t != nil && t.DelegatedTo == "" {
-			t.arrive(now, r)
+		if t := j.taskByRef(r); t != nil && t.DelegatedTo == "" {
+			t.setArrival(now, r)
 		}
 	}
 }
 
-// arrive sets the times of a task that comes from another cell, including its wait there.
-func (t *Task) arrive(now time.Time, r *wire.TaskRef) {
+// setArrival sets the times of a task that comes from another cell, including its wait there.
+func (t *Task) setArrival(now time.Time, r *wire.TaskRef) {
 	t.InCellSince = now
 	t.WaitingSince = now.Add(-time.Duration(r.GetWaitedMs()) * time.Millisecond)
 }
 
-// takeOver copies the crash evidence, failures and checkpoint that the cell the task comes from knows.
-func (t *Task) takeOver(r *wire.TaskRef) {
-	t.setCrashes(crashesOf(r.GetCrashes()))
+// copyStateFrom copies the crash evidence, failures and checkpoint that the cell the task comes from knows.
+func (t *Task) copyStateFrom(r *wire.TaskRef) {
+	t.setEvidence(decodeCrashes(r.GetCrashes()))
 	t.Isolation = NoIsolation
-	t.failedElsewhere(r)
+	t.addFailuresElsewhere(r)
 	if r.GetCheckpoint() != "" {
 		t.Checkpoint = r.GetCheckpoint()
 	}
 }
 
-// failedElsewhere updates FailedElsewhere from the total number of failures in r, which includes those in this
+// addFailuresElsewhere updates FailedElsewhere from the total number of failures in r, which includes those in this
 // cell.
-func (t *Task) failedElsewhere(r *wire.TaskRef) {
+func (t *Task) addFailuresElsewhere(r *wire.TaskRef) {
 	t.FailedElsewhere = max(t.FailedElsewhere, int(r.GetFailed())-(t.Failures()-t.FailedElsewhere))
 }
 
@@ -91,15 +91,15 @@
 	}
 	more := false
 	for _, r := range spec.GetGuest() {
-		j.openFor(r)
-		t := j.at(r)
-		if t == nil || (t.DelegatedTo != elsewhere && (t.DelegatedTo == "" || r.GetLending() <= t.Delegations)) {
+		j.openRepetitionOf(r)
+		t := j.taskByRef(r)
+		if t == nil || (t.DelegatedTo != notDelegatedHere && (t.DelegatedTo == "" || r.GetLending() <= t.Delegations)) {
 			continue
 		}
 		t.DelegatedTo, t.Delegations, more = "", r.GetLending(), true
 		t.Settled = settled
-		t.arrive(now, r)
-		t.takeOver(r)
+		t.setArrival(now, r)
+		t.copyStateFrom(r)
 	}
 	if more {
 		j.Spec = spec
@@ -113,12 +113,12 @@
 func (j *Job) MergeHomeEvidence(spec *wire.JobSpec) []*Task {
 	var list []*Task
 	for _, r := range spec.GetGuest() {
-		t := j.at(r)
+		t := j.taskByRef(r)
 		if t == nil || t.DelegatedTo != "" || r.GetLending() != t.Delegations {
 			continue
 		}
 		news := false
-		for _, c := range crashesOf(r.GetCrashes()) {
+		for _, c := range decodeCrashes(r.GetCrashes()) {
 			news = (!c.Silent && t.Resolve(c.Worker, c.Run, true)) || news
 		}
 		if news {
@@ -128,7 +128,7 @@
 	return list
 }
 
-func (j *Job) at(r *wire.TaskRef) *Task {
+func (j *Job) taskByRef(r *wire.TaskRef) *Task {
 	return j.Task(int(r.GetTime()), int(r.GetStep()), int(r.GetIndex()))
 }
 
@@ -143,7 +143,7 @@
 	}
 	report := &wire.ReturnedTasks{
 		Id: j.Spec.GetId(), From: j.Spec.GetCell(), Home: j.Spec.GetHome(),
-		Tasks: j.refsTo(j.Spec.GetHome()), Done: j.refs(func(t *Task) bool { return t.Done }),
+		Tasks: j.refsDelegatedTo(j.Spec.GetHome()), Done: j.refsWhere(func(t *Task) bool { return t.Done }),
 	}
 	if j.Phase == wire.JobPhase_JOB_PHASE_FAILED {
 		report.Failed = j.Reason
@@ -156,17 +156,17 @@
 
 // DelegatedDone returns whether all delegated tasks that were not returned are done.
 func (j *Job) DelegatedDone() bool {
-	open := j.refs(func(t *Task) bool { return t.DelegatedTo == "" && !t.Done })
+	open := j.refsWhere(func(t *Task) bool { return t.DelegatedTo == "" && !t.Done })
 	return j.Delegated() && len(open) == 0
 }
 
 // ApplyReturned applies another cell's report of returned and done tasks. It returns whether it changed any task.
 // settled is true if no predecessor can have applied the report and started the tasks already.
 func (j *Job) ApplyReturned(r *wire.ReturnedTasks, now time.Time, settled bool) bool {
-	news := j.takeDone(r)
-	j.borrowed(r.GetFrom())
+	news := j.applyDone(r)
+	j.addTargetCell(r.GetFrom())
 	for _, ref := range r.GetTasks() {
-		t := j.at(ref)
+		t := j.taskByRef(ref)
 		if t == nil {
 			continue
 		}
@@ -175,10 +175,10 @@
 		}
 		if t.DelegatedTo == r.GetFrom() && t.Delegations == ref.GetLending() {
 			t.DelegatedTo, t.Settled, news = "", settled, true
-			t.arrive(now, ref)
+			t.setArrival(now, ref)
 			t.ReturnedAt[r.GetFrom()] = now
-			t.takeBackCrashes(crashesOf(ref.GetCrashes()))
-			t.failedElsewhere(ref)
+			t.applyReturnedEvidence(decodeCrashes(ref.GetCrashes()))
+			t.addFailuresElsewhere(ref)
 			if ref.GetCheckpoint() != "" {
 				t.Checkpoint = ref.GetCheckpoint()
 			}
@@ -189,10 +189,10 @@
 	return news
 }
 
-func (j *Job) takeDone(r *wire.ReturnedTasks) bool {
+func (j *Job) applyDone(r *wire.ReturnedTasks) bool {
 	news := false
 	for _, ref := range r.GetDone() {
-		t := j.at(ref)
+		t := j.taskByRef(ref)
 		if t == nil || t.DelegatedTo != r.GetFrom() || t.Delegations != ref.GetLending() {
 			continue
 		}
@@ -203,25 +203,25 @@
 	return news
 }
 
-// borrowed records that a cell has had tasks of the job.
-func (j *Job) borrowed(cell string) {
+// addTargetCell records that a cell has had tasks of the job.
+func (j *Job) addTargetCell(cell string) {
 	if j.targetCells == nil {
 		j.targetCells = map[string]bool{}
 	}
 	j.targetCells[cell] = true
 }
 
-// refsTo returns references to the tasks that are left to a cell.
-func (j *Job) refsTo(cell string) []*wire.TaskRef {
-	return j.refs(func(t *Task) bool { return t.DelegatedTo == cell })
+// refsDelegatedTo returns references to the tasks that are left to a cell.
+func (j *Job) refsDelegatedTo(cell string) []*wire.TaskRef {
+	return j.refsWhere(func(t *Task) bool { return t.DelegatedTo == cell })
 }
 
-func (j *Job) refs(which func(t *Task) bool) []*wire.TaskRef {
+func (j *Job) refsWhere(which func(t *Task) bool) []*wire.TaskRef {
 	var refs []*wire.TaskRef
 	for _, u := range j.Units {
 		for _, t := range u.Tasks {
 			if which(t) {
-				refs = append(refs, &wire.TaskRef{Time: int32(u.Time), Step: int32(u.Step), Index: int32(t.Index), Lending: t.Delegations, Crashes: crashNotes(t.Crashes), Failed: int32(t.Failures()), Checkpoint: t.Checkpoint, WaitedMs: t.WaitedBeforeHandover.Milliseconds()})
+				refs = append(refs, &wire.TaskRef{Time: int32(u.Time), Step: int32(u.Step), Index: int32(t.Index), Lending: t.Delegations, Crashes: encodeCrashes(t.Crashes), Failed: int32(t.Failures()), Checkpoint: t.Checkpoint, WaitedMs: t.WaitedBeforeHandover.Milliseconds()})
 			}
 		}
 	}
@@ -235,12 +235,12 @@
 		t.DelegatedTo = cell
 		t.Delegations++
 	}
-	j.borrowed(cell)
+	j.addTargetCell(cell)
 	spec, ok := proto.Clone(j.Spec).(*wire.JobSpec)
 	if !ok {
 		return nil // unreachable: proto.Clone returns its argument's type
 	}
-	spec.Cell, spec.Home, spec.Guest = cell, j.Spec.GetCell(), j.refsTo(cell)
+	spec.Cell, spec.Home, spec.Guest = cell, j.Spec.GetCell(), j.refsDelegatedTo(cell)
 	return spec
 }
 
--- a/pkg/process/jobs/lending_test.go
+++ b/pkg/process/jobs/lending_test.go
@@ -13,7 +13,7 @@
 // A gang fails once in its home cell and once in the target cell, which returns it. Each cell must know of all
 // failures, also after a change of its leader. Otherwise the two cells together would start the gang more often
 // than one cell alone may.
-func TestFailuresAndCheckpointsGoWithWhatIsLent(t *testing.T) {
+func TestDelegationCarriesFailuresAndCheckpoints(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
 	spec := &wire.JobSpec{Id: "00000000000000aa", Cell: "home", Steps: []*wire.StepSpec{{Count: 2, Gang: true}}}
--- a/pkg/process/jobs/progress.go
+++ b/pkg/process/jobs/progress.go
@@ -33,13 +33,13 @@
 			continue
 		}
 		lent := t.DelegatedTo
-		if lent == elsewhere {
+		if lent == notDelegatedHere {
 			lent = "" // the specification implies it
 		}
 		if len(t.FailedRuns) > 0 || t.FailedElsewhere > 0 || t.Checkpoint != "" || lent != "" || t.Delegations > 0 || len(t.Crashes) > 0 {
 			up.Notes = append(up.Notes, &wire.TaskNote{
 				Index: int32(i), FailedRuns: t.FailedRuns, FailedElsewhere: int32(t.FailedElsewhere), Checkpoint: t.Checkpoint, LentTo: lent, Lending: t.Delegations,
-				Crashes: crashNotes(t.Crashes), Trial: t.Isolation != NoIsolation,
+				Crashes: encodeCrashes(t.Crashes), Trial: t.Isolation != NoIsolation,
 			})
 		}
 	}
@@ -71,8 +71,8 @@
 }
 
 func (j *Job) restoreUnit(up *wire.UnitProgress) {
-	for int(up.GetTime()) >= j.times && j.times < j.Repeats() {
-		j.openTime(j.times) // the repetition has progress, so it was due
+	for int(up.GetTime()) >= j.openedRepetitions && j.openedRepetitions < j.Repeats() {
+		j.openRepetition(j.openedRepetitions) // the repetition has progress, so it was due
 	}
 	u := j.unit(int(up.GetTime()), int(up.GetStep()))
 	if u == nil {
@@ -94,7 +94,7 @@
 		}
 		lentAgain := j.Delegated() && t.Delegations > n.GetLending() // after the note was written
 		if !lentAgain {
-			t.setCrashes(crashesOf(n.GetCrashes()))
+			t.setEvidence(decodeCrashes(n.GetCrashes()))
 			t.IsolatedBefore = t.Level() == poisontask.NeedsIsolation && !u.Spec.GetGang() && !u.Lasting()
 			t.Isolation = NoIsolation
 			if n.GetTrial() {
@@ -103,7 +103,7 @@
 		}
 		if n.GetLentTo() != "" && !lentAgain {
 			t.DelegatedTo = n.GetLentTo()
-			j.borrowed(t.DelegatedTo)
+			j.addTargetCell(t.DelegatedTo)
 		}
 		t.Delegations = max(t.Delegations, n.GetLending())
 		for _, r := range n.GetFailedRuns() {
--- a/pkg/process/jobs/suspicion.go
+++ b/pkg/process/jobs/suspicion.go
@@ -29,15 +29,15 @@
 // Level returns how strongly the task is suspected of crashing workers.
 func (t *Task) Level() poisontask.Level { return t.level }
 
-// setCrashes replaces the task's crash evidence. It computes the level here because each placement reads it.
-func (t *Task) setCrashes(crashes []poisontask.Crash) {
+// setEvidence replaces the task's crash evidence. It computes the level here because each placement reads it.
+func (t *Task) setEvidence(crashes []poisontask.Crash) {
 	t.Crashes, t.level = crashes, poisontask.LevelOf(crashes)
-	t.crashedSomewhere = slices.ContainsFunc(crashes, func(c poisontask.Crash) bool { return c.Host != "" })
+	t.crashHostKnown = slices.ContainsFunc(crashes, func(c poisontask.Crash) bool { return c.Host != "" })
 }
 
 // NeedsSpecificWorker returns whether some workers with enough free capacity are unsuitable for the task. Such a
 // task waits on its own: other tasks of its step may be placed in the meantime.
-func (t *Task) NeedsSpecificWorker() bool { return t.crashedSomewhere || t.Suspected() }
+func (t *Task) NeedsSpecificWorker() bool { return t.crashHostKnown || t.Suspected() }
 
 // Suspected returns whether the task's level is poisontask.Suspected or higher.
 func (t *Task) Suspected() bool { return t.Level() >= poisontask.Suspected }
@@ -46,7 +46,7 @@
 // silent, and c is a confirmed crash, the entry is confirmed and nothing is added. AddCrash returns whether the
 // evidence changed.
 func (t *Task) AddCrash(c poisontask.Crash) bool {
-	if i := t.crash(c.Worker, c.Run); i >= 0 && c.Run != 0 {
+	if i := t.crashIndex(c.Worker, c.Run); i >= 0 && c.Run != 0 {
 		if c.Silent || !t.Crashes[i].Silent {
 			return false
 		}
@@ -58,7 +58,7 @@
 	if len(crashes) > maxCrashes {
 		crashes = crashes[1:]
 	}
-	t.setCrashes(crashes)
+	t.setEvidence(crashes)
 	t.Isolation = NoIsolation
 	return true
 }
@@ -80,18 +80,18 @@
 
 // SilentAt returns whether the worker became silent during the run and is not known to have crashed.
 func (t *Task) SilentAt(worker string, run int64) bool {
-	i := t.crash(worker, run)
+	i := t.crashIndex(worker, run)
 	return i >= 0 && t.Crashes[i].Silent
 }
 
-func (t *Task) crash(worker string, run int64) int {
+func (t *Task) crashIndex(worker string, run int64) int {
 	return slices.IndexFunc(t.Crashes, func(c poisontask.Crash) bool { return c.Worker == worker && c.Run == run })
 }
 
 // Resolve records whether a worker that became silent during a run has crashed or was only unreachable. It returns
 // whether the evidence changed.
 func (t *Task) Resolve(worker string, run int64, crashed bool) bool {
-	i := t.crash(worker, run)
+	i := t.crashIndex(worker, run)
 	if i < 0 || !t.Crashes[i].Silent {
 		return false
 	}
@@ -101,26 +101,26 @@
 	} else {
 		crashes = slices.Delete(crashes, i, i+1)
 	}
-	t.setCrashes(crashes)
+	t.setEvidence(crashes)
 	t.Isolation = NoIsolation
 	return true
 }
 
-// takeBackCrashes replaces the evidence by that of the cell that returned the task. Crashes that were confirmed
+// applyReturnedEvidence replaces the evidence by that of the cell that returned the task. Crashes that were confirmed
 // here since the task was delegated stay confirmed, because the other cell could not learn of them.
-func (t *Task) takeBackCrashes(crashes []poisontask.Crash) {
+func (t *Task) applyReturnedEvidence(crashes []poisontask.Crash) {
 	for i, c := range crashes {
-		if j := t.crash(c.Worker, c.Run); j >= 0 && !t.Crashes[j].Silent {
+		if j := t.crashIndex(c.Worker, c.Run); j >= 0 && !t.Crashes[j].Silent {
 			crashes[i].Silent = false
 		}
 	}
-	t.setCrashes(crashes)
+	t.setEvidence(crashes)
 	t.Isolation = NoIsolation
 }
 
 // Exonerate removes all crash evidence of the task.
 func (t *Task) Exonerate() {
-	t.setCrashes(nil)
+	t.setEvidence(nil)
 	t.Isolation = NoIsolation
 }
 
@@ -147,7 +147,7 @@
 	return list
 }
 
-func crashNotes(crashes []poisontask.Crash) []*wire.CrashNote {
+func encodeCrashes(crashes []poisontask.Crash) []*wire.CrashNote {
 	var list []*wire.CrashNote
 	for _, c := range crashes {
 		list = append(list, &wire.CrashNote{
@@ -158,7 +158,7 @@
 	return list
 }
 
-func crashesOf(notes []*wire.CrashNote) []poisontask.Crash {
+func decodeCrashes(notes []*wire.CrashNote) []poisontask.Crash {
 	var list []poisontask.Crash
 	for _, n := range notes {
 		list = append(list, poisontask.Crash{
--- a/pkg/process/ledger/ledger.go
+++ b/pkg/process/ledger/ledger.go
@@ -55,7 +55,7 @@
 	if !size.Fits(w.Free()) {
 		return false
 	}
-	w.book(name, size)
+	w.addReservation(name, size)
 	return true
 }
 
@@ -63,7 +63,7 @@
 // uses the resources in any case, and omitting it would over-commit the host.
 func (w *Worker) Adopt(name string, size Size) {
 	if _, ok := w.reserved[name]; !ok {
-		w.book(name, size)
+		w.addReservation(name, size)
 	}
 }
 
@@ -90,7 +90,7 @@
 	return names
 }
 
-func (w *Worker) book(name string, size Size) {
+func (w *Worker) addReservation(name string, size Size) {
 	w.reserved[name] = size
 	w.sum = w.sum.Plus(size)
 }
--- a/pkg/process/quota/quota.go
+++ b/pkg/process/quota/quota.go
@@ -31,12 +31,12 @@
 // Over returns whether a task of the given size would take the team over its limit.
 func Over(used, size ledger.Size, limit Limit) bool {
 	after := used.Plus(size)
-	return over(after.Millicores, limit.Millicores) ||
-		over(after.MemoryMB, limit.MemoryMB) ||
-		over(after.Accelerators, limit.Accelerators)
+	return exceeds(after.Millicores, limit.Millicores) ||
+		exceeds(after.MemoryMB, limit.MemoryMB) ||
+		exceeds(after.Accelerators, limit.Accelerators)
 }
 
-func over(amount, limit int64) bool { return limit > 0 && amount > limit }
+func exceeds(amount, limit int64) bool { return limit > 0 && amount > limit }
 
 // Order sorts the queue in place. It computes the shares once, before the round, because one round places few
 // tasks compared with those already running.
--- a/pkg/process/runtimes/runtimes.go
+++ b/pkg/process/runtimes/runtimes.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// firstVariance is the prior variance of a kind's step times, and of the errors in the times that callers
+	// priorVariance is the prior variance of a kind's step times, and of the errors in the times that callers
 	// declare.
-	firstVariance = 0.25
-	// firstWeight is the weight of the prior, in steps.
-	firstWeight = 4.0
-	// withinSD is the standard deviation of the run times within one step.
-	withinSD = 0.28
-	// leastVariance is the lower bound of a variance. It keeps weights finite.
-	leastVariance = 0.01
-	// strayMost bounds the effect of one run: the logarithm of its time counts as at most this far from the mean.
+	priorVariance = 0.25
+	// priorWeight is the weight of the prior, in steps.
+	priorWeight = 4.0
+	// withinStepSD is the standard deviation of the run times within one step.
+	withinStepSD = 0.28
+	// minVariance is the lower bound of a variance. It keeps weights finite.
+	minVariance = 0.01
+	// maxDeviation bounds the effect of one run: the logarithm of its time counts as at most this far from the mean.
 	// Slow workers take many times as long as others.
-	strayMost = 2.0
-	// memory is the upper bound of a distribution's weight, in steps. Older steps lose influence beyond it,
+	maxDeviation = 2.0
+	// maxWeight is the upper bound of a distribution's weight, in steps. Older steps lose influence beyond it,
 	// because loads change within minutes.
-	memory = 200.0
+	maxWeight = 200.0
 )
 
 // Estimates holds what was learned per kind of job. It is not safe for concurrent use.
@@ -41,31 +41,31 @@
 
 // kind holds what was learned of one kind of job.
 type kind struct {
-	// times are the run times of the kind's steps, errors the factors by which declared times exceeded them. Both
+	// logTimes are the run times of the kind's steps, errors the factors by which declared times exceeded them. Both
 	// are logarithms.
-	times, errors spread
+	logTimes, logErrors distribution
 }
 
-// spread is a running mean and variance with a bounded memory.
-type spread struct{ weight, mean, variance float64 }
+// distribution is a running mean and variance with a bounded memory.
+type distribution struct{ weight, mean, variance float64 }
 
-func (s *spread) take(value, weight float64) {
+func (s *distribution) add(value, weight float64) {
 	if s.weight == 0 {
 		s.weight, s.mean = weight, value
 		return
 	}
-	value = min(max(value, s.mean-strayMost), s.mean+strayMost)
-	s.weight = min(s.weight+weight, memory)
+	value = min(max(value, s.mean-maxDeviation), s.mean+maxDeviation)
+	s.weight = min(s.weight+weight, maxWeight)
 	gain := weight / s.weight
 	miss := value - s.mean
 	s.mean += gain * miss
 	s.variance += gain * (miss*miss*(1-gain) - s.variance)
 }
 
-// between returns the variance between steps: the total variance less that within a step, combined with the prior.
-func (s *spread) between() float64 {
-	sum := firstWeight*firstVariance + s.weight*(s.variance-withinSD*withinSD)
-	return max(leastVariance, sum/(firstWeight+s.weight))
+// betweenSteps returns the variance between steps: the total variance less that within a step, combined with the prior.
+func (s *distribution) betweenSteps() float64 {
+	sum := priorWeight*priorVariance + s.weight*(s.variance-withinStepSD*withinStepSD)
+	return max(minVariance, sum/(priorWeight+s.weight))
 }
 
 // Learn adds the run time of one task of a step. declared is its declared run time, 0 if there is none. tasks is
@@ -80,9 +80,9 @@
 		e.kinds[name] = k
 	}
 	weight := 1 / float64(tasks)
-	k.times.take(math.Log(took.Seconds()), weight)
+	k.logTimes.add(math.Log(took.Seconds()), weight)
 	if declared > 0 {
-		k.errors.take(math.Log(declared.Seconds())-math.Log(took.Seconds()), weight)
+		k.logErrors.add(math.Log(declared.Seconds())-math.Log(took.Seconds()), weight)
 	}
 }
 
@@ -94,31 +94,31 @@
 		return declared
 	}
 	// The prior for the kind's mean is the declared time, with the weight of one step.
-	known := k.times.weight / (k.times.weight + 1)
+	known := k.logTimes.weight / (k.logTimes.weight + 1)
 	if declared <= 0 {
-		return inTime(k.times.mean)
+		return fromLog(k.logTimes.mean)
 	}
 	own := math.Log(declared.Seconds())
-	bias := k.errors.mean * k.errors.weight / (k.errors.weight + firstWeight)
-	times, errors := k.times.between(), k.errors.between()
+	bias := k.logErrors.mean * k.logErrors.weight / (k.logErrors.weight + priorWeight)
+	times, errors := k.logTimes.betweenSteps(), k.logErrors.betweenSteps()
 	share := known * errors / (times + errors)
-	return inTime(share*k.times.mean + (1-share)*(own-bias))
+	return fromLog(share*k.logTimes.mean + (1-share)*(own-bias))
 }
 
 // Step returns the estimated run time of a step whose tasks all start at once: that of its longest task.
 func (e *Estimates) Step(name string, declared time.Duration, tasks int) time.Duration {
-	return time.Duration(float64(e.Task(name, declared)) * longest(tasks))
+	return time.Duration(float64(e.Task(name, declared)) * longestToMedian(tasks))
 }
 
-// longest returns the expected ratio between the longest of the given number of tasks and the median task.
-func longest(tasks int) float64 {
+// longestToMedian returns the expected ratio between the longest of the given number of tasks and the median task.
+func longestToMedian(tasks int) float64 {
 	if tasks <= 1 {
 		return 1
 	}
 	n := float64(tasks)
-	return math.Exp(withinSD * distuv.UnitNormal.Quantile((n-0.375)/(n+0.25)))
+	return math.Exp(withinStepSD * distuv.UnitNormal.Quantile((n-0.375)/(n+0.25)))
 }
 
-func inTime(log float64) time.Duration {
+func fromLog(log float64) time.Duration {
 	return time.Duration(math.Exp(log) * float64(time.Second))
 }
--- a/pkg/process/runtimes/runtimes_test.go
+++ b/pkg/process/runtimes/runtimes_test.go
@@ -11,10 +11,10 @@
 	"github.com/wrenferry/wrenferry/pkg/process/runtimes"
 )
 
-// play simulates steps of 8 tasks. The logarithms of their declared times have errors with the given standard
+// meanErrors simulates steps of 8 tasks. The logarithms of their declared times have errors with the given standard
 // deviation. It returns the mean absolute errors of the declared times and of the estimates, as logarithms, over
 // the second half of the steps.
-func play(stray float64) (declaredOff, estimateOff float64) {
+func meanErrors(stray float64) (declaredOff, estimateOff float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	e := runtimes.New()
 	const steps, tasks = 400, 8
@@ -35,22 +35,22 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // If callers declare inaccurate times, past run times of the kind give the better estimate.
-func TestWhatWasSeenCountsWhereCallersAreFarOff(t *testing.T) {
+func TestEstimateIsBetterThanInaccurateDeclaredTimes(t *testing.T) {
 	t.Parallel()
-	declared, estimate := play(0.9)
+	declared, estimate := meanErrors(0.9)
 	must.Greater(t, 0.6, declared)
 	must.Less(t, 0.4, estimate)
 }
 
 // If callers declare accurate times, the estimate stays close to them.
-func TestWhatIsDeclaredCountsWhereCallersAreRight(t *testing.T) {
+func TestEstimateStaysCloseToAccurateDeclaredTimes(t *testing.T) {
 	t.Parallel()
-	declared, estimate := play(0.05)
+	declared, estimate := meanErrors(0.05)
 	must.Less(t, 0.06, declared)
 	must.Less(t, 0.1, estimate)
 }
 
-func TestNothingIsKnownOfAnUnseenKind(t *testing.T) {
+func TestEstimateOfAnUnknownKindIsTheDeclaredTime(t *testing.T) {
 	t.Parallel()
 	e := runtimes.New()
 	must.Eq(t, 3*time.Second, e.Task("new", 3*time.Second))
@@ -60,7 +60,7 @@
 }
 
 // A step with many tasks takes as long as its longest task.
-func TestAWideStepTakesLonger(t *testing.T) {
+func TestStepTakesAsLongAsItsLongestTask(t *testing.T) {
 	t.Parallel()
 	e := runtimes.New()
 	must.Eq(t, time.Second, e.Step("new", time.Second, 1))
@@ -68,7 +68,7 @@
 }
 
 // A worker that runs a hundred times slower than the others must not distort the estimate.
-func TestOneSlowRunSaysLittle(t *testing.T) {
+func TestOneSlowRunBarelyChangesTheEstimate(t *testing.T) {
 	t.Parallel()
 	e := runtimes.New()
 	for range 50 {
