--- a/pkg/process/jobs/job.go
+++ b/pkg/process/jobs/job.go
@@ -40,8 +40,8 @@
 	targetCells map[string]bool
 	// longestChains holds, per step, the longest chain of estimated work that begins with the step. The estimates are of
 	// the time chainsAt.
-	longestChains   []time.Duration
-	chainsAt time.Time
+	longestChains []time.Duration
+	chainsAt      time.Time
 }
 
 // Unit is one step in one of the job's repetitions.
@@ -139,21 +139,21 @@
 // Repeats returns the number of repetitions of the job, at least 1.
 func (j *Job) Repeats() int { return max(1, int(j.Spec.GetRepeats())) }
 
-func (j *Job) openRepetition(time int) {
+func (j *Job) openRepetition(repetition int) {
 	for i, step := range j.Spec.GetSteps() {
 		u := &Unit{
-			Job: j, Time: time, Step: i, Spec: step,
+			Job: j, Time: repetition, Step: i, Spec: step,
 			Size: ledger.Size{Millicores: step.GetMillicores(), MemoryMB: step.GetMemoryMb(), Accelerators: step.GetAccelerators()},
 		}
-		u.name = j.Spec.GetId() + "." + strconv.Itoa(time) + "." + strconv.Itoa(i)
+		u.name = j.Spec.GetId() + "." + strconv.Itoa(repetition) + "." + strconv.Itoa(i)
 		for n := range int(step.GetCount()) {
 			u.Tasks = append(u.Tasks, &Task{Unit: u, Index: n, Settled: true, name: u.name + "." + strconv.Itoa(n)})
 		}
 		j.Units = append(j.Units, u)
 	}
-	j.openedRepetitions = max(j.openedRepetitions, time+1)
+	j.openedRepetitions = max(j.openedRepetitions, repetition+1)
 	if j.Delegated() {
-		j.leaveTasksToHome(time)
+		j.leaveTasksToHome(repetition)
 	}
 }
 
@@ -209,17 +209,17 @@
 }
 
 // unit returns the unit of a step in a repetition, nil if there is none.
-func (j *Job) unit(time, step int) *Unit {
-	at := time*len(j.Spec.GetSteps()) + step
-	if time < 0 || step < 0 || step >= len(j.Spec.GetSteps()) || at >= len(j.Units) {
+func (j *Job) unit(repetition, step int) *Unit {
+	index := repetition*len(j.Spec.GetSteps()) + step
+	if repetition < 0 || step < 0 || step >= len(j.Spec.GetSteps()) || index >= len(j.Units) {
 		return nil
 	}
-	return j.Units[at]
+	return j.Units[index]
 }
 
 // Task returns the task with the given repetition, step and index, nil if there is none.
-func (j *Job) Task(time, step, index int) *Task {
-	u := j.unit(time, step)
+func (j *Job) Task(repetition, step, index int) *Task {
+	u := j.unit(repetition, step)
 	if u == nil || index < 0 || index >= len(u.Tasks) {
 		return nil
 	}
@@ -242,17 +242,17 @@
 func (j *Job) EstimatedAt() time.Time { return j.chainsAt }
 
 // Estimate recomputes the chains of work. It goes from the last step to the first, because a step depends only on
-// earlier ones. takes returns the estimated duration of a step.
-func (j *Job) Estimate(now time.Time, takes func(*wire.StepSpec) time.Duration) {
+// earlier ones. estimate returns the estimated duration of a step.
+func (j *Job) Estimate(now time.Time, estimate func(*wire.StepSpec) time.Duration) {
 	steps := j.Spec.GetSteps()
-	list := make([]time.Duration, len(steps))
+	chains := make([]time.Duration, len(steps))
 	for i := len(steps) - 1; i >= 0; i-- {
-		list[i] += takes(steps[i])
+		chains[i] += estimate(steps[i])
 		for _, before := range steps[i].GetAfter() {
-			list[before] = max(list[before], list[i])
+			chains[before] = max(chains[before], chains[i])
 		}
 	}
-	j.longestChains, j.chainsAt = list, now
+	j.longestChains, j.chainsAt = chains, now
 }
 
 // ------------------------------------------------------------------ units
--- a/pkg/process/jobs/lending.go
+++ b/pkg/process/jobs/lending.go
@@ -23,9 +23,9 @@
 func (j *Job) Delegated() bool { return len(j.Spec.GetGuest()) > 0 }
 
 // leaveTasksToHome leaves all tasks of one repetition of a delegated job to the home cell.
-func (j *Job) leaveTasksToHome(time int) {
+func (j *Job) leaveTasksToHome(repetition int) {
 	for _, u := range j.Units {
-		if u.Time != time {
+		if u.Time != repetition {
 			continue
 		}
 		for _, t := range u.Tasks {
@@ -89,22 +89,22 @@
 	if !j.Delegated() {
 		return false
 	}
-	more := false
+	added := false
 	for _, r := range spec.GetGuest() {
 		j.openRepetitionOf(r)
 		t := j.taskByRef(r)
 		if t == nil || (t.DelegatedTo != notDelegatedHere && (t.DelegatedTo == "" || r.GetLending() <= t.Delegations)) {
 			continue
 		}
-		t.DelegatedTo, t.Delegations, more = "", r.GetLending(), true
+		t.DelegatedTo, t.Delegations, added = "", r.GetLending(), true
 		t.Settled = settled
 		t.setArrival(now, r)
 		t.copyStateFrom(r)
 	}
-	if more {
+	if added {
 		j.Spec = spec
 	}
-	return more
+	return added
 }
 
 // MergeHomeEvidence applies a later specification of the home cell to the crash evidence of delegated tasks:
@@ -117,11 +117,11 @@
 		if t == nil || t.DelegatedTo != "" || r.GetLending() != t.Delegations {
 			continue
 		}
-		news := false
+		changed := false
 		for _, c := range decodeCrashes(r.GetCrashes()) {
-			news = (!c.Silent && t.Resolve(c.Worker, c.Run, true)) || news
+			changed = (!c.Silent && t.Resolve(c.Worker, c.Run, true)) || changed
 		}
-		if news {
+		if changed {
 			list = append(list, t)
 		}
 	}
@@ -156,14 +156,14 @@
 
 // DelegatedDone returns whether all delegated tasks that were not returned are done.
 func (j *Job) DelegatedDone() bool {
-	open := j.refsWhere(func(t *Task) bool { return t.DelegatedTo == "" && !t.Done })
-	return j.Delegated() && len(open) == 0
+	unfinished := j.refsWhere(func(t *Task) bool { return t.DelegatedTo == "" && !t.Done })
+	return j.Delegated() && len(unfinished) == 0
 }
 
 // ApplyReturned applies another cell's report of returned and done tasks. It returns whether it changed any task.
 // settled is true if no predecessor can have applied the report and started the tasks already.
 func (j *Job) ApplyReturned(r *wire.ReturnedTasks, now time.Time, settled bool) bool {
-	news := j.applyDone(r)
+	changed := j.applyDone(r)
 	j.addTargetCell(r.GetFrom())
 	for _, ref := range r.GetTasks() {
 		t := j.taskByRef(ref)
@@ -174,7 +174,7 @@
 			t.ReturnedAt = map[string]time.Time{}
 		}
 		if t.DelegatedTo == r.GetFrom() && t.Delegations == ref.GetLending() {
-			t.DelegatedTo, t.Settled, news = "", settled, true
+			t.DelegatedTo, t.Settled, changed = "", settled, true
 			t.setArrival(now, ref)
 			t.ReturnedAt[r.GetFrom()] = now
 			t.applyReturnedEvidence(decodeCrashes(ref.GetCrashes()))
@@ -186,21 +186,21 @@
 			t.ReturnedAt[r.GetFrom()] = time.Time{}
 		}
 	}
-	return news
+	return changed
 }
 
 func (j *Job) applyDone(r *wire.ReturnedTasks) bool {
-	news := false
+	changed := false
 	for _, ref := range r.GetDone() {
 		t := j.taskByRef(ref)
 		if t == nil || t.DelegatedTo != r.GetFrom() || t.Delegations != ref.GetLending() {
 			continue
 		}
 		t.DelegatedTo = ""
-		news = t.MarkDone() || news
+		changed = t.MarkDone() || changed
 	}
-	j.Begun = j.Begun || news
-	return news
+	j.Begun = j.Begun || changed
+	return changed
 }
 
 // addTargetCell records that a cell has had tasks of the job.
@@ -216,11 +216,11 @@
 	return j.refsWhere(func(t *Task) bool { return t.DelegatedTo == cell })
 }
 
-func (j *Job) refsWhere(which func(t *Task) bool) []*wire.TaskRef {
+func (j *Job) refsWhere(include func(t *Task) bool) []*wire.TaskRef {
 	var refs []*wire.TaskRef
 	for _, u := range j.Units {
 		for _, t := range u.Tasks {
-			if which(t) {
+			if include(t) {
 				refs = append(refs, &wire.TaskRef{Time: int32(u.Time), Step: int32(u.Step), Index: int32(t.Index), Lending: t.Delegations, Crashes: encodeCrashes(t.Crashes), Failed: int32(t.Failures()), Checkpoint: t.Checkpoint, WaitedMs: t.WaitedBeforeHandover.Milliseconds()})
 			}
 		}
--- a/pkg/process/jobs/lending_test.go
+++ b/pkg/process/jobs/lending_test.go
@@ -22,13 +22,13 @@
 	gang[0].MarkFailed(1_000_001)
 	gang[0].Checkpoint = "half"
 
-	lent := home.Delegate("other", gang...)
-	guest := jobs.New(lent, now)
-	must.Eq(t, 1, guest.Units[0].Tasks[0].Failures())
-	must.Eq(t, "half", guest.Units[0].Tasks[0].Checkpoint)
-	must.Eq(t, 2, guest.Units[0].Tasks[0].MarkFailed(1_000_001)) // the same run number as in the home cell
+	delegatedSpec := home.Delegate("other", gang...)
+	delegated := jobs.New(delegatedSpec, now)
+	must.Eq(t, 1, delegated.Units[0].Tasks[0].Failures())
+	must.Eq(t, "half", delegated.Units[0].Tasks[0].Checkpoint)
+	must.Eq(t, 2, delegated.Units[0].Tasks[0].MarkFailed(1_000_001)) // the same run number as in the home cell
 
-	successor := jobs.Restore(lent, guest.Progress(), 1, now, now)
+	successor := jobs.Restore(delegatedSpec, delegated.Progress(), 1, now, now)
 	for _, member := range successor.Units[0].Tasks {
 		must.Eq(t, 2, member.Failures())
 		successor.ReturnTask(member)
--- a/pkg/process/jobs/progress.go
+++ b/pkg/process/jobs/progress.go
@@ -32,13 +32,13 @@
 			up.Done[i/8] |= 1 << (i % 8)
 			continue
 		}
-		lent := t.DelegatedTo
-		if lent == notDelegatedHere {
-			lent = "" // the specification implies it
+		targetCell := t.DelegatedTo
+		if targetCell == notDelegatedHere {
+			targetCell = "" // the specification implies it
 		}
-		if len(t.FailedRuns) > 0 || t.FailedElsewhere > 0 || t.Checkpoint != "" || lent != "" || t.Delegations > 0 || len(t.Crashes) > 0 {
+		if len(t.FailedRuns) > 0 || t.FailedElsewhere > 0 || t.Checkpoint != "" || targetCell != "" || t.Delegations > 0 || len(t.Crashes) > 0 {
 			up.Notes = append(up.Notes, &wire.TaskNote{
-				Index: int32(i), FailedRuns: t.FailedRuns, FailedElsewhere: int32(t.FailedElsewhere), Checkpoint: t.Checkpoint, LentTo: lent, Lending: t.Delegations,
+				Index: int32(i), FailedRuns: t.FailedRuns, FailedElsewhere: int32(t.FailedElsewhere), Checkpoint: t.Checkpoint, LentTo: targetCell, Lending: t.Delegations,
 				Crashes: encodeCrashes(t.Crashes), Trial: t.Isolation != NoIsolation,
 			})
 		}
@@ -92,8 +92,8 @@
 		if n.GetCheckpoint() != "" {
 			t.Checkpoint = n.GetCheckpoint()
 		}
-		lentAgain := j.Delegated() && t.Delegations > n.GetLending() // after the note was written
-		if !lentAgain {
+		delegatedAgain := j.Delegated() && t.Delegations > n.GetLending() // after the note was written
+		if !delegatedAgain {
 			t.setEvidence(decodeCrashes(n.GetCrashes()))
 			t.IsolatedBefore = t.Level() == poisontask.NeedsIsolation && !u.Spec.GetGang() && !u.Lasting()
 			t.Isolation = NoIsolation
@@ -101,7 +101,7 @@
 				t.Isolation = IsolationRecorded
 			}
 		}
-		if n.GetLentTo() != "" && !lentAgain {
+		if n.GetLentTo() != "" && !delegatedAgain {
 			t.DelegatedTo = n.GetLentTo()
 			j.addTargetCell(t.DelegatedTo)
 		}
--- a/pkg/process/jobs/run.go
+++ b/pkg/process/jobs/run.go
@@ -50,7 +50,7 @@
 	Percent    int
 	ProgressAt time.Time
 	BeganAt    time.Time
-	// Tail is the tail latency for users of a lasting task. UsedMillicores is the CPU use of any other task. Both
+	// Tail is the last reported tail latency of a lasting task's requests. UsedMillicores is the CPU use of any other task. Both
 	// are imprecise and delayed.
 	Tail           time.Duration
 	UsedMillicores int64
--- a/pkg/process/runtimes/runtimes.go
+++ b/pkg/process/runtimes/runtimes.go
@@ -41,7 +41,7 @@
 
 // kind holds what was learned of one kind of job.
 type kind struct {
-	// logTimes are the run times of the kind's steps, errors the factors by which declared times exceeded them. Both
+	// logTimes are the run times of the kind's steps, logErrors the factors by which declared times exceeded them. Both
 	// are logarithms.
 	logTimes, logErrors distribution
 }
@@ -57,9 +57,9 @@
 	value = min(max(value, s.mean-maxDeviation), s.mean+maxDeviation)
 	s.weight = min(s.weight+weight, maxWeight)
 	gain := weight / s.weight
-	miss := value - s.mean
-	s.mean += gain * miss
-	s.variance += gain * (miss*miss*(1-gain) - s.variance)
+	deviation := value - s.mean
+	s.mean += gain * deviation
+	s.variance += gain * (deviation*deviation*(1-gain) - s.variance)
 }
 
 // betweenSteps returns the variance between steps: the total variance less that within a step, combined with the prior.
@@ -69,9 +69,9 @@
 }
 
 // Learn adds the run time of one task of a step. declared is its declared run time, 0 if there is none. tasks is
-// the number of tasks of the step, which weigh as much as one step together.
-func (e *Estimates) Learn(name string, declared, took time.Duration, tasks int) {
-	if took <= 0 || tasks <= 0 {
+// the number of tasks of the step. All tasks of a step together have weight 1.
+func (e *Estimates) Learn(name string, declared, runTime time.Duration, tasks int) {
+	if runTime <= 0 || tasks <= 0 {
 		return
 	}
 	k := e.kinds[name]
@@ -80,9 +80,9 @@
 		e.kinds[name] = k
 	}
 	weight := 1 / float64(tasks)
-	k.logTimes.add(math.Log(took.Seconds()), weight)
+	k.logTimes.add(math.Log(runTime.Seconds()), weight)
 	if declared > 0 {
-		k.logErrors.add(math.Log(declared.Seconds())-math.Log(took.Seconds()), weight)
+		k.logErrors.add(math.Log(declared.Seconds())-math.Log(runTime.Seconds()), weight)
 	}
 }
 
@@ -94,15 +94,15 @@
 		return declared
 	}
 	// The prior for the kind's mean is the declared time, with the weight of one step.
-	known := k.logTimes.weight / (k.logTimes.weight + 1)
+	kindConfidence := k.logTimes.weight / (k.logTimes.weight + 1)
 	if declared <= 0 {
 		return fromLog(k.logTimes.mean)
 	}
-	own := math.Log(declared.Seconds())
+	declaredLog := math.Log(declared.Seconds())
 	bias := k.logErrors.mean * k.logErrors.weight / (k.logErrors.weight + priorWeight)
 	times, errors := k.logTimes.betweenSteps(), k.logErrors.betweenSteps()
-	share := known * errors / (times + errors)
-	return fromLog(share*k.logTimes.mean + (1-share)*(own-bias))
+	kindShare := kindConfidence * errors / (times + errors)
+	return fromLog(kindShare*k.logTimes.mean + (1-kindShare)*(declaredLog-bias))
 }
 
 // Step returns the estimated run time of a step whose tasks all start at once: that of its longest task.
@@ -110,7 +110,8 @@
 	return time.Duration(float64(e.Task(name, declared)) * longestToMedian(tasks))
 }
 
-// longestToMedian returns the expected ratio between the longest of the given number of tasks and the median task.
+// longestToMedian returns the approximate ratio between the run times of the longest of the given number of tasks and
+// of the median task. The quantile is Blom's approximation of the expected maximum of normal variables.
 func longestToMedian(tasks int) float64 {
 	if tasks <= 1 {
 		return 1
@@ -119,6 +120,6 @@
 	return math.Exp(withinStepSD * distuv.UnitNormal.Quantile((n-0.375)/(n+0.25)))
 }
 
-func fromLog(log float64) time.Duration {
-	return time.Duration(math.Exp(log) * float64(time.Second))
+func fromLog(logSeconds float64) time.Duration {
+	return time.Duration(math.Exp(logSeconds) * float64(time.Second))
 }
--- a/pkg/process/runtimes/runtimes_test.go
+++ b/pkg/process/runtimes/runtimes_test.go
@@ -14,22 +14,23 @@
 // meanErrors simulates steps of 8 tasks. The logarithms of their declared times have errors with the given standard
 // deviation. It returns the mean absolute errors of the declared times and of the estimates, as logarithms, over
 // the second half of the steps.
-func meanErrors(stray float64) (declaredOff, estimateOff float64) {
+func meanErrors(declaredSD float64) (declaredError, estimateError float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	e := runtimes.New()
 	const steps, tasks = 400, 8
+	const meanLogTime, betweenStepsSD, withinStepSD = 0.3, 0.43, 0.28
 	for n := range steps {
-		step := math.Exp(0.3 + 0.43*random.NormFloat64())
-		declared := seconds(step * math.Exp(stray*random.NormFloat64()))
+		step := math.Exp(meanLogTime + betweenStepsSD*random.NormFloat64())
+		declared := seconds(step * math.Exp(declaredSD*random.NormFloat64()))
 		if n >= steps/2 {
-			declaredOff += math.Abs(math.Log(declared.Seconds()/step)) / (steps / 2)
-			estimateOff += math.Abs(math.Log(e.Task("ledgers", declared).Seconds()/step)) / (steps / 2)
+			declaredError += math.Abs(math.Log(declared.Seconds()/step)) / (steps / 2)
+			estimateError += math.Abs(math.Log(e.Task("ledgers", declared).Seconds()/step)) / (steps / 2)
 		}
 		for range tasks {
-			e.Learn("ledgers", declared, seconds(step*math.Exp(0.28*random.NormFloat64())), tasks)
+			e.Learn("ledgers", declared, seconds(step*math.Exp(withinStepSD*random.NormFloat64())), tasks)
 		}
 	}
-	return declaredOff, estimateOff
+	return declaredError, estimateError
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -50,7 +51,7 @@
 	must.Less(t, 0.1, estimate)
 }
 
-func TestEstimateOfAnUnknownKindIsTheDeclaredTime(t *testing.T) {
+func TestEstimateIfOnlyOneSourceIsKnown(t *testing.T) {
 	t.Parallel()
 	e := runtimes.New()
 	must.Eq(t, 3*time.Second, e.Task("new", 3*time.Second))
