--- a/pkg/process/jobs/job.go
+++ b/pkg/process/jobs/job.go
@@ -38,8 +38,8 @@
 	openedRepetitions int
 	// targetCells are the cells that have had delegated tasks of the job.
 	targetCells map[string]bool
-	// longestChains holds, per step, the longest chain of estimated work that begins with the step. The estimates are of
-	// the time chainsAt.
+	// longestChains holds, per step, the longest chain of estimated work that begins with the step. The estimates
+	// are of the time chainsAt.
 	longestChains []time.Duration
 	chainsAt      time.Time
 }
--- a/pkg/process/jobs/lending.go
+++ b/pkg/process/jobs/lending.go
@@ -14,8 +14,8 @@
 // delegated. The target cell may return a task, or report that it is done or has failed. The delegations of a task
 // are numbered, so that reports on an earlier one have no effect.
 
-// notDelegatedHere is the value of Task.DelegatedTo for tasks of a delegated job that were never delegated to this cell.
-// Tasks that this cell has returned have the home cell's name there.
+// notDelegatedHere is the value of Task.DelegatedTo for tasks of a delegated job that were never delegated to this
+// cell. Tasks that this cell has returned have the home cell's name there.
 const notDelegatedHere = "elsewhere"
 
 // Delegated returns whether another cell, the home cell, keeps the job and has delegated some of its tasks to this
--- a/pkg/process/jobs/run.go
+++ b/pkg/process/jobs/run.go
@@ -50,8 +50,8 @@
 	Percent    int
 	ProgressAt time.Time
 	BeganAt    time.Time
-	// Tail is the last reported tail latency of a lasting task's requests. UsedMillicores is the CPU use of any other task. Both
-	// are imprecise and delayed.
+	// Tail is the last reported tail latency of a lasting task's requests. UsedMillicores is the CPU use of any
+	// other task. Both are imprecise and delayed.
 	Tail           time.Duration
 	UsedMillicores int64
 	// LearnedTail is the tail latency that the interference model last learned from, and LearnedAt the time of
--- a/pkg/process/runtimes/runtimes.go
+++ b/pkg/process/runtimes/runtimes.go
@@ -41,8 +41,8 @@
 
 // kind holds what was learned of one kind of job.
 type kind struct {
-	// logTimes are the run times of the kind's steps, logErrors the factors by which declared times exceeded them. Both
-	// are logarithms.
+	// logTimes are the run times of the kind's steps, logErrors the factors by which declared times exceeded them.
+	// Both are logarithms.
 	logTimes, logErrors distribution
 }
 
@@ -62,7 +62,8 @@
 	s.variance += gain * (deviation*deviation*(1-gain) - s.variance)
 }
 
-// betweenSteps returns the variance between steps: the total variance less that within a step, combined with the prior.
+// betweenSteps returns the variance between steps: the total variance less that within a step, combined with the
+// prior.
 func (s *distribution) betweenSteps() float64 {
 	sum := priorWeight*priorVariance + s.weight*(s.variance-withinStepSD*withinStepSD)
 	return max(minVariance, sum/(priorWeight+s.weight))
