--- a/pkg/process/flow/window.go
+++ b/pkg/process/flow/window.go
@@ -16,22 +16,22 @@
 	// shortest known objective of callers (250 ms beyond the work itself), a fiftieth of
 	// a lease.
 	targetDelay = 60 * time.Millisecond
-	// firstSize is the window before anything was answered: 0.13 s of a link of
+	// initialSize is the window before anything was answered: 0.13 s of a link of
 	// 2 Mbit/s, 27 orders of 1.2 kB.
-	firstSize = 32 << 10
-	// leastSize is always allowed: 5 orders, so that one lost answer does not stop
+	initialSize = 32 << 10
+	// minSize is always allowed: 5 orders, so that one lost answer does not stop
 	// the rest.
-	leastSize = 6 << 10
-	// mostSize bounds what a fast link may be given: above it the window binds nothing.
-	mostSize = 1 << 20
-	// shrinkMost bounds how much one answer may take off the window.
-	shrinkMost = 0.5
-	// baseSpan is how long the fastest answer counts as what an answer takes by itself;
+	minSize = 6 << 10
+	// maxSize bounds what a fast link may be given: above it the window binds nothing.
+	maxSize = 1 << 20
+	// minShrinkFactor bounds how much one answer may take off the window.
+	minShrinkFactor = 0.5
+	// fastestSpan is how long the fastest answer counts as what an answer takes by itself;
 	// between one and two spans are kept, so that a lasting change is believed in time.
-	baseSpan = 10 * time.Second
-	// refill is the share of the window that has to be free before orders are taken
+	fastestSpan = 10 * time.Second
+	// refillShare is the share of the window that has to be free before orders are taken
 	// again: one decision for several orders costs the processor less than one for each.
-	refill = 0.25
+	refillShare = 0.25
 )
 
 const (
@@ -43,8 +43,8 @@
 	// smoothing is the weight of the newest answer in the mean answer time and in its
 	// mean deviation; deviations is how many of these a time-out allows (both as in
 	// the retransmission timers of TCP).
-	smoothing  = 0.125
-	deviations = 4
+	smoothing         = 0.125
+	timeoutDeviations = 4
 )
 
 // Window is one leader's. Its rule is one of delay: as long as answers take hardly longer
@@ -54,20 +54,20 @@
 type Window struct {
 	size     float64
 	inFlight int
-	// limited says that the last order that was asked for was held back: a window that
+	// heldBack says that the last order that was asked for was held back: a window that
 	// is not used up does not grow.
-	limited bool
-	// base and lastBase are the fastest answers of the present span and of the one
+	heldBack bool
+	// fastest and lastBase are the fastest answers of the present span and of the one
 	// before.
-	base, lastBase time.Duration
-	baseSince      time.Time
-	shrunkAt       time.Time
-	answeredAt     time.Time
-	mean, spread   time.Duration
+	fastest, lastFastest          time.Duration
+	fastestSince                  time.Time
+	shrunkAt                      time.Time
+	answeredAt                    time.Time
+	meanAnswerTime, meanDeviation time.Duration
 }
 
 // NewWindow returns one that has seen no answer.
-func NewWindow() *Window { return &Window{size: firstSize} }
+func NewWindow() *Window { return &Window{size: initialSize} }
 
 // Size is how many bytes may be on their way.
 func (w *Window) Size() int { return int(w.size) }
@@ -76,19 +76,19 @@
 func (w *Window) InFlight() int { return w.inFlight }
 
 // AnswerTime is how long answers take, on the whole.
-func (w *Window) AnswerTime() time.Duration { return w.mean }
+func (w *Window) AnswerTime() time.Duration { return w.meanAnswerTime }
 
 // Room says whether one more order may be sent. One that is larger than the window is
 // sent when nothing else is on its way.
 func (w *Window) Room() bool {
-	w.limited = w.inFlight > 0 && float64(w.inFlight) >= w.size
-	return !w.limited
+	w.heldBack = w.inFlight > 0 && float64(w.inFlight) >= w.size
+	return !w.heldBack
 }
 
 // Refilled says whether orders were held back and so much of the window is free by now
 // that taking them up pays.
 func (w *Window) Refilled() bool {
-	return w.limited && (w.inFlight == 0 || float64(w.inFlight) <= w.size*(1-refill))
+	return w.heldBack && (w.inFlight == 0 || float64(w.inFlight) <= w.size*(1-refillShare))
 }
 
 // Sent counts an order as on its way.
@@ -96,16 +96,16 @@
 
 // Answered takes in that an order was answered so long after it was sent.
 func (w *Window) Answered(now time.Time, took time.Duration, bytes int) {
-	w.landed(bytes)
+	w.removeInFlight(bytes)
 	w.answeredAt = now
-	w.learn(now, took)
-	waited := took - min(w.base, w.lastBase)
+	w.updateAnswerTimes(now, took)
+	waited := took - min(w.fastest, w.lastFastest)
 	if waited > targetDelay {
 		w.shrink(now, float64(targetDelay)/float64(waited))
 		return
 	}
-	if w.limited {
-		w.size = min(mostSize, w.size+float64(bytes)*(1-float64(waited)/float64(targetDelay)))
+	if w.heldBack {
+		w.size = min(maxSize, w.size+float64(bytes)*(1-float64(waited)/float64(targetDelay)))
 	}
 }
 
@@ -113,43 +113,43 @@
 // that were answered tells of its worker, and one that failed at once of a closed port:
 // only a silence on all sides tells of the link.
 func (w *Window) Unanswered(now time.Time, took time.Duration, bytes int) {
-	w.landed(bytes)
+	w.removeInFlight(bytes)
 	if took >= LeastTimeout && now.Sub(w.answeredAt) >= took {
-		w.shrink(now, shrinkMost)
+		w.shrink(now, minShrinkFactor)
 	}
 }
 
-func (w *Window) landed(bytes int) { w.inFlight = max(0, w.inFlight-bytes) }
+func (w *Window) removeInFlight(bytes int) { w.inFlight = max(0, w.inFlight-bytes) }
 
-// learn keeps the fastest answers, and the mean with its deviation.
-func (w *Window) learn(now time.Time, took time.Duration) {
-	if w.baseSince.IsZero() {
-		w.base, w.lastBase, w.baseSince = took, took, now
-		w.mean, w.spread = took, took/2
+// updateAnswerTimes keeps the fastest answers, and the mean with its deviation.
+func (w *Window) updateAnswerTimes(now time.Time, took time.Duration) {
+	if w.fastestSince.IsZero() {
+		w.fastest, w.lastFastest, w.fastestSince = took, took, now
+		w.meanAnswerTime, w.meanDeviation = took, took/2
 		return
 	}
-	if now.Sub(w.baseSince) > baseSpan {
-		w.lastBase, w.base, w.baseSince = w.base, took, now
+	if now.Sub(w.fastestSince) > fastestSpan {
+		w.lastFastest, w.fastest, w.fastestSince = w.fastest, took, now
 	}
-	w.base = min(w.base, took)
-	off := took - w.mean
-	w.mean += time.Duration(smoothing * float64(off))
-	w.spread += time.Duration(smoothing * float64(off.Abs()-w.spread))
+	w.fastest = min(w.fastest, took)
+	off := took - w.meanAnswerTime
+	w.meanAnswerTime += time.Duration(smoothing * float64(off))
+	w.meanDeviation += time.Duration(smoothing * float64(off.Abs()-w.meanDeviation))
 }
 
 // shrink takes at most one step in a mean answer time: the answers to what is on its
 // way already tell of the window as it was.
 func (w *Window) shrink(now time.Time, factor float64) {
-	if now.Sub(w.shrunkAt) < max(w.mean, targetDelay) {
+	if now.Sub(w.shrunkAt) < max(w.meanAnswerTime, targetDelay) {
 		return
 	}
 	w.shrunkAt = now
-	w.size = max(leastSize, w.size*max(shrinkMost, factor))
+	w.size = max(minSize, w.size*max(minShrinkFactor, factor))
 }
 
 // Timeout is how long to wait for an answer: several times what answers vary by above
 // what they take. An order that is late is waited for; sent again it would wait behind
 // itself.
 func (w *Window) Timeout() time.Duration {
-	return min(MostTimeout, max(LeastTimeout, w.mean+deviations*w.spread))
+	return min(MostTimeout, max(LeastTimeout, w.meanAnswerTime+timeoutDeviations*w.meanDeviation))
 }
--- a/pkg/process/flow/window_test.go
+++ b/pkg/process/flow/window_test.go
@@ -13,8 +13,8 @@
 // and back.
 type link struct {
 	bytesPerSecond float64
-	way            time.Duration
-	freeAt         time.Time
+	roundTrip      time.Duration
+	idleAt         time.Time
 }
 
 type answer struct {
@@ -23,18 +23,18 @@
 }
 
 func (l *link) send(now time.Time, bytes int) answer {
-	if l.freeAt.Before(now) {
-		l.freeAt = now
+	if l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	l.freeAt = l.freeAt.Add(time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second)))
-	return answer{at: l.freeAt.Add(l.way), sent: now, bytes: bytes}
+	l.idleAt = l.idleAt.Add(time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second)))
+	return answer{at: l.idleAt.Add(l.roundTrip), sent: now, bytes: bytes}
 }
 
 const orderBytes = 1200
 
-// play keeps a window as full as it allows for a time, and returns how many orders were
+// fillWindow keeps a window as full as it allows for a time, and returns how many orders were
 // answered, and the longest wait and the longest time-out in the second half.
-func play(w *flow.Window, l *link, span time.Duration) (answered int, longest, timeout time.Duration) {
+func fillWindow(w *flow.Window, l *link, span time.Duration) (answered int, longest, timeout time.Duration) {
 	start := time.Unix(1000, 0)
 	var under []answer
 	for now := start; now.Sub(start) < span; now = now.Add(time.Millisecond) {
@@ -57,18 +57,18 @@
 
 // Forty and more orders wait at every moment for a link of 2 Mbit/s. Unbounded, they
 // fill it without end; the window keeps the wait short and the link in use.
-func TestAWeakLinkIsUsedAndNotFilled(t *testing.T) {
+func TestWindowUsesSlowLinkWithoutFillingIt(t *testing.T) {
 	t.Parallel()
-	answered, longest, timeout := play(flow.NewWindow(), &link{bytesPerSecond: 250_000, way: 4 * time.Millisecond}, 10*time.Second)
+	answered, longest, timeout := fillWindow(flow.NewWindow(), &link{bytesPerSecond: 250_000, roundTrip: 4 * time.Millisecond}, 10*time.Second)
 	must.Greater(t, 10*250_000/orderBytes*8/10, answered, must.Sprint("the link stands idle"))
 	must.Less(t, 250*time.Millisecond, longest)
 	must.Eq(t, flow.LeastTimeout, timeout)
 }
 
 // On a fast link the window binds nothing: the rate is that of a window without bound.
-func TestAFastLinkIsNotHeldUp(t *testing.T) {
+func TestWindowDoesNotLimitFastLink(t *testing.T) {
 	t.Parallel()
-	answered, longest, _ := play(flow.NewWindow(), &link{bytesPerSecond: 25_000_000, way: 4 * time.Millisecond}, 5*time.Second)
+	answered, longest, _ := fillWindow(flow.NewWindow(), &link{bytesPerSecond: 25_000_000, roundTrip: 4 * time.Millisecond}, 5*time.Second)
 	must.Greater(t, 5*25_000_000/orderBytes*3/4, answered)
 	must.Less(t, 100*time.Millisecond, longest)
 }
@@ -79,14 +79,14 @@
 	t.Parallel()
 	w := flow.NewWindow()
 	must.Eq(t, flow.LeastTimeout, w.Timeout())
-	_, longest, timeout := play(w, &link{bytesPerSecond: 250_000, way: 500 * time.Millisecond}, 20*time.Second)
+	_, longest, timeout := fillWindow(w, &link{bytesPerSecond: 250_000, roundTrip: 500 * time.Millisecond}, 20*time.Second)
 	must.Greater(t, longest, timeout)
 	must.LessEq(t, flow.MostTimeout, timeout)
 }
 
 // A window that was shut by answers that did not come opens again within a second once
 // they do.
-func TestAWindowOpensAgain(t *testing.T) {
+func TestWindowGrowsAgainAfterUnansweredOrders(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
 	now := time.Unix(900, 0)
@@ -97,12 +97,12 @@
 	}
 	must.Less(t, 8<<10, w.Size())
 	must.True(t, w.Room())
-	play(w, &link{bytesPerSecond: 25_000_000, way: 4 * time.Millisecond}, time.Second)
+	fillWindow(w, &link{bytesPerSecond: 25_000_000, roundTrip: 4 * time.Millisecond}, time.Second)
 	must.Greater(t, 60<<10, w.Size())
 }
 
 // One order is always let through, however large.
-func TestALargeOrderGoesAlone(t *testing.T) {
+func TestOrderLargerThanWindowIsSentAlone(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
 	must.True(t, w.Room())
@@ -113,7 +113,7 @@
 }
 
 // Orders that were held back are taken up for several at once.
-func TestRefilledWaitsForAQuarter(t *testing.T) {
+func TestRefilledNeedsAQuarterOfTheWindow(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
 	n := 0
@@ -131,7 +131,7 @@
 
 // A worker that takes orders and does not answer is not the link's fault: beside others
 // that answer, the window stays open.
-func TestOneSilentWorkerDoesNotShutTheWindow(t *testing.T) {
+func TestOneSilentWorkerDoesNotShrinkWindow(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
 	before := w.Size()
--- a/pkg/process/placement/placement.go
+++ b/pkg/process/placement/placement.go
@@ -66,9 +66,9 @@
 
 // Policies is the look-up table. To add one: a function and a row.
 var Policies = []Policy{
-	{"least-harm", "Least expected harm to the services on the worker, then racks apart, then a tight fit.", LeastHarm, harmCost},
+	{"least-harm", "Least expected harm to the services on the worker, then racks apart, then a tight fit.", LeastHarm, expectedHarmCost},
 	{"first-fit", "The first worker by name that has room (baseline).", FirstFit, firstFitCost},
-	{"least-loaded", "The worker with the smallest share reserved (baseline).", LeastLoaded, loadCost},
+	{"least-loaded", "The worker with the smallest share reserved (baseline).", LeastLoaded, reservedShareCost},
 }
 
 // PolicyNamed finds a policy; an unknown name gives the first.
@@ -110,15 +110,15 @@
 	return float64(index)
 }
 
-func loadCost(_ *interference.Model, t Task, w Worker, _ int) float64 {
+func reservedShareCost(_ *interference.Model, t Task, w Worker, _ int) float64 {
 	used := w.Capacity.Minus(w.Free).Plus(t.Size)
 	return used.DominantShare(w.Capacity)
 }
 
-// harmCost is the growth of the squared latency ratios of the worker's
+// expectedHarmCost is the growth of the squared latency ratios of the worker's
 // services. The square makes harm near the target dearer than the same harm to
 // a service with room to spare.
-func harmCost(m *interference.Model, t Task, w Worker, index int) float64 {
+func expectedHarmCost(m *interference.Model, t Task, w Worker, index int) float64 {
 	cost := rackWeight * float64(w.JobTasksInRack)
 	for _, s := range w.Services {
 		before := m.Predict(s, w.Present)
@@ -128,5 +128,5 @@
 	if t.Size.Accelerators == 0 && w.Free.Accelerators > 0 {
 		cost += acceleratorWeight
 	}
-	return cost - fitWeight*loadCost(m, t, w, index)
+	return cost - fitWeight*reservedShareCost(m, t, w, index)
 }
--- a/pkg/process/placement/placement_test.go
+++ b/pkg/process/placement/placement_test.go
@@ -11,7 +11,7 @@
 	"github.com/wrenferry/wrenferry/pkg/process/placement"
 )
 
-func workers(n int) []placement.Worker {
+func candidates(n int) []placement.Worker {
 	list := make([]placement.Worker, n)
 	for i := range list {
 		list[i] = placement.Worker{
@@ -37,7 +37,7 @@
 func BenchmarkChoose(b *testing.B) {
 	model := interference.NewModel()
 	for _, n := range []int{20, 82, 820} {
-		list := workers(n)
+		list := candidates(n)
 		for _, p := range placement.Policies {
 			b.Run(fmt.Sprintf("%s/workers=%d", p.Name, n), func(b *testing.B) {
 				b.ReportAllocs()
--- a/pkg/process/quarantine/quarantine.go
+++ b/pkg/process/quarantine/quarantine.go
@@ -11,94 +11,94 @@
 import "time"
 
 const (
-	// failuresToAct is how many failures in a row put a worker aside.
-	failuresToAct = 3
-	// probeEvery is how often a quarantined worker gets one task.
-	probeEvery = 30 * time.Second
-	// workersToBlame is on how many different workers a kind must have failed
+	// quarantineAfterFailures is how many failures in a row put a worker aside.
+	quarantineAfterFailures = 3
+	// probeInterval is how often a quarantined worker gets one task.
+	probeInterval = 30 * time.Second
+	// brokenKindWorkers is on how many different workers a kind must have failed
 	// in a row before the kind is blamed.
-	workersToBlame = 3
+	brokenKindWorkers = 3
 )
 
 // worker is one worker's recent past.
 type worker struct {
-	inARow   int
-	aside    bool
-	probedAt time.Time
+	consecutiveFailures int
+	quarantined         bool
+	lastProbeAt         time.Time
 }
 
 // Record is the hall's account. It belongs to the control thread.
 type Record struct {
 	workers map[string]*worker
-	// failedOn lists, for each kind, the workers that failed it since it last
+	// failedWorkers lists, for each kind, the workers that failed it since it last
 	// succeeded anywhere.
-	failedOn map[string]map[string]bool
-	// proved holds the kinds that have succeeded somewhere and are not broken.
-	proved map[string]bool
+	failedWorkers map[string]map[string]bool
+	// provenKinds holds the kinds that have succeeded somewhere and are not broken.
+	provenKinds map[string]bool
 }
 
 // New returns an empty account.
 func New() *Record {
-	return &Record{workers: map[string]*worker{}, failedOn: map[string]map[string]bool{}, proved: map[string]bool{}}
+	return &Record{workers: map[string]*worker{}, failedWorkers: map[string]map[string]bool{}, provenKinds: map[string]bool{}}
 }
 
 // Succeeded takes in one success. It says whether the worker was let back in.
 func (r *Record) Succeeded(name, kind string) bool {
-	delete(r.failedOn, kind)
-	r.proved[kind] = true
+	delete(r.failedWorkers, kind)
+	r.provenKinds[kind] = true
 	w := r.worker(name)
-	back := w.aside
+	back := w.quarantined
 	*w = worker{}
 	return back
 }
 
 // Failed takes in one failure. It says whether the worker was put aside.
 func (r *Record) Failed(now time.Time, name, kind string) bool {
-	if r.failedOn[kind] == nil {
-		r.failedOn[kind] = map[string]bool{}
+	if r.failedWorkers[kind] == nil {
+		r.failedWorkers[kind] = map[string]bool{}
 	}
-	r.failedOn[kind][name] = true
+	r.failedWorkers[kind][name] = true
 	if r.KindIsBroken(kind) {
-		delete(r.proved, kind)
+		delete(r.provenKinds, kind)
 	}
-	if !r.proved[kind] {
+	if !r.provenKinds[kind] {
 		return false
 	}
 	w := r.worker(name)
-	w.inARow++
-	if w.aside || w.inARow < failuresToAct {
+	w.consecutiveFailures++
+	if w.quarantined || w.consecutiveFailures < quarantineAfterFailures {
 		return false
 	}
-	w.aside = true
-	w.probedAt = now
+	w.quarantined = true
+	w.lastProbeAt = now
 	return true
 }
 
 // KindIsBroken says whether a kind fails wherever it is tried.
 func (r *Record) KindIsBroken(kind string) bool {
-	return len(r.failedOn[kind]) >= workersToBlame
+	return len(r.failedWorkers[kind]) >= brokenKindWorkers
 }
 
 // Aside says whether the worker is in quarantine.
 func (r *Record) Aside(name string) bool {
 	w, ok := r.workers[name]
-	return ok && w.aside
+	return ok && w.quarantined
 }
 
 // MayPlace says whether a worker may be given a task now.
 func (r *Record) MayPlace(now time.Time, name string) bool {
 	w, ok := r.workers[name]
-	if !ok || !w.aside {
+	if !ok || !w.quarantined {
 		return true
 	}
-	return now.Sub(w.probedAt) >= probeEvery
+	return now.Sub(w.lastProbeAt) >= probeInterval
 }
 
 // Placed notes that a task went to the worker, which for a worker in
 // quarantine is its probe.
 func (r *Record) Placed(now time.Time, name string) {
-	if w, ok := r.workers[name]; ok && w.aside {
-		w.probedAt = now
+	if w, ok := r.workers[name]; ok && w.quarantined {
+		w.lastProbeAt = now
 	}
 }
 
--- a/pkg/process/workers/account.go
+++ b/pkg/process/workers/account.go
@@ -73,14 +73,14 @@
 }
 
 const (
-	// mostMillicores and mostMemoryMB bound what is believed of a worker: a thousand times the
+	// maxMillicores and mostMemoryMB bound what is believed of a worker: a thousand times the
 	// largest that is known. Sums over all workers stay far from what fits into a number.
-	mostMillicores = 100_000_000
-	mostMemoryMB   = 1_000_000_000
-	// mostAccelerators likewise.
-	mostAccelerators = 1_000_000
-	// mostRemaining is the longest time to leave that is believed, in ms: a day.
-	mostRemaining = int64(24 * time.Hour / time.Millisecond)
+	maxMillicores = 100_000_000
+	maxMemoryMB   = 1_000_000_000
+	// maxAccelerators likewise.
+	maxAccelerators = 1_000_000
+	// maxRemainingMs is the longest time to leave that is believed, in ms: a day.
+	maxRemainingMs = int64(24 * time.Hour / time.Millisecond)
 )
 
 // Judge is the one decision from a row to a worker to use, or why it names none.
@@ -89,27 +89,27 @@
 		field string
 		why   string
 	}{
-		{"service", lacksText(a.Service)},
-		{"address", lacksText(a.Address)},
-		{"hall", lacksText(a.Hall)},
-		{"state", lacksText(a.State)},
-		{"software version", lacksText(a.Software)},
-		{"slots", outside(a.Slots, 0, mostMillicores, true)},
-		{"sequence", outside(a.Sequence, 0, 1<<62, true)},
-		{"born", outside(a.Born, 1, 1<<62, false)},
-		{"remaining time", outside(a.RemainingMs, 0, mostRemaining, false)},
-		{"labels", lacksLabels(a.Labels)},
-		{"capacity", lacksCapacity(a.Capacity)},
+		{"service", textProblem(a.Service)},
+		{"address", textProblem(a.Address)},
+		{"hall", textProblem(a.Hall)},
+		{"state", textProblem(a.State)},
+		{"software version", textProblem(a.Software)},
+		{"slots", rangeProblem(a.Slots, 0, maxMillicores, true)},
+		{"sequence", rangeProblem(a.Sequence, 0, 1<<62, true)},
+		{"born", rangeProblem(a.Born, 1, 1<<62, false)},
+		{"remaining time", rangeProblem(a.RemainingMs, 0, maxRemainingMs, false)},
+		{"labels", labelsProblem(a.Labels)},
+		{"capacity", capacityProblem(a.Capacity)},
 	} {
 		if check.why != "" {
 			return Record{}, &Unusable{ID: a.ID, Field: check.field, Why: check.why}
 		}
 	}
-	return judgeAgainst(a, known)
+	return recordFrom(a, known)
 }
 
-// judgeAgainst judges a row that is complete.
-func judgeAgainst(a Account, known Known) (Record, error) {
+// recordFrom judges a row that is complete.
+func recordFrom(a Account, known Known) (Record, error) {
 	unusable := func(field, why string) (Record, error) {
 		return Record{}, &Unusable{ID: a.ID, Field: field, Why: why}
 	}
@@ -118,7 +118,7 @@
 		return unusable("id", "it is empty")
 	case *a.State != StateReady && *a.State != StateLeaving:
 		return unusable("state", fmt.Sprintf("%q is none that is known", *a.State))
-	case notAnAddress(*a.Address):
+	case invalidAddress(*a.Address):
 		return unusable("address", fmt.Sprintf("%q is none", *a.Address))
 	case a.Host != nil && *a.Host == "":
 		return unusable("host", "it is empty")
@@ -128,10 +128,10 @@
 		return unusable("service", fmt.Sprintf("%q is none that the manifest names", *a.Service))
 	}
 	r := Record{
-		ID: a.ID, Born: value(a.Born), Service: *a.Service, Address: *a.Address, Hall: *a.Hall, Labels: a.Labels,
+		ID: a.ID, Born: valueOrZero(a.Born), Service: *a.Service, Address: *a.Address, Hall: *a.Hall, Labels: a.Labels,
 		Capacity: a.Capacity.size(),
 		Ready:    *a.State == StateReady, Leaving: *a.State == StateLeaving,
-		Remaining: time.Duration(value(a.RemainingMs)) * time.Millisecond, Version: a.Version,
+		Remaining: time.Duration(valueOrZero(a.RemainingMs)) * time.Millisecond, Version: a.Version,
 	}
 	if a.Host != nil {
 		r.Host = *a.Host
@@ -145,14 +145,14 @@
 	return r, nil
 }
 
-func value(n *int64) int64 {
+func valueOrZero(n *int64) int64 {
 	if n == nil {
 		return 0
 	}
 	return *n
 }
 
-func lacksText(s *string) string {
+func textProblem(s *string) string {
 	switch {
 	case s == nil:
 		return "it is missing"
@@ -162,8 +162,8 @@
 	return ""
 }
 
-// outside says how a number is outside its bounds; one that may be missing is in.
-func outside(n *int64, least, most int64, needed bool) string {
+// rangeProblem says how a number is outside its bounds; one that may be missing is in.
+func rangeProblem(n *int64, least, most int64, needed bool) string {
 	switch {
 	case n == nil && needed:
 		return "it is missing"
@@ -173,7 +173,7 @@
 	return ""
 }
 
-func lacksLabels(labels []string) string {
+func labelsProblem(labels []string) string {
 	if labels == nil {
 		return "they are missing"
 	}
@@ -186,25 +186,25 @@
 }
 
 func (c *Capacity) size() ledger.Size {
-	return ledger.Size{Millicores: value(c.Millicores), MemoryMB: value(c.MemoryMB), Accelerators: value(c.Accelerators)}
+	return ledger.Size{Millicores: valueOrZero(c.Millicores), MemoryMB: valueOrZero(c.MemoryMB), Accelerators: valueOrZero(c.Accelerators)}
 }
 
 // JudgeRoom is the room that a worker says it has, if what it says can be used.
 func JudgeRoom(c *Capacity) (ledger.Size, bool) {
-	if lacksCapacity(c) != "" {
+	if capacityProblem(c) != "" {
 		return ledger.Size{}, false
 	}
 	return c.size(), true
 }
 
-func lacksCapacity(c *Capacity) string {
+func capacityProblem(c *Capacity) string {
 	if c == nil {
 		return "it is missing"
 	}
 	for _, check := range []struct{ name, why string }{
-		{"processors", outside(c.Millicores, 0, mostMillicores, true)}, // a room of nothing is a full worker
-		{"memory", outside(c.MemoryMB, 0, mostMemoryMB, true)},
-		{"accelerators", outside(c.Accelerators, 0, mostAccelerators, false)},
+		{"processors", rangeProblem(c.Millicores, 0, maxMillicores, true)}, // a room of nothing is a full worker
+		{"memory", rangeProblem(c.MemoryMB, 0, maxMemoryMB, true)},
+		{"accelerators", rangeProblem(c.Accelerators, 0, maxAccelerators, false)},
 	} {
 		if check.why != "" {
 			return check.name + ": " + check.why
@@ -213,13 +213,13 @@
 	return ""
 }
 
-// hostLetters are what the name or number of a host may be made of.
-const hostLetters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-:%"
+// hostCharacters are what the name or number of a host may be made of.
+const hostCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-:%"
 
-// notAnAddress says that nothing can be called there.
-func notAnAddress(text string) bool {
+// invalidAddress says that nothing can be called there.
+func invalidAddress(text string) bool {
 	host, port, err := net.SplitHostPort(text)
-	if err != nil || host == "" || strings.Trim(host, hostLetters) != "" {
+	if err != nil || host == "" || strings.Trim(host, hostCharacters) != "" {
 		return true
 	}
 	if ip := net.ParseIP(host); ip != nil && ip.IsUnspecified() {
--- a/pkg/process/workers/lives.go
+++ b/pkg/process/workers/incarnations.go
@@ -19,14 +19,14 @@
 // came late: which one it is, the next answer says. Until then no new work goes there. It
 // says whether the row is news.
 func (w *Worker) NoteOtherIncarnation(now time.Time, r Record) bool {
-	if r.Born == w.oldRow {
+	if r.Born == w.outdatedBorn {
 		return false
 	}
-	news := w.next == nil || w.next.Born != r.Born
+	news := w.otherRow == nil || w.otherRow.Born != r.Born
 	if news {
-		w.nextAt = now
+		w.otherRowAt = now
 	}
-	w.next = &r
+	w.otherRow = &r
 	w.Unlist(now)
 	return news
 }
@@ -47,7 +47,7 @@
 	if w.Listed {
 		w.RowGoneAt = now
 	}
-	w.next = nil
+	w.otherRow = nil
 	w.Unlist(now)
 }
 
@@ -62,8 +62,8 @@
 	switch {
 	case !w.SilentSince.IsZero():
 		return w.SilentSince
-	case w.next != nil:
-		return w.nextAt
+	case w.otherRow != nil:
+		return w.otherRowAt
 	}
 	return now
 }
@@ -71,19 +71,19 @@
 // Answered takes in that this very life has answered a look that was sent at a given time: a
 // row of another one that was there before is an old one.
 func (w *Worker) Answered(sentAt time.Time) {
-	if w.next != nil && w.nextAt.Before(sentAt) {
-		w.oldRow, w.next, w.Listed = w.next.Born, nil, true
+	if w.otherRow != nil && w.otherRowAt.Before(sentAt) {
+		w.outdatedBorn, w.otherRow, w.Listed = w.otherRow.Born, nil, true
 	}
 }
 
 // MayHaveRestarted says whether another life may answer the next look.
-func (w *Worker) MayHaveRestarted() bool { return w.next != nil || !w.SilentSince.IsZero() }
+func (w *Worker) MayHaveRestarted() bool { return w.otherRow != nil || !w.SilentSince.IsZero() }
 
 // PollAddress is where to look for the worker: if the life that is known is silent, where the
 // next one's row says.
 func (w *Worker) PollAddress() string {
-	if w.next != nil && !w.SilentSince.IsZero() {
-		return w.next.Address
+	if w.otherRow != nil && !w.SilentSince.IsZero() {
+		return w.otherRow.Address
 	}
 	return w.Address
 }
@@ -94,10 +94,10 @@
 	runs := w.Runs
 	begun := Worker{
 		Record:  Record{ID: w.ID, Host: w.Host, Service: w.Service, Address: w.Address, Hall: w.Hall},
-		KnownAt: now, UsableFrom: now, PollSentAt: w.PollSentAt, UnlistedAt: now, units: map[*jobs.Unit]int64{},
+		KnownAt: now, UsableFrom: now, PollSentAt: w.PollSentAt, UnlistedAt: now, tasksByUnit: map[*jobs.Unit]int64{},
 	}
-	if w.next != nil && w.next.Born == born {
-		begun.Record, begun.Listed = *w.next, true
+	if w.otherRow != nil && w.otherRow.Born == born {
+		begun.Record, begun.Listed = *w.otherRow, true
 	}
 	begun.Born = born
 	*w = begun
--- a/pkg/process/workers/worker.go
+++ b/pkg/process/workers/worker.go
@@ -45,11 +45,11 @@
 }
 
 const (
-	// clockError is how much faster or slower a worker's clock may run than
+	// maxClockDrift is how much faster or slower a worker's clock may run than
 	// ours (2% as its makers say; 1% more for our own).
-	clockError = 0.03
-	// clockSlack covers rounding to milliseconds on both sides.
-	clockSlack = 20 * time.Millisecond
+	maxClockDrift = 0.03
+	// clockRounding covers rounding to milliseconds on both sides.
+	clockRounding = 20 * time.Millisecond
 )
 
 // OrphanedRun is a listed run of a task that is not known, and since when it is listed.
@@ -122,28 +122,28 @@
 	GoneAt  time.Time
 	GoneWhy string
 
-	// next is the newest row under this ID that is of another life, first seen at nextAt;
+	// otherRow is the newest row under this ID that is of another life, first seen at nextAt;
 	// oldRow is the life of such a row that turned out to be an old one.
-	next   *Record
-	nextAt time.Time
-	oldRow int64
-
-	clock      time.Duration
-	clockAt    time.Time
-	leaseUntil time.Duration
-	granted    bool
-	foreign    ledger.Size
+	otherRow     *Record
+	otherRowAt   time.Time
+	outdatedBorn int64
+
+	clock        time.Duration
+	clockAt      time.Time
+	leaseUntil   time.Duration
+	leaseGranted bool
+	foreignSize  ledger.Size
 	// What Add and Remove keep: the room taken, the processors asked for, how
 	// many serve and fill, and how many there are of each unit.
-	taken, lasting    ledger.Size
-	asked, fillersAsk int64
-	serving, fillers  int64
-	units             map[*jobs.Unit]int64
+	reserved, lastingReserved             ledger.Size
+	requestedMillicores, fillerMillicores int64
+	latencyTasks, fillerTasks             int64
+	tasksByUnit                           map[*jobs.Unit]int64
 }
 
 // New returns a worker that has not been heard yet.
 func New(r Record) *Worker {
-	return &Worker{Record: r, Listed: true, units: map[*jobs.Unit]int64{}}
+	return &Worker{Record: r, Listed: true, tasksByUnit: map[*jobs.Unit]int64{}}
 }
 
 // TakeClock takes in a reading of the worker's clock that came in an answer.
@@ -162,7 +162,7 @@
 	if w.clockAt.IsZero() {
 		return 0
 	}
-	return w.clock + time.Duration(float64(now.Sub(w.clockAt))*(1-clockError))
+	return w.clock + time.Duration(float64(now.Sub(w.clockAt))*(1-maxClockDrift))
 }
 
 // Grant returns the moment, by the worker's clock, until which it is to hold
@@ -170,36 +170,36 @@
 func (w *Worker) Grant(now time.Time, span time.Duration) time.Duration {
 	until := w.ClockAtLeast(now) + span
 	w.leaseUntil = max(w.leaseUntil, until)
-	w.granted = true
+	w.leaseGranted = true
 	return until
 }
 
 // LeaseOver says whether the worker has surely ended everything by itself, if
 // nobody but this leader has granted it time since.
 func (w *Worker) LeaseOver(now time.Time) bool {
-	if !w.Clocked() || !w.granted || now.Before(w.clockAt) {
+	if !w.Clocked() || !w.leaseGranted || now.Before(w.clockAt) {
 		return false
 	}
-	return w.ClockAtLeast(now) > w.leaseUntil+clockSlack
+	return w.ClockAtLeast(now) > w.leaseUntil+clockRounding
 }
 
 // LeaseLeft is how long the worker may go on at most by what this process has granted it.
 func (w *Worker) LeaseLeft(now time.Time) time.Duration {
-	if !w.Clocked() || !w.granted {
+	if !w.Clocked() || !w.leaseGranted {
 		return 0
 	}
-	left := w.leaseUntil + clockSlack - w.ClockAtLeast(now)
-	return max(0, time.Duration(float64(left)/(1-clockError)))
+	left := w.leaseUntil + clockRounding - w.ClockAtLeast(now)
+	return max(0, time.Duration(float64(left)/(1-maxClockDrift)))
 }
 
 // Passed says whether a reading of a worker's clock is surely past a moment.
-func Passed(clock, moment time.Duration) bool { return clock > moment+clockSlack }
+func Passed(clock, moment time.Duration) bool { return clock > moment+clockRounding }
 
 // Add counts a run as running there.
 func (w *Worker) Add(r *jobs.Run) {
 	if !slices.Contains(w.Runs, r) {
 		w.Runs = append(w.Runs, r)
-		w.count(r.Task.Unit, 1)
+		w.addToTotals(r.Task.Unit, 1)
 	}
 }
 
@@ -207,7 +207,7 @@
 func (w *Worker) Remove(r *jobs.Run) {
 	if i := slices.Index(w.Runs, r); i >= 0 {
 		w.Runs = append(slices.Clone(w.Runs[:i]), w.Runs[i+1:]...)
-		w.count(r.Task.Unit, -1)
+		w.addToTotals(r.Task.Unit, -1)
 	}
 }
 
@@ -218,42 +218,42 @@
 	}
 }
 
-// count keeps the sums that placing asks for many times a second.
-func (w *Worker) count(u *jobs.Unit, by int64) {
+// addToTotals keeps the sums that placing asks for many times a second.
+func (w *Worker) addToTotals(u *jobs.Unit, by int64) {
 	size := Reserved(u)
-	w.taken.Millicores += by * size.Millicores
-	w.taken.MemoryMB += by * size.MemoryMB
-	w.taken.Accelerators += by * size.Accelerators
+	w.reserved.Millicores += by * size.Millicores
+	w.reserved.MemoryMB += by * size.MemoryMB
+	w.reserved.Accelerators += by * size.Accelerators
 	asks := u.Size.Millicores
 	if u.Spec.GetTailTargetMs() > 0 {
-		w.serving += by
-		asks = int64(float64(asks) * servingLoad)
+		w.latencyTasks += by
+		asks = int64(float64(asks) * latencyTaskLoad)
 	}
 	if u.Spec.GetFiller() {
-		w.fillers += by
-		w.fillersAsk += by * u.Size.Millicores
+		w.fillerTasks += by
+		w.fillerMillicores += by * u.Size.Millicores
 	}
 	if u.Lasting() {
-		w.lasting.Millicores += by * size.Millicores
-		w.lasting.MemoryMB += by * size.MemoryMB
-		w.lasting.Accelerators += by * size.Accelerators
+		w.lastingReserved.Millicores += by * size.Millicores
+		w.lastingReserved.MemoryMB += by * size.MemoryMB
+		w.lastingReserved.Accelerators += by * size.Accelerators
 	}
-	w.asked += by * asks
-	w.units[u] += by
-	if w.units[u] == 0 {
-		delete(w.units, u)
+	w.requestedMillicores += by * asks
+	w.tasksByUnit[u] += by
+	if w.tasksByUnit[u] == 0 {
+		delete(w.tasksByUnit, u)
 	}
 }
 
 // Lasting is the room that lasting tasks have reserved.
-func (w *Worker) Lasting() ledger.Size { return w.lasting }
+func (w *Worker) Lasting() ledger.Size { return w.lastingReserved }
 
 // SetForeignSize sets the room taken by runs that belong to no job of this cell:
 // listed by the worker, and being stopped.
-func (w *Worker) SetForeignSize(size ledger.Size) { w.foreign = size }
+func (w *Worker) SetForeignSize(size ledger.Size) { w.foreignSize = size }
 
 // Free is the room that is not reserved. A filler's processors aren't counted.
-func (w *Worker) Free() ledger.Size { return w.Capacity.Minus(w.foreign).Minus(w.taken) }
+func (w *Worker) Free() ledger.Size { return w.Capacity.Minus(w.foreignSize).Minus(w.reserved) }
 
 // Reserved is the room that one task of a unit takes.
 func Reserved(u *jobs.Unit) ledger.Size {
@@ -265,12 +265,12 @@
 }
 
 // CountOf is how many tasks of a unit are there.
-func (w *Worker) CountOf(u *jobs.Unit) int { return int(w.units[u]) }
+func (w *Worker) CountOf(u *jobs.Unit) int { return int(w.tasksByUnit[u]) }
 
-// servingLoad is the share of their reserved processors that lasting tasks use
+// latencyTaskLoad is the share of their reserved processors that lasting tasks use
 // on average, while workers do not tell it (the reading that they give for
 // those is a latency). 0.5: half of what is reserved, as for most services.
-const servingLoad = 0.5
+const latencyTaskLoad = 0.5
 
 // Empty says whether this incarnation surely holds no run and lists no end that is not taken
 // in, as long as nothing more is started there.
@@ -279,21 +279,21 @@
 // OnlyKnownRuns says whether this incarnation surely holds no runs but Runs, and lists no end that is not taken in,
 // as long as nothing more is started there.
 func (w *Worker) OnlyKnownRuns() bool {
-	return w.HasAnswered && w.next == nil && w.UnreadableLines == 0 && len(w.OrphanedRuns) == 0 && len(w.OrphanedEnds) == 0 && w.foreign == ledger.Size{}
+	return w.HasAnswered && w.otherRow == nil && w.UnreadableLines == 0 && len(w.OrphanedRuns) == 0 && len(w.OrphanedEnds) == 0 && w.foreignSize == ledger.Size{}
 }
 
 // Unused estimates the processors that fillers could take, after what those
 // that are there ask for.
-func (w *Worker) Unused() int64 { return w.Capacity.Millicores - w.asked }
+func (w *Worker) Unused() int64 { return w.Capacity.Millicores - w.requestedMillicores }
 
 // FillersRequested is the processors that the fillers there ask for.
-func (w *Worker) FillersRequested() int64 { return w.fillersAsk }
+func (w *Worker) FillersRequested() int64 { return w.fillerMillicores }
 
 // Serving says whether a task runs there whose users' latency has a target.
-func (w *Worker) Serving() bool { return w.serving > 0 }
+func (w *Worker) Serving() bool { return w.latencyTasks > 0 }
 
 // Filling says whether a filler runs there.
-func (w *Worker) Filling() bool { return w.fillers > 0 }
+func (w *Worker) Filling() bool { return w.fillerTasks > 0 }
 
 // Usable says whether new work may go there: listed, not leaving, heard within
 // the given span, not put aside.
