--- a/pkg/process/flow/window.go
+++ b/pkg/process/flow/window.go
@@ -1,64 +1,66 @@
-// Package flow decides how many bytes of orders a leader has on their way at once.
+// Package flow limits the bytes of unanswered orders that a leader has sent.
 //
-// Package cell asks it before it sends orders. Load pattern: jobs of many tasks come together at a
-// host with a narrow link. Sent all at once, their orders wait for one another in the link,
-// and behind them the renewals of leases and of the leadership; what waits longer than its
-// time-out is sent again, so that load makes more load. Orders that a Window holds back stay
-// with the leader, where what is urgent goes first and what is needless is never sent.
+// Package cell asks it before it sends orders. Load pattern: jobs of many tasks arrive together
+// at a host with a slow link. Sent all at once, their orders queue in the link, and the renewals
+// of leases and leadership queue behind them. A call that waits longer than its time-out is
+// sent again, so that load adds load. Orders that a Window holds back stay with the leader,
+// which sends urgent orders first and drops needless ones.
 //
-// It makes no calls and reads no clock. A Window belongs to one thread.
+// The package makes no calls and reads no clock. A Window belongs to one thread.
 package flow
 
 import "time"
 
 const (
-	// targetDelay is how long an order may wait for those before it: a quarter of the
-	// shortest known objective of callers (250 ms beyond the work itself), a fiftieth of
+	// targetDelay is how long an order may queue behind earlier ones: a quarter of the
+	// shortest known objective of callers (250 ms on top of the work itself), a fiftieth of
 	// a lease.
 	targetDelay = 60 * time.Millisecond
-	// initialSize is the window before anything was answered: 0.13 s of a link of
+	// initialSize is the window before the first answer, in bytes: 0.13 s of a link of
 	// 2 Mbit/s, 27 orders of 1.2 kB.
 	initialSize = 32 << 10
-	// minSize is always allowed: 5 orders, so that one lost answer does not stop
-	// the rest.
+	// minSize is the smallest window, in bytes: 5 orders, so that one lost answer doesn't
+	// stop all others.
 	minSize = 6 << 10
-	// maxSize bounds what a fast link may be given: above it the window binds nothing.
+	// maxSize is the largest window, in bytes: more than a fast link needs, so that the
+	// window doesn't limit it.
 	maxSize = 1 << 20
-	// minShrinkFactor bounds how much one answer may take off the window.
+	// minShrinkFactor is the smallest factor by which one answer may shrink the window.
 	minShrinkFactor = 0.5
-	// fastestSpan is how long the fastest answer counts as what an answer takes by itself;
-	// between one and two spans are kept, so that a lasting change is believed in time.
+	// fastestSpan is how long the fastest answer counts as the answer time of an empty link.
+	// The fastest answers of the present and the previous span are kept, so a lasting change
+	// takes effect after one to two spans.
 	fastestSpan = 10 * time.Second
-	// refillShare is the share of the window that has to be free before orders are taken
-	// again: one decision for several orders costs the processor less than one for each.
+	// refillShare is the share of the window that must be free before orders are sent again:
+	// one decision for several orders takes less processor time than one for each.
 	refillShare = 0.25
 )
 
 const (
-	// LeastTimeout is the shortest time-out of an order: a hundred times what an
-	// answer takes on a link that is not full.
+	// LeastTimeout is the shortest time-out of an order: a hundred times the answer time on
+	// a link that is not full.
 	LeastTimeout = 400 * time.Millisecond
-	// MostTimeout is the longest: a worker carries an order out for 2 s at most.
+	// MostTimeout is the longest time-out of an order: a worker takes at most 2 s to carry
+	// one out.
 	MostTimeout = 1600 * time.Millisecond
-	// smoothing is the weight of the newest answer in the mean answer time and in its
-	// mean deviation; deviations is how many of these a time-out allows (both as in
-	// the retransmission timers of TCP).
+	// smoothing is the weight of the newest answer in the mean answer time and its mean
+	// deviation; timeoutDeviations is how many mean deviations a time-out allows. Both are as
+	// in the retransmission timers of TCP.
 	smoothing         = 0.125
 	timeoutDeviations = 4
 )
 
-// Window is one leader's. Its rule is one of delay: as long as answers take hardly longer
-// than the fastest of late, it grows by what was answered; once the difference (orders that
-// wait in the link, or for the processor) is above a target, it shrinks in proportion. So it
-// finds the rate of the link and of the host without being told either.
+// Window limits the bytes in flight of one leader. It controls the queueing delay: an answer
+// time minus the fastest recent one. While the delay is below targetDelay, the window grows by
+// the bytes answered; above it, the window shrinks in proportion. Orders queue in the link or
+// for the processor. So the window adapts to the rate of both without any setting.
 type Window struct {
 	size     float64
 	inFlight int
-	// heldBack says that the last order that was asked for was held back: a window that
-	// is not used up does not grow.
+	// heldBack says that Room last returned false. A window that is not used up doesn't grow.
 	heldBack bool
-	// fastest and lastBase are the fastest answers of the present span and of the one
-	// before.
+	// fastest and lastFastest are the fastest answer times of the present span and of the
+	// previous one.
 	fastest, lastFastest          time.Duration
 	fastestSince                  time.Time
 	shrunkAt                      time.Time
@@ -66,52 +68,51 @@
 	meanAnswerTime, meanDeviation time.Duration
 }
 
-// NewWindow returns one that has seen no answer.
+// NewWindow returns a Window of the initial size.
 func NewWindow() *Window { return &Window{size: initialSize} }
 
-// Size is how many bytes may be on their way.
+// Size returns how many bytes may be in flight.
 func (w *Window) Size() int { return int(w.size) }
 
-// InFlight is how many bytes are on their way.
+// InFlight returns how many bytes are in flight.
 func (w *Window) InFlight() int { return w.inFlight }
 
-// AnswerTime is how long answers take, on the whole.
+// AnswerTime returns the mean answer time.
 func (w *Window) AnswerTime() time.Duration { return w.meanAnswerTime }
 
-// Room says whether one more order may be sent. One that is larger than the window is
-// sent when nothing else is on its way.
+// Room says whether one more order may be sent. An order larger than the window may be sent
+// while nothing else is in flight.
 func (w *Window) Room() bool {
 	w.heldBack = w.inFlight > 0 && float64(w.inFlight) >= w.size
 	return !w.heldBack
 }
 
-// Refilled says whether orders were held back and so much of the window is free by now
-// that taking them up pays.
+// Refilled says whether orders were held back and refillShare of the window is free by now.
 func (w *Window) Refilled() bool {
 	return w.heldBack && (w.inFlight == 0 || float64(w.inFlight) <= w.size*(1-refillShare))
 }
 
-// Sent counts an order as on its way.
+// Sent records that an order was sent.
 func (w *Window) Sent(bytes int) { w.inFlight += bytes }
 
-// Answered takes in that an order was answered so long after it was sent.
+// Answered records that an order was answered, and its answer time.
 func (w *Window) Answered(now time.Time, took time.Duration, bytes int) {
 	w.removeInFlight(bytes)
 	w.answeredAt = now
 	w.updateAnswerTimes(now, took)
-	waited := took - min(w.fastest, w.lastFastest)
-	if waited > targetDelay {
-		w.shrink(now, float64(targetDelay)/float64(waited))
+	queued := took - min(w.fastest, w.lastFastest)
+	if queued > targetDelay {
+		w.shrink(now, float64(targetDelay)/float64(queued))
 		return
 	}
 	if w.heldBack {
-		w.size = min(maxSize, w.size+float64(bytes)*(1-float64(waited)/float64(targetDelay)))
+		w.size = min(maxSize, w.size+float64(bytes)*(1-float64(queued)/float64(targetDelay)))
 	}
 }
 
-// Unanswered takes in that an order got no answer for so long. One sent before others
-// that were answered tells of its worker, and one that failed at once of a closed port:
-// only a silence on all sides tells of the link.
+// Unanswered records that an order got no answer within the given time. The window shrinks only
+// if no other order was answered in that time: a single silent worker says nothing about the
+// link, nor does an order that fails at once because a port is closed.
 func (w *Window) Unanswered(now time.Time, took time.Duration, bytes int) {
 	w.removeInFlight(bytes)
 	if took >= LeastTimeout && now.Sub(w.answeredAt) >= took {
@@ -121,7 +122,7 @@
 
 func (w *Window) removeInFlight(bytes int) { w.inFlight = max(0, w.inFlight-bytes) }
 
-// updateAnswerTimes keeps the fastest answers, and the mean with its deviation.
+// updateAnswerTimes updates the fastest answer times, the mean and the mean deviation.
 func (w *Window) updateAnswerTimes(now time.Time, took time.Duration) {
 	if w.fastestSince.IsZero() {
 		w.fastest, w.lastFastest, w.fastestSince = took, took, now
@@ -132,13 +133,13 @@
 		w.lastFastest, w.fastest, w.fastestSince = w.fastest, took, now
 	}
 	w.fastest = min(w.fastest, took)
-	off := took - w.meanAnswerTime
-	w.meanAnswerTime += time.Duration(smoothing * float64(off))
-	w.meanDeviation += time.Duration(smoothing * float64(off.Abs()-w.meanDeviation))
+	deviation := took - w.meanAnswerTime
+	w.meanAnswerTime += time.Duration(smoothing * float64(deviation))
+	w.meanDeviation += time.Duration(smoothing * float64(deviation.Abs()-w.meanDeviation))
 }
 
-// shrink takes at most one step in a mean answer time: the answers to what is on its
-// way already tell of the window as it was.
+// shrink shrinks the window at most once per mean answer time, since the answers to orders
+// already in flight still reflect the earlier size.
 func (w *Window) shrink(now time.Time, factor float64) {
 	if now.Sub(w.shrunkAt) < max(w.meanAnswerTime, targetDelay) {
 		return
@@ -147,9 +148,9 @@
 	w.size = max(minSize, w.size*max(minShrinkFactor, factor))
 }
 
-// Timeout is how long to wait for an answer: several times what answers vary by above
-// what they take. An order that is late is waited for; sent again it would wait behind
-// itself.
+// Timeout returns how long to wait for an answer: the mean answer time plus several mean
+// deviations, within LeastTimeout and MostTimeout. It is long because an order that is sent
+// again would queue behind its first copy.
 func (w *Window) Timeout() time.Duration {
 	return min(MostTimeout, max(LeastTimeout, w.meanAnswerTime+timeoutDeviations*w.meanDeviation))
 }
--- a/pkg/process/flow/window_test.go
+++ b/pkg/process/flow/window_test.go
@@ -9,8 +9,8 @@
 	"github.com/wrenferry/wrenferry/pkg/process/flow"
 )
 
-// link sends orders one after the other at a rate, and answers each after a way there
-// and back.
+// link sends orders one after the other at a fixed rate. Each answer arrives a round trip
+// after its order has been sent.
 type link struct {
 	bytesPerSecond float64
 	roundTrip      time.Duration
@@ -32,8 +32,8 @@
 
 const orderBytes = 1200
 
-// fillWindow keeps a window as full as it allows for a time, and returns how many orders were
-// answered, and the longest wait and the longest time-out in the second half.
+// fillWindow sends orders for a time span whenever the window allows one. It returns how many
+// were answered, and the longest answer time and longest time-out of the second half.
 func fillWindow(w *flow.Window, l *link, span time.Duration) (answered int, longest, timeout time.Duration) {
 	start := time.Unix(1000, 0)
 	var under []answer
@@ -55,17 +55,17 @@
 	return answered, longest, timeout
 }
 
-// Forty and more orders wait at every moment for a link of 2 Mbit/s. Unbounded, they
-// fill it without end; the window keeps the wait short and the link in use.
+// At every moment forty or more orders wait for a link of 2 Mbit/s. Without a bound they would
+// fill its queue. The window must keep the answer times short and the link busy.
 func TestWindowUsesSlowLinkWithoutFillingIt(t *testing.T) {
 	t.Parallel()
 	answered, longest, timeout := fillWindow(flow.NewWindow(), &link{bytesPerSecond: 250_000, roundTrip: 4 * time.Millisecond}, 10*time.Second)
-	must.Greater(t, 10*250_000/orderBytes*8/10, answered, must.Sprint("the link stands idle"))
+	must.Greater(t, 10*250_000/orderBytes*8/10, answered, must.Sprint("the link is idle"))
 	must.Less(t, 250*time.Millisecond, longest)
 	must.Eq(t, flow.LeastTimeout, timeout)
 }
 
-// On a fast link the window binds nothing: the rate is that of a window without bound.
+// On a fast link the window must allow the same rate as no window.
 func TestWindowDoesNotLimitFastLink(t *testing.T) {
 	t.Parallel()
 	answered, longest, _ := fillWindow(flow.NewWindow(), &link{bytesPerSecond: 25_000_000, roundTrip: 4 * time.Millisecond}, 5*time.Second)
@@ -73,8 +73,8 @@
 	must.Less(t, 100*time.Millisecond, longest)
 }
 
-// Time-outs follow what answers take: on a path that takes half a second, an order is
-// waited for, not sent twice.
+// Time-outs follow the answer times: on a path of half a second, an order is waited for and not
+// sent twice.
 func TestTimeoutsFollowAnswerTimes(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
@@ -84,8 +84,8 @@
 	must.LessEq(t, flow.MostTimeout, timeout)
 }
 
-// A window that was shut by answers that did not come opens again within a second once
-// they do.
+// A window that shrank because of missing answers must grow again within a second once answers
+// come.
 func TestWindowGrowsAgainAfterUnansweredOrders(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
@@ -101,7 +101,7 @@
 	must.Greater(t, 60<<10, w.Size())
 }
 
-// One order is always let through, however large.
+// An order of any size is sent if nothing else is in flight.
 func TestOrderLargerThanWindowIsSentAlone(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
@@ -112,7 +112,7 @@
 	must.True(t, w.Room())
 }
 
-// Orders that were held back are taken up for several at once.
+// After orders were held back, a quarter of the window must be free before more are sent.
 func TestRefilledNeedsAQuarterOfTheWindow(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
@@ -129,8 +129,7 @@
 	must.True(t, w.Refilled())
 }
 
-// A worker that takes orders and does not answer is not the link's fault: beside others
-// that answer, the window stays open.
+// A worker that doesn't answer must not shrink the window while other workers answer.
 func TestOneSilentWorkerDoesNotShrinkWindow(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
--- a/pkg/process/parts/parts.go
+++ b/pkg/process/parts/parts.go
@@ -1,5 +1,5 @@
-// Package parts wraps servers as parts that a supervisor runs: each serves
-// until the context ends or it is shut down, and is not started again then.
+// Package parts wraps servers as services of a supervisor (package suture). Each serves
+// until the context ends or the server is shut down, and isn't restarted then.
 package parts
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// Listen opens a port for what is named.
+// Listen opens a TCP port. The name says in the error for which purpose.
 func Listen(name, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -23,14 +23,14 @@
 	return listener, nil
 }
 
-// HTTP is an HTTP server as a supervised part.
+// HTTP is a supervised HTTP server.
 type HTTP struct {
 	Server   *http.Server
 	Listener net.Listener
 }
 
-// String names the part for the supervisor.
-func (p *HTTP) String() string { return "server on " + p.Listener.Addr().String() }
+// String returns the name that the supervisor logs.
+func (p *HTTP) String() string { return "HTTP server on " + p.Listener.Addr().String() }
 
 // Serve serves until the context ends or the server is shut down.
 func (p *HTTP) Serve(ctx context.Context) error {
@@ -42,14 +42,14 @@
 	return suture.ErrDoNotRestart
 }
 
-// GRPC is the peers' server as a supervised part.
+// GRPC is the supervised gRPC server for the other hosts.
 type GRPC struct {
 	Server   *grpc.Server
 	Listener net.Listener
 }
 
-// String names the part for the supervisor.
-func (p *GRPC) String() string { return "peers' server" }
+// String returns the name that the supervisor logs.
+func (p *GRPC) String() string { return "gRPC server for peers" }
 
 // Serve serves until the context ends.
 func (p *GRPC) Serve(ctx context.Context) error {
--- a/pkg/process/placement/placement.go
+++ b/pkg/process/placement/placement.go
@@ -1,10 +1,10 @@
 // Package placement chooses a worker for a task.
 //
-// Choose is pure: the task and the candidates go in, one name and the reason
-// come out. Workers without room were left out before (package ledger), so a
-// policy is only ever about which of several possible hosts is best.
+// Choose is a pure function of the task and the candidates; it returns one worker and the
+// reason. Callers pass only workers with enough free capacity (package ledger), so a policy
+// only ranks workers that are possible.
 //
-// Three policies stand in one look-up table. Two are plain baselines, kept for
+// There are three policies, in one look-up table. Two are simple baselines, kept for
 // comparison in "make bench" and selectable in the settings.
 package placement
 
@@ -15,7 +15,7 @@
 
 // ------------------------------------------------------------- candidates
 
-// Task is what a policy may know of a task.
+// Task is the part of a task's description that policies use.
 type Task struct {
 	ID   string
 	Job  string
@@ -23,7 +23,7 @@
 	Size ledger.Size
 }
 
-// Worker is a host with room for the task.
+// Worker is a candidate: a worker with enough free capacity for the task.
 type Worker struct {
 	Name     string
 	Rack     string
@@ -31,22 +31,23 @@
 	Free     ledger.Size
 	Services []string
 	Present  interference.Present
-	// JobTasksInRack counts the tasks of the same job in the worker's rack.
+	// JobTasksInRack is the number of tasks of the same job in the worker's rack.
 	JobTasksInRack int
 }
 
-// Choice is the worker chosen and why.
+// Choice is the chosen worker and the reason; Worker is empty if there was no candidate.
 type Choice struct {
 	Worker string
 	Reason Reason
-	// Cost is the policy's own measure of the choice; less is better.
+	// Cost is the policy's cost of the worker; less is better. Costs of different policies
+	// are not comparable.
 	Cost float64
 }
 
 // Reason is why a worker was chosen.
 type Reason string
 
-// The reasons.
+// The values of Reason. NoRoom: there was no candidate.
 const (
 	NoRoom      Reason = "no-worker-has-room"
 	FirstFit    Reason = "first-that-fits"
@@ -56,7 +57,7 @@
 
 // --------------------------------------------------------------- policies
 
-// Policy rates a worker for a task: less is better.
+// Policy assigns each candidate a cost; less is better.
 type Policy struct {
 	Name   string
 	Help   string
@@ -64,14 +65,14 @@
 	cost   func(m *interference.Model, t Task, w Worker, index int) float64
 }
 
-// Policies is the look-up table. To add one: a function and a row.
+// Policies is the look-up table of all policies. A new policy needs a cost function and a row.
 var Policies = []Policy{
 	{"least-harm", "Least expected harm to the services on the worker, then racks apart, then a tight fit.", LeastHarm, expectedHarmCost},
 	{"first-fit", "The first worker by name that has room (baseline).", FirstFit, firstFitCost},
 	{"least-loaded", "The worker with the smallest share reserved (baseline).", LeastLoaded, reservedShareCost},
 }
 
-// PolicyNamed finds a policy; an unknown name gives the first.
+// PolicyNamed returns the policy with a name, and the first policy for an unknown name.
 func PolicyNamed(name string) Policy {
 	for _, p := range Policies {
 		if p.Name == name {
@@ -81,7 +82,7 @@
 	return Policies[0]
 }
 
-// Choose picks the worker with the least cost; the first of equals.
+// Choose returns the candidate with the least cost, and the first one of equals.
 func (p Policy) Choose(m *interference.Model, t Task, workers []Worker) Choice {
 	best := Choice{Reason: NoRoom}
 	for i, w := range workers {
@@ -96,13 +97,13 @@
 // ------------------------------------------------------------------ costs
 
 const (
-	// rackWeight makes a second task of a job in one rack cost as much as a
-	// fiftieth of a service's target.
+	// rackWeight is the cost of each further task of the job in the same rack. It equals harm
+	// of a fiftieth of a service's latency target.
 	rackWeight = 0.02
-	// fitWeight prefers fuller hosts among harmless ones, which keeps whole
-	// hosts free for large tasks.
+	// fitWeight prefers the fuller one of equally harmless workers, which keeps whole hosts
+	// free for large tasks.
 	fitWeight = 0.01
-	// acceleratorWeight keeps tasks that need none off hosts that have some.
+	// acceleratorWeight keeps tasks without accelerators off workers that have free ones.
 	acceleratorWeight = 0.05
 )
 
@@ -115,9 +116,9 @@
 	return used.DominantShare(w.Capacity)
 }
 
-// expectedHarmCost is the growth of the squared latency ratios of the worker's
-// services. The square makes harm near the target dearer than the same harm to
-// a service with room to spare.
+// expectedHarmCost is the increase of the squared ratios of latency to target, summed over the
+// worker's services. Squaring makes the same harm more costly for a service near its target than
+// for one far below it.
 func expectedHarmCost(m *interference.Model, t Task, w Worker, index int) float64 {
 	cost := rackWeight * float64(w.JobTasksInRack)
 	for _, s := range w.Services {
--- a/pkg/process/placement/placement_test.go
+++ b/pkg/process/placement/placement_test.go
@@ -22,7 +22,7 @@
 	return list
 }
 
-// A kind that was seen to harm a service goes where the service is not.
+// A kind known to harm a service is placed on a worker without that service.
 func TestLeastHarmAvoidsTheHarmedService(t *testing.T) {
 	model := interference.NewModel()
 	for range 50 {
--- a/pkg/process/quarantine/quarantine.go
+++ b/pkg/process/quarantine/quarantine.go
@@ -1,58 +1,58 @@
 // Package quarantine tells a broken worker from a broken kind of job.
 //
-// A worker that fails everything it starts attracts work: it is always free.
-// So starts are counted both ways. A worker is put aside when it fails several
-// times in a row what has succeeded elsewhere; it is then given one task at a
-// time as a probe, and let back in when a probe succeeds. A kind that never
-// succeeded speaks against no worker, and when it has failed on many workers it
-// is the job's own fault.
+// A worker that fails every task at once always has free capacity, and so attracts work.
+// Therefore failures are counted by worker and by kind. A worker is quarantined when it
+// fails several times in a row with kinds that have succeeded somewhere. It then gets one task
+// at a time as a probe; a successful probe ends the quarantine. Failures of a kind that never
+// succeeded don't count for the worker. A kind that has failed on several workers is broken:
+// the job itself is at fault.
 package quarantine
 
 import "time"
 
 const (
-	// quarantineAfterFailures is how many failures in a row put a worker aside.
+	// quarantineAfterFailures is how many failures in a row quarantine a worker.
 	quarantineAfterFailures = 3
-	// probeInterval is how often a quarantined worker gets one task.
+	// probeInterval is the time between two probes of a quarantined worker.
 	probeInterval = 30 * time.Second
-	// brokenKindWorkers is on how many different workers a kind must have failed
-	// in a row before the kind is blamed.
+	// brokenKindWorkers is on how many different workers a kind must have failed since its
+	// last success to count as broken.
 	brokenKindWorkers = 3
 )
 
-// worker is one worker's recent past.
+// worker is the recent history of one worker.
 type worker struct {
 	consecutiveFailures int
 	quarantined         bool
 	lastProbeAt         time.Time
 }
 
-// Record is the hall's account. It belongs to the control thread.
+// Record holds the failures and quarantines of one hall. It belongs to the control thread.
 type Record struct {
 	workers map[string]*worker
-	// failedWorkers lists, for each kind, the workers that failed it since it last
-	// succeeded anywhere.
+	// failedWorkers lists, for each kind, the workers on which it failed since its last success
+	// on any worker.
 	failedWorkers map[string]map[string]bool
 	// provenKinds holds the kinds that have succeeded somewhere and are not broken.
 	provenKinds map[string]bool
 }
 
-// New returns an empty account.
+// New returns a Record without failures.
 func New() *Record {
 	return &Record{workers: map[string]*worker{}, failedWorkers: map[string]map[string]bool{}, provenKinds: map[string]bool{}}
 }
 
-// Succeeded takes in one success. It says whether the worker was let back in.
+// Succeeded records a success of a kind on a worker. It reports whether this ended a quarantine.
 func (r *Record) Succeeded(name, kind string) bool {
 	delete(r.failedWorkers, kind)
 	r.provenKinds[kind] = true
 	w := r.worker(name)
-	back := w.quarantined
+	wasQuarantined := w.quarantined
 	*w = worker{}
-	return back
+	return wasQuarantined
 }
 
-// Failed takes in one failure. It says whether the worker was put aside.
+// Failed records a failure of a kind on a worker. It reports whether this quarantined the worker.
 func (r *Record) Failed(now time.Time, name, kind string) bool {
 	if r.failedWorkers[kind] == nil {
 		r.failedWorkers[kind] = map[string]bool{}
@@ -74,7 +74,7 @@
 	return true
 }
 
-// KindIsBroken says whether a kind fails wherever it is tried.
+// KindIsBroken says whether a kind fails on all workers that try it.
 func (r *Record) KindIsBroken(kind string) bool {
 	return len(r.failedWorkers[kind]) >= brokenKindWorkers
 }
@@ -85,7 +85,7 @@
 	return ok && w.quarantined
 }
 
-// MayPlace says whether a worker may be given a task now.
+// MayPlace says whether a worker may get a task now. A quarantined one may when a probe is due.
 func (r *Record) MayPlace(now time.Time, name string) bool {
 	w, ok := r.workers[name]
 	if !ok || !w.quarantined {
@@ -94,8 +94,7 @@
 	return now.Sub(w.lastProbeAt) >= probeInterval
 }
 
-// Placed notes that a task went to the worker, which for a worker in
-// quarantine is its probe.
+// Placed records that a task was placed on the worker. In quarantine this task is the probe.
 func (r *Record) Placed(now time.Time, name string) {
 	if w, ok := r.workers[name]; ok && w.quarantined {
 		w.lastProbeAt = now
--- a/pkg/process/workers/account.go
+++ b/pkg/process/workers/account.go
@@ -11,8 +11,8 @@
 	"github.com/wrenferry/wrenferry/pkg/process/ledger"
 )
 
-// Account is what a row of the list of workers says, before it is judged: nil is what it does
-// not say. Rows may come from other writers, so nothing in it is taken for granted.
+// Account is one row of the worker registry before validation. A nil field is missing in
+// the row. Other programs may write rows too, so every field is checked.
 type Account struct {
 	ID       string
 	Born     *int64
@@ -22,7 +22,7 @@
 	Hall     *string
 	State    *string
 	Software *string
-	// Slots and Sequence are not used; a worker tells them.
+	// Slots and Sequence must be valid but are not used; the worker itself reports both.
 	Slots, Sequence *int64
 	Labels          []string
 	Capacity        *Capacity
@@ -30,32 +30,32 @@
 	Version         int64
 }
 
-// Capacity is what a worker says of its room.
+// Capacity is the capacity that a worker reports; a nil field is missing.
 type Capacity struct {
 	Millicores, MemoryMB, Accelerators *int64
 }
 
-// The states that an account may name.
+// The values of Account.State.
 const (
 	StateReady   = "ready"
 	StateLeaving = "draining"
 )
 
-// Known is what a row is judged against: the services that the manifest names and the halls of
-// the deployment.
+// Known looks up the services of the manifest and the halls of the deployment, which a row may name.
 type Known struct {
 	Service func(name string) bool
 	Hall    func(name string) bool
 }
 
-// Unusable says why a row names no worker to use.
+// Unusable is the error for a row that describes no usable worker.
 type Unusable struct {
 	ID string
-	// Field is what is wrong with the row, in the product's words; empty: it can't be read at all.
+	// Field is the invalid field, in the words of the product; empty: the row can't be
+	// parsed at all. Why is the problem.
 	Field, Why string
 }
 
-// Error is the reason for people.
+// Error returns the field and its problem.
 func (u *Unusable) Error() string {
 	if u.Field == "" {
 		return u.Why
@@ -63,7 +63,7 @@
 	return u.Field + ": " + u.Why
 }
 
-// AsUnusable finds the reason in an error; nil: it has none.
+// AsUnusable returns the Unusable that err wraps, or nil if it wraps none.
 func AsUnusable(err error) *Unusable {
 	var u *Unusable
 	if errors.As(err, &u) {
@@ -73,17 +73,17 @@
 }
 
 const (
-	// maxMillicores and mostMemoryMB bound what is believed of a worker: a thousand times the
-	// largest that is known. Sums over all workers stay far from what fits into a number.
+	// maxMillicores and maxMemoryMB bound the accepted capacity of a worker: a thousand times
+	// the largest known worker. Sums over all workers then can't overflow.
 	maxMillicores = 100_000_000
 	maxMemoryMB   = 1_000_000_000
-	// maxAccelerators likewise.
+	// maxAccelerators is the same bound for accelerators.
 	maxAccelerators = 1_000_000
-	// maxRemainingMs is the longest time to leave that is believed, in ms: a day.
+	// maxRemainingMs is the longest accepted time until a worker leaves, in ms: a day.
 	maxRemainingMs = int64(24 * time.Hour / time.Millisecond)
 )
 
-// Judge is the one decision from a row to a worker to use, or why it names none.
+// Judge validates a row and returns the worker's Record. The error is an *Unusable.
 func Judge(a Account, known Known) (Record, error) {
 	for _, check := range []struct {
 		field string
@@ -108,24 +108,25 @@
 	return recordFrom(a, known)
 }
 
-// recordFrom judges a row that is complete.
+// recordFrom converts a row whose fields are all present. It also checks the values of the
+// ID, state, address, host, hall and service.
 func recordFrom(a Account, known Known) (Record, error) {
 	unusable := func(field, why string) (Record, error) {
 		return Record{}, &Unusable{ID: a.ID, Field: field, Why: why}
 	}
 	switch {
 	case a.ID == "":
-		return unusable("id", "it is empty")
+		return unusable("id", "is empty")
 	case *a.State != StateReady && *a.State != StateLeaving:
-		return unusable("state", fmt.Sprintf("%q is none that is known", *a.State))
+		return unusable("state", fmt.Sprintf("%q is not a known state", *a.State))
 	case invalidAddress(*a.Address):
-		return unusable("address", fmt.Sprintf("%q is none", *a.Address))
+		return unusable("address", fmt.Sprintf("%q is not an address that can be called", *a.Address))
 	case a.Host != nil && *a.Host == "":
-		return unusable("host", "it is empty")
+		return unusable("host", "is empty")
 	case !known.Hall(*a.Hall):
-		return unusable("hall", fmt.Sprintf("%q is none of this deployment", *a.Hall))
+		return unusable("hall", fmt.Sprintf("%q is not a hall of this deployment", *a.Hall))
 	case !known.Service(*a.Service):
-		return unusable("service", fmt.Sprintf("%q is none that the manifest names", *a.Service))
+		return unusable("service", fmt.Sprintf("%q is not in the manifest", *a.Service))
 	}
 	r := Record{
 		ID: a.ID, Born: valueOrZero(a.Born), Service: *a.Service, Address: *a.Address, Hall: *a.Hall, Labels: a.Labels,
@@ -152,21 +153,23 @@
 	return *n
 }
 
+// textProblem returns what is wrong with a required text, or "".
 func textProblem(s *string) string {
 	switch {
 	case s == nil:
-		return "it is missing"
+		return "is missing"
 	case strings.TrimSpace(*s) == "":
-		return "it is empty"
+		return "is empty"
 	}
 	return ""
 }
 
-// rangeProblem says how a number is outside its bounds; one that may be missing is in.
-func rangeProblem(n *int64, least, most int64, needed bool) string {
+// rangeProblem returns what is wrong with a number that has to lie within bounds, or "". A
+// missing number is a problem only if it is required.
+func rangeProblem(n *int64, least, most int64, required bool) string {
 	switch {
-	case n == nil && needed:
-		return "it is missing"
+	case n == nil && required:
+		return "is missing"
 	case n != nil && (*n < least || *n > most):
 		return fmt.Sprintf("%d is not between %d and %d", *n, least, most)
 	}
@@ -175,21 +178,22 @@
 
 func labelsProblem(labels []string) string {
 	if labels == nil {
-		return "they are missing"
+		return "is missing"
 	}
 	for _, l := range labels {
 		if l == "" {
-			return "one is empty"
+			return "a label is empty"
 		}
 	}
 	return ""
 }
 
+// size returns the capacity with 0 for each missing field.
 func (c *Capacity) size() ledger.Size {
 	return ledger.Size{Millicores: valueOrZero(c.Millicores), MemoryMB: valueOrZero(c.MemoryMB), Accelerators: valueOrZero(c.Accelerators)}
 }
 
-// JudgeRoom is the room that a worker says it has, if what it says can be used.
+// JudgeRoom returns the capacity that a worker reports, and whether it is valid.
 func JudgeRoom(c *Capacity) (ledger.Size, bool) {
 	if capacityProblem(c) != "" {
 		return ledger.Size{}, false
@@ -199,10 +203,10 @@
 
 func capacityProblem(c *Capacity) string {
 	if c == nil {
-		return "it is missing"
+		return "is missing"
 	}
 	for _, check := range []struct{ name, why string }{
-		{"processors", rangeProblem(c.Millicores, 0, maxMillicores, true)}, // a room of nothing is a full worker
+		{"processors", rangeProblem(c.Millicores, 0, maxMillicores, true)}, // 0 is valid: the worker is full
 		{"memory", rangeProblem(c.MemoryMB, 0, maxMemoryMB, true)},
 		{"accelerators", rangeProblem(c.Accelerators, 0, maxAccelerators, false)},
 	} {
@@ -213,10 +217,10 @@
 	return ""
 }
 
-// hostCharacters are what the name or number of a host may be made of.
+// hostCharacters are the characters allowed in a host name or IP address.
 const hostCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789.-:%"
 
-// invalidAddress says that nothing can be called there.
+// invalidAddress says whether a text is no host and port that can be called.
 func invalidAddress(text string) bool {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil || host == "" || strings.Trim(host, hostCharacters) != "" {
--- a/pkg/process/workers/health.go
+++ b/pkg/process/workers/health.go
@@ -4,45 +4,45 @@
 	"time"
 )
 
-// Health judges a worker by what became of the runs it was given: what a
-// worker says of its own health is not asked.
+// Health decides from the outcomes of runs whether a worker is quarantined. What the
+// worker reports about its own health is ignored.
 //
-// Some workers fail all that they start, some let all stand still, some are
-// slow. Each failure costs a task one of its few attempts, so two failures in a
-// row of different units, with no good end between, put a worker aside. After
-// a while it gets one run as a trial; a good end lets it back in, a bad one
-// doubles the while.
+// Faulty workers differ: some fail every run that they start, some let every run stall,
+// some are slow. Each failed run costs its task one of a few attempts. Therefore two failed
+// runs of different units in a row, with no successful run between them, quarantine the
+// worker. When the quarantine period is over, the worker gets one run as a probe. A
+// successful probe ends the quarantine; a failed one doubles the next period.
 type Health struct {
 	quarantined bool
-	// probeAt is when the trial run was given; zero: none is out.
+	// probeAt is when the probe run was started; zero: no probe run is outstanding.
 	probeAt          time.Time
 	quarantinedUntil time.Time
 	quarantineSpan   time.Duration
-	// stalled says that runs stood still there: then one that moves is a good
-	// sign. Where runs fail, only a good end is.
+	// stalled says that the quarantine is due to stalled runs or refused starts; then
+	// progress of any run ends it. After failed runs only a successful run does.
 	stalled     bool
 	failedUnits []string
 	reason      string
 }
 
 const (
-	// quarantineAfterFailures is how many units must fail in a row: one failure is
-	// as likely the task's own.
+	// quarantineAfterFailures is how many different units must fail in a row. A single
+	// failure is as likely to be the task's fault.
 	quarantineAfterFailures = 2
-	// firstQuarantine is how long a worker is left alone at first, longestAside at
-	// most: troubles of workers last some seconds to minutes.
+	// firstQuarantine is the first quarantine period, and maxQuarantine the longest one.
+	// Faults of workers last from some seconds to minutes.
 	firstQuarantine = 1500 * time.Millisecond
 	maxQuarantine   = 6 * time.Second
-	// probeTimeout is how long a trial without an end keeps the next one back.
+	// probeTimeout is how long a probe run without an outcome delays the next probe.
 	probeTimeout = 4 * time.Second
 )
 
-// Failed takes in that a run of a unit failed there. Units that failed at other
-// workers too should not be told: they are at fault themselves. It says whether
-// the worker is put aside by it.
+// Failed records that a run of a unit failed on the worker and reports whether the worker
+// is in quarantine as a result. Callers leave out units that failed on other workers too,
+// since then the unit itself is at fault.
 func (h *Health) Failed(unit string, now time.Time) bool {
 	if h.quarantined {
-		h.quarantine("its trial failed", false, now)
+		h.quarantine("probe run failed", false, now)
 		return true
 	}
 	for _, f := range h.failedUnits {
@@ -58,50 +58,51 @@
 	return true
 }
 
-// Stalled puts the worker aside since a run does not move on there.
+// Stalled quarantines the worker because a run makes no progress there.
 func (h *Health) Stalled(now time.Time) {
 	if !h.quarantined || !now.Before(h.quarantinedUntil) {
-		h.quarantine("a run stands still", true, now)
+		h.quarantine("a run stalled", true, now)
 	}
 }
 
-// Refused puts the worker aside since it refuses work that should fit.
+// Refused quarantines the worker because it refused a start that should fit.
 func (h *Health) Refused(why string, now time.Time) {
 	if !h.quarantined || !now.Before(h.quarantinedUntil) {
 		h.quarantine("refused a start: "+why, true, now)
 	}
 }
 
-// Worked takes in that a run ended well. It says whether the worker was aside.
+// Worked records that a run succeeded. It ends a quarantine and reports whether there was one.
 func (h *Health) Worked() bool {
 	was := h.quarantined
 	*h = Health{}
 	return was
 }
 
-// Progressed takes in that a run moves on.
+// Progressed records that a run made progress. It reports whether this ended a quarantine.
 func (h *Health) Progressed() bool { return h.quarantined && h.stalled && h.Worked() }
 
-// TrialGiven takes in that a run was started there.
+// TrialGiven records that a run was started on the worker. In quarantine this run is the probe.
 func (h *Health) TrialGiven(now time.Time) {
 	if h.quarantined {
 		h.probeAt = now
 	}
 }
 
-func (h *Health) quarantine(reason string, still bool, now time.Time) {
+// quarantine starts a quarantine period, twice as long as the one before, up to maxQuarantine.
+func (h *Health) quarantine(reason string, stalled bool, now time.Time) {
 	if h.quarantineSpan == 0 {
 		h.quarantineSpan = firstQuarantine
 	} else {
 		h.quarantineSpan = min(h.quarantineSpan*2, maxQuarantine)
 	}
-	h.quarantined, h.stalled, h.reason, h.probeAt = true, still, reason, time.Time{}
+	h.quarantined, h.stalled, h.reason, h.probeAt = true, stalled, reason, time.Time{}
 	h.quarantinedUntil = now.Add(h.quarantineSpan)
 	h.failedUnits = nil
 }
 
-// Quarantined says whether the worker gets no work at present: it is left alone, or
-// its trial run is out.
+// Quarantined says whether the worker gets no new run now: its quarantine period is not over,
+// or its probe run is outstanding.
 func (h *Health) Quarantined(now time.Time) bool {
 	if !h.quarantined {
 		return false
@@ -109,5 +110,6 @@
 	return now.Before(h.quarantinedUntil) || (!h.probeAt.IsZero() && now.Sub(h.probeAt) < probeTimeout)
 }
 
-// QuarantineReason says whether the worker is put aside or on trial, and why.
+// QuarantineReason returns why the worker is quarantined, and whether it is; the time of its
+// probe run counts as quarantine.
 func (h *Health) QuarantineReason() (string, bool) { return h.reason, h.quarantined }
--- a/pkg/process/workers/incarnations.go
+++ b/pkg/process/workers/incarnations.go
@@ -6,18 +6,18 @@
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
 )
 
-// A worker may start again under the id that it has. The one that answers then holds and
-// knows nothing of before, and its counts and its clock begin anew: whatever is believed of a
-// worker is a belief about one life of it, which Born names.
+// A worker may restart under its old ID. The new incarnation holds no runs and knows nothing
+// of the old one, and its end numbers and its clock start again. So all state of a Worker
+// belongs to one incarnation, which Born identifies.
 
-// IsOtherIncarnation says whether a row is about another life than the one that is known.
+// IsOtherIncarnation says whether a registry row belongs to another incarnation than w.
 func (w *Worker) IsOtherIncarnation(r Record) bool {
 	return r.Born != 0 && w.Born != 0 && r.Born != w.Born
 }
 
-// NoteOtherIncarnation takes in a row of another life. It may be of a later one, or an old row that
-// came late: which one it is, the next answer says. Until then no new work goes there. It
-// says whether the row is news.
+// NoteOtherIncarnation stores a registry row of another incarnation. The row may be of a later
+// incarnation, or an outdated row that arrived late; the worker's next answer decides which.
+// Until then the worker gets no new work. The result says whether the row was unknown so far.
 func (w *Worker) NoteOtherIncarnation(now time.Time, r Record) bool {
 	if r.Born == w.outdatedBorn {
 		return false
@@ -31,18 +31,18 @@
 	return news
 }
 
-// PollNow makes a look due, though one may be out: that one is not waited for, since the life
-// that it was sent to may be over.
+// PollNow makes a poll due at once, even while one is outstanding: the incarnation to which
+// that one was sent may have ended, so its answer is not awaited.
 func (w *Worker) PollNow(now time.Time) { w.PollOutstanding, w.NextPollAt = false, now }
 
-// Unlist takes in that the list of workers does not hold this life.
+// Unlist records that the worker registry does not list this incarnation.
 func (w *Worker) Unlist(now time.Time) {
 	if w.Listed {
 		w.Listed, w.UnlistedAt = false, now
 	}
 }
 
-// RowGone takes in that the list holds no row under this ID.
+// RowGone records that the worker registry holds no row under this ID.
 func (w *Worker) RowGone(now time.Time) {
 	if w.Listed {
 		w.RowGoneAt = now
@@ -51,13 +51,14 @@
 	w.Unlist(now)
 }
 
-// LeftOrderly says whether the worker leaves, or answered though its row had gone: such a life ends without
-// a crash. (Where the row goes after it fell silent, that is why.)
+// LeftOrderly says whether the worker is leaving, or answered after its registry row had been
+// removed. Such an incarnation ends without a crash. A row that is removed after the worker
+// fell silent doesn't count: the silence is then the reason for the removal.
 func (w *Worker) LeftOrderly() bool {
 	return w.Leaving || (!w.RowGoneAt.IsZero() && w.RowGoneAt.Before(w.LastAnswerAt))
 }
 
-// EndedAt is when a life that is over by now ended at the latest.
+// EndedAt returns the latest time at which an incarnation that has ended by now can have ended.
 func (w *Worker) EndedAt(now time.Time) time.Time {
 	switch {
 	case !w.SilentSince.IsZero():
@@ -68,19 +69,19 @@
 	return now
 }
 
-// Answered takes in that this very life has answered a look that was sent at a given time: a
-// row of another one that was there before is an old one.
+// Answered records that this incarnation answered a poll sent at the given time. A row of
+// another incarnation that was stored before then is outdated.
 func (w *Worker) Answered(sentAt time.Time) {
 	if w.otherRow != nil && w.otherRowAt.Before(sentAt) {
 		w.outdatedBorn, w.otherRow, w.Listed = w.otherRow.Born, nil, true
 	}
 }
 
-// MayHaveRestarted says whether another life may answer the next look.
+// MayHaveRestarted says whether another incarnation may answer the next poll.
 func (w *Worker) MayHaveRestarted() bool { return w.otherRow != nil || !w.SilentSince.IsZero() }
 
-// PollAddress is where to look for the worker: if the life that is known is silent, where the
-// next one's row says.
+// PollAddress returns the address for the next poll. While this incarnation is silent, it is
+// the address in the row of the other incarnation, if there is one.
 func (w *Worker) PollAddress() string {
 	if w.otherRow != nil && !w.SilentSince.IsZero() {
 		return w.otherRow.Address
@@ -88,18 +89,18 @@
 	return w.Address
 }
 
-// Restart makes this the worker's next life, which has just answered, and returns the runs of the
-// life before: nothing else that was believed holds.
+// Restart turns w into the incarnation that has just answered, and returns the runs of the
+// previous one. All other state of the previous incarnation is dropped.
 func (w *Worker) Restart(now time.Time, born int64) []*jobs.Run {
 	runs := w.Runs
-	begun := Worker{
+	restarted := Worker{
 		Record:  Record{ID: w.ID, Host: w.Host, Service: w.Service, Address: w.Address, Hall: w.Hall},
 		KnownAt: now, UsableFrom: now, PollSentAt: w.PollSentAt, UnlistedAt: now, tasksByUnit: map[*jobs.Unit]int64{},
 	}
 	if w.otherRow != nil && w.otherRow.Born == born {
-		begun.Record, begun.Listed = *w.otherRow, true
+		restarted.Record, restarted.Listed = *w.otherRow, true
 	}
-	begun.Born = born
-	*w = begun
+	restarted.Born = born
+	*w = restarted
 	return runs
 }
--- a/pkg/process/workers/report.go
+++ b/pkg/process/workers/report.go
@@ -7,28 +7,30 @@
 	"github.com/wrenferry/wrenferry/pkg/process/ledger"
 )
 
-// Target names a worker for a call: the life that is meant, and where it is.
+// Target names the incarnation of a worker to call, and its address.
 type Target struct {
 	ID string
-	// Born is the life; 0: any. Orders to one life never reach another, and neither does
-	// what a look has to say to it: then the other one's lists are the answer.
+	// Born identifies the incarnation; 0: any. An order for one incarnation never reaches
+	// another one. Neither does the content of a poll: another incarnation answers it with
+	// its own lists and changes nothing.
 	Born    int64
 	Address string
 }
 
-// Poll asks a worker what runs and what has ended there, and renews its lease.
+// Poll asks a worker for its active runs and its ends, and renews its lease.
 type Poll struct {
-	// Fence is the leader's epoch; a worker does nothing for a lower one.
+	// Fence is the leader's epoch; a worker rejects calls with a lower one than it knows.
 	Fence int64
-	// Until is the end of the lease by the worker's clock; 0: no renewal.
+	// Until is the end of the lease by the worker's clock; 0: the lease is not renewed.
 	Until time.Duration
-	// Recorded is the newest end that is durable: the worker may forget it.
+	// Recorded is the number of the newest end that is durable: the worker may drop the
+	// ends up to it.
 	Recorded int64
-	// Wait is how long the answer may wait for an end.
+	// Wait is how long the worker may delay its answer until a run ends.
 	Wait time.Duration
 }
 
-// Start orders one run.
+// Start orders a worker to start one run.
 type Start struct {
 	Fence      int64
 	Task       string
@@ -39,14 +41,14 @@
 	Ticket     string
 }
 
-// Stop orders the end of one run.
+// Stop orders a worker to end one run.
 type Stop struct {
 	Fence int64
 	Task  string
 	Run   int64
 }
 
-// Pace sets the share in percent at which a run works.
+// Pace sets the share of full speed, in percent, at which a run works.
 type Pace struct {
 	Fence   int64
 	Task    string
@@ -54,7 +56,7 @@
 	Percent int
 }
 
-// How a run ended.
+// How is the outcome of a run, in the words of the worker's list.
 type How string
 
 // The ends of runs.
@@ -67,18 +69,18 @@
 	EndedAlone   How = "alone"
 )
 
-// Active is one run as its worker lists it.
+// Active is one active run in a worker's list.
 type Active struct {
 	Task       string
 	Run        int64
 	Checkpoint string
 	Percent    int
-	// Reading is the fifth entry of the list: a tail latency in ms for tasks
-	// with a target, else the millicores in use.
+	// Reading is the fifth entry of the line: the tail latency in ms for a task with a
+	// latency target, otherwise the millicores in use.
 	Reading int64
 }
 
-// End is the end of one run as its worker lists it.
+// End is one ended run in a worker's list. Number counts the ends of an incarnation.
 type End struct {
 	Number     int64
 	Task       string
@@ -87,54 +89,54 @@
 	Checkpoint string
 }
 
-// Report is a worker's answer to a look.
+// Report is a worker's answer to a poll.
 type Report struct {
-	// Born is when the life that answers began, in Unix ms; 0: it does not say.
+	// Born is when the incarnation that answers started, in Unix ms; 0: not reported.
 	Born   int64
 	Clock  time.Duration
 	Active []Active
 	Ended  []End
-	// Room is what the worker says of its room, where it does.
+	// Room is the capacity that the worker reports; nil: not reported.
 	Room *ledger.Size
-	// UnreadableLines is how many lines of both lists could not be read.
+	// UnreadableLines is how many lines of both lists could not be parsed.
 	UnreadableLines int
 }
 
-// Refusal is why a worker did not do as it was told.
+// Refusal is why a worker did not carry out a call, in the words of its answer.
 type Refusal string
 
-// The refusals. None means that it did.
+// The values of Refusal. NotRefused: the worker carried out the call.
 const (
 	NotRefused         Refusal = ""
 	RefusedFence       Refusal = "fence"     // another leader's epoch is higher
-	RefusedOld         Refusal = "old"       // not above a run that ended there
-	RefusedLate        Refusal = "late"      // the order's limit was over
-	RefusedRoom        Refusal = "room"      // it does not fit
-	RefusedTicket      Refusal = "ticket"    // not allowed there
-	RefusedIncarnation Refusal = "life"      // a worker of another id lives there
-	RefusedRestarted   Refusal = "begun"     // not sent: the worker has started again since
-	RefusedBusy        Refusal = "busy"      // unwell: it has done nothing
-	RefusedMalformed   Refusal = "malformed" // it can't read the order
-	RefusedMissing     Refusal = "missing"   // no such run there
+	RefusedOld         Refusal = "old"       // a run of the task with this or a higher number ended there
+	RefusedLate        Refusal = "late"      // the order's time limit (Until) was over
+	RefusedRoom        Refusal = "room"      // the run does not fit into the free capacity
+	RefusedTicket      Refusal = "ticket"    // the ticket does not allow the run there
+	RefusedIncarnation Refusal = "life"      // a worker with another ID answers at the address
+	RefusedRestarted   Refusal = "begun"     // not sent: the worker has restarted since
+	RefusedBusy        Refusal = "busy"      // the worker is overloaded or unavailable and did nothing
+	RefusedMalformed   Refusal = "malformed" // the worker can't parse the order
+	RefusedMissing     Refusal = "missing"   // the worker has no such run
 )
 
-// Reply is a worker's answer to an order.
+// Reply is a worker's answer to an order. Clock is the reading of its clock.
 type Reply struct {
 	Refusal Refusal
 	Clock   time.Duration
 }
 
-// Caller carries calls to workers. An error says that nobody knows whether the
-// order was or will be carried out, unless its code is fault.NotRun.
+// Caller sends calls to workers. After an error the order may have been carried out or may
+// still be, unless the error's code is fault.NotRun.
 type Caller interface {
-	Poll(ctx context.Context, to Target, l Poll) (Report, Refusal, error)
+	Poll(ctx context.Context, to Target, poll Poll) (Report, Refusal, error)
 	Start(ctx context.Context, to Target, s Start) (Reply, error)
 	Stop(ctx context.Context, to Target, s Stop) (Reply, error)
 	Pace(ctx context.Context, to Target, p Pace) (Reply, error)
 }
 
-// Advisor asks the outside service that knows which workers may run a step. It
-// returns a ticket for each one that may.
+// Advisor asks the external service that decides which workers may run a step. Advise
+// returns a ticket for each allowed worker, by worker ID.
 type Advisor interface {
 	Advise(ctx context.Context, step string, ids []string) (map[string]string, error)
 }
--- a/pkg/process/workers/worker.go
+++ b/pkg/process/workers/worker.go
@@ -1,10 +1,10 @@
-// Package workers keeps what a cell's leader knows of each worker: which
-// life of it answers, how its clock stands, until when it holds what runs on it,
-// what that is, what room is left, and whether it can be trusted.
+// Package workers holds a cell leader's state of each worker: the incarnation
+// that answers, the reading of its clock, the end of its lease, its runs, its free
+// capacity, and whether it is quarantined.
 //
-// A worker lists what runs and what has ended until it is told that an end is
-// recorded, so its lists are the log of starts. It ends everything by itself
-// when its lease is over, by its own clock. Nothing here makes calls; times are
+// A worker lists its active runs, and each ended run until the leader confirms that the
+// end is recorded. So its lists are the log of starts. A worker ends all runs by itself
+// when its lease expires by its own clock. This package makes no calls; times are
 // arguments.
 package workers
 
@@ -16,12 +16,13 @@
 	"github.com/wrenferry/wrenferry/pkg/process/ledger"
 )
 
-// Record is what the list of workers says of one life of a worker.
+// Record is a validated row of the worker registry; it describes one incarnation of a worker.
 type Record struct {
-	// ID names the worker. It may start again under the same ID, at another address too.
+	// ID names the worker. A worker may restart under the same ID, also at another address.
 	ID string
-	// Born is when its life began, as the worker says, in Unix ms; it tells lives apart and is
-	// compared with nothing else, since clocks are set. 0: it does not say.
+	// Born is when the incarnation started, as the worker reports it, in Unix ms; 0: not reported.
+	// It only distinguishes incarnations. It is never compared with other times, since clocks may
+	// be set.
 	Born     int64
 	Host     string
 	Service  string
@@ -32,98 +33,102 @@
 	Labels   []string
 	Capacity ledger.Size
 	Ready    bool
-	// Leaving says that it takes no new work; Remaining is how long it will at
-	// least still serve.
+	// Leaving says that the worker takes no new work. Remaining is the least time for which it
+	// will still serve.
 	Leaving   bool
 	Remaining time.Duration
 	Version   int64
 }
 
-// HasLabel says whether the worker carries a label; none is always carried.
+// HasLabel says whether the worker has a label. Every worker has the empty label.
 func (r Record) HasLabel(label string) bool {
 	return label == "" || slices.Contains(r.Labels, label)
 }
 
 const (
-	// maxClockDrift is how much faster or slower a worker's clock may run than
-	// ours (2% as its makers say; 1% more for our own).
+	// maxClockDrift is the largest relative difference in speed between a worker's clock and the
+	// leader's: 2% by the makers' specification, and 1% more for the leader's own clock.
 	maxClockDrift = 0.03
-	// clockRounding covers rounding to milliseconds on both sides.
+	// clockRounding covers the rounding to milliseconds on both sides.
 	clockRounding = 20 * time.Millisecond
 )
 
-// OrphanedRun is a listed run of a task that is not known, and since when it is listed.
+// OrphanedRun is a run that a worker lists but whose task the cell doesn't know. Since is when
+// it was first listed.
 type OrphanedRun struct {
 	Active
 	Since time.Time
 }
 
-// OrphanedEnd is an end of such a task, and when it was listed first.
+// OrphanedEnd is a listed end of a task that the cell doesn't know. At is when it was first listed.
 type OrphanedEnd struct {
 	End
 	At time.Time
 }
 
-// Worker is one life of a worker, as its cell's leader knows it; see lives.go.
+// Worker is the leader's state of one incarnation of a worker; see incarnations.go.
 type Worker struct {
 	Record
-	// KnownAt is when this leader first came to know of this life.
+	// KnownAt is when this leader first learned of the incarnation.
 	KnownAt time.Time
-	// UsableFrom is since when this leader must be known to have led, for new work to go there;
-	// zero: any time.
+	// UsableFrom: the worker gets new work only if this leader's leadership is confirmed for that
+	// time or a later one. Zero: no such condition.
 	UsableFrom time.Time
-	// Listed says that the list of workers still holds it.
+	// Listed says that the worker registry lists this incarnation. UnlistedAt is when that ended.
 	Listed     bool
 	UnlistedAt time.Time
-	// RowGoneAt is when the list last stopped holding any row under its id; zero: it holds one.
+	// RowGoneAt is when the last registry row under this ID was removed; zero: there is a row.
 	RowGoneAt time.Time
-	// LeavingAt is when it was first seen to be leaving.
+	// LeavingAt is when this leader first learned that the worker is leaving.
 	LeavingAt time.Time
-	// Runs are those that may be running there.
+	// Runs are the runs that may be active on the worker.
 	Runs []*jobs.Run
-	// HasAnswered says that it has answered since this leader came to lead.
+	// HasAnswered says that the worker has answered a poll of this leader.
 	HasAnswered bool
-	// FirstAnswerAt is since when.
+	// FirstAnswerAt is when its first such answer came.
 	FirstAnswerAt time.Time
-	// LastAnswerAt is when its last answer came, SilentSince when calls began to
-	// fail; zero while they don't.
+	// LastAnswerAt is when its last answer came. SilentSince is when calls began to fail;
+	// zero: the last call succeeded.
 	LastAnswerAt time.Time
 	SilentSince  time.Time
-	// Failures is how many looks in a row have failed.
+	// Failures is how many polls in a row have failed.
 	Failures int
-	// PollSentAt is when the last look was sent; Looking while it is out.
+	// PollSentAt is when the last poll was sent. PollOutstanding says that its answer is awaited.
+	// NextPollAt is when the next poll is due.
 	PollSentAt      time.Time
 	PollOutstanding bool
 	NextPollAt      time.Time
-	// LastEnd is the newest end that was taken in, and Recorded the newest that is
-	// durable.
+	// LastEnd is the number of the newest end that was processed, LastRecordedEnd that of the
+	// newest end that is durable.
 	LastEnd, LastRecordedEnd int64
 	Health                   Health
-	// OrphanedRuns are the runs that it last listed of tasks that are not known, by task; NewStrays
-	// those of the list that is being taken in. HeldEnds are ends of such tasks.
+	// OrphanedRuns are the orphaned runs of the worker's last list, by task. NewOrphanedRuns are
+	// those of the list that is being processed. OrphanedEnds are the orphaned ends.
 	OrphanedRuns, NewOrphanedRuns map[string]OrphanedRun
 	OrphanedEnds                  []OrphanedEnd
-	// DroppedFromMembership says that the cell's membership no longer names this incarnation: it takes no new work
-	// and holds nothing.
+	// DroppedFromMembership says that the cell's membership no longer names this incarnation: it
+	// gets no new work and holds no runs.
 	DroppedFromMembership bool
-	// RunsKnown says that no more runs are ordered there, and that MayRun names each task that may have a run there or
-	// an end that is not recorded, as of this leader or the ones before.
+	// RunsKnown says that this incarnation gets no more starts and that MayRun is complete. MayRun
+	// names each task that may have a run or an unrecorded end there, whether this leader or an
+	// earlier one started it.
 	RunsKnown bool
 	MayRun    []string
-	// UnreadableLines is how many lines of its last lists could not be read.
+	// UnreadableLines is how many lines of its last lists could not be parsed.
 	UnreadableLines int
-	// NoFillersUntil is until when no filler may join: those that are there have
-	// just been cut.
+	// NoFillersUntil is until when no filler may start here, since a task with a latency target
+	// has been over its target.
 	NoFillersUntil time.Time
-	// PacedAt is the answer after which the shares of its fillers were decided.
+	// PacedAt is the LastAnswerAt on which the latest decision on the pace of its fillers is based.
 	PacedAt time.Time
-	// Gone says that this life is surely over, since when and why.
+	// Gone says that this incarnation has certainly ended. GoneAt is when the leader learned of it,
+	// GoneWhy the reason.
 	Gone    bool
 	GoneAt  time.Time
 	GoneWhy string
 
-	// otherRow is the newest row under this ID that is of another life, first seen at nextAt;
-	// oldRow is the life of such a row that turned out to be an old one.
+	// otherRow is the newest registry row of another incarnation under this ID, first received at
+	// otherRowAt. outdatedBorn is the Born of such a row that proved outdated.
 	otherRow     *Record
 	otherRowAt   time.Time
 	outdatedBorn int64
@@ -133,31 +138,32 @@
 	leaseUntil   time.Duration
 	leaseGranted bool
 	foreignSize  ledger.Size
-	// What Add and Remove keep: the room taken, the processors asked for, how
-	// many serve and fill, and how many there are of each unit.
+	// Totals over Runs, kept by Add and Remove: the reserved capacity (of lasting tasks alone in
+	// lastingReserved), the requested millicores, and the number of tasks with a latency target,
+	// of fillers, and of each unit.
 	reserved, lastingReserved             ledger.Size
 	requestedMillicores, fillerMillicores int64
 	latencyTasks, fillerTasks             int64
 	tasksByUnit                           map[*jobs.Unit]int64
 }
 
-// New returns a worker that has not been heard yet.
+// New returns a listed worker that has not answered yet.
 func New(r Record) *Worker {
 	return &Worker{Record: r, Listed: true, tasksByUnit: map[*jobs.Unit]int64{}}
 }
 
-// TakeClock takes in a reading of the worker's clock that came in an answer.
-// The clock stood there or later when the answer arrived.
+// TakeClock records a reading of the worker's clock from an answer. When the answer arrived,
+// the clock showed this reading or a later one.
 func (w *Worker) TakeClock(now time.Time, clock time.Duration) {
 	if clock > w.ClockAtLeast(now) || w.clockAt.IsZero() {
 		w.clock, w.clockAt = clock, now
 	}
 }
 
-// Clocked says whether the worker's clock is known at all.
+// Clocked says whether there is any reading of the worker's clock.
 func (w *Worker) Clocked() bool { return !w.clockAt.IsZero() }
 
-// ClockAtLeast is the least that the worker's clock can show now.
+// ClockAtLeast returns the least time that the worker's clock can show now; 0 without a reading.
 func (w *Worker) ClockAtLeast(now time.Time) time.Duration {
 	if w.clockAt.IsZero() {
 		return 0
@@ -165,8 +171,8 @@
 	return w.clock + time.Duration(float64(now.Sub(w.clockAt))*(1-maxClockDrift))
 }
 
-// Grant returns the moment, by the worker's clock, until which it is to hold
-// what runs on it, and remembers the longest that was ever granted.
+// Grant extends the worker's lease by span from now and returns its end by the worker's clock.
+// LeaseOver and LeaseLeft use the latest end that was ever granted.
 func (w *Worker) Grant(now time.Time, span time.Duration) time.Duration {
 	until := w.ClockAtLeast(now) + span
 	w.leaseUntil = max(w.leaseUntil, until)
@@ -174,8 +180,8 @@
 	return until
 }
 
-// LeaseOver says whether the worker has surely ended everything by itself, if
-// nobody but this leader has granted it time since.
+// LeaseOver says whether the lease has certainly expired, so that the worker has ended all runs
+// by itself. It holds only if no other leader has extended the lease since.
 func (w *Worker) LeaseOver(now time.Time) bool {
 	if !w.Clocked() || !w.leaseGranted || now.Before(w.clockAt) {
 		return false
@@ -183,7 +189,7 @@
 	return w.ClockAtLeast(now) > w.leaseUntil+clockRounding
 }
 
-// LeaseLeft is how long the worker may go on at most by what this process has granted it.
+// LeaseLeft returns the longest time for which the leases granted by this process may still last.
 func (w *Worker) LeaseLeft(now time.Time) time.Duration {
 	if !w.Clocked() || !w.leaseGranted {
 		return 0
@@ -192,10 +198,10 @@
 	return max(0, time.Duration(float64(left)/(1-maxClockDrift)))
 }
 
-// Passed says whether a reading of a worker's clock is surely past a moment.
+// Passed says whether a worker's clock with this reading is certainly past a moment.
 func Passed(clock, moment time.Duration) bool { return clock > moment+clockRounding }
 
-// Add counts a run as running there.
+// Add adds a run to Runs and to the totals.
 func (w *Worker) Add(r *jobs.Run) {
 	if !slices.Contains(w.Runs, r) {
 		w.Runs = append(w.Runs, r)
@@ -203,7 +209,7 @@
 	}
 }
 
-// Remove takes a run off. The list is made anew: it may be walked meanwhile.
+// Remove removes a run. It copies Runs, since a caller may be iterating over the old slice.
 func (w *Worker) Remove(r *jobs.Run) {
 	if i := slices.Index(w.Runs, r); i >= 0 {
 		w.Runs = append(slices.Clone(w.Runs[:i]), w.Runs[i+1:]...)
@@ -211,23 +217,24 @@
 	}
 }
 
-// RemoveAll takes all runs off.
+// RemoveAll removes all runs.
 func (w *Worker) RemoveAll() {
 	for _, r := range w.Runs {
 		w.Remove(r)
 	}
 }
 
-// addToTotals keeps the sums that placing asks for many times a second.
+// addToTotals adds a number of tasks of a unit to the totals. They are kept because placement
+// reads them many times a second.
 func (w *Worker) addToTotals(u *jobs.Unit, by int64) {
 	size := Reserved(u)
 	w.reserved.Millicores += by * size.Millicores
 	w.reserved.MemoryMB += by * size.MemoryMB
 	w.reserved.Accelerators += by * size.Accelerators
-	asks := u.Size.Millicores
+	requested := u.Size.Millicores
 	if u.Spec.GetTailTargetMs() > 0 {
 		w.latencyTasks += by
-		asks = int64(float64(asks) * latencyTaskLoad)
+		requested = int64(float64(requested) * latencyTaskLoad)
 	}
 	if u.Spec.GetFiller() {
 		w.fillerTasks += by
@@ -238,24 +245,24 @@
 		w.lastingReserved.MemoryMB += by * size.MemoryMB
 		w.lastingReserved.Accelerators += by * size.Accelerators
 	}
-	w.requestedMillicores += by * asks
+	w.requestedMillicores += by * requested
 	w.tasksByUnit[u] += by
 	if w.tasksByUnit[u] == 0 {
 		delete(w.tasksByUnit, u)
 	}
 }
 
-// Lasting is the room that lasting tasks have reserved.
+// Lasting returns the capacity that lasting tasks have reserved.
 func (w *Worker) Lasting() ledger.Size { return w.lastingReserved }
 
-// SetForeignSize sets the room taken by runs that belong to no job of this cell:
-// listed by the worker, and being stopped.
+// SetForeignSize sets the capacity taken by runs that the worker lists but that belong to no
+// job of this cell. They are being stopped.
 func (w *Worker) SetForeignSize(size ledger.Size) { w.foreignSize = size }
 
-// Free is the room that is not reserved. A filler's processors aren't counted.
+// Free returns the capacity that is not reserved. Fillers reserve no processors.
 func (w *Worker) Free() ledger.Size { return w.Capacity.Minus(w.foreignSize).Minus(w.reserved) }
 
-// Reserved is the room that one task of a unit takes.
+// Reserved returns the capacity that one task of a unit reserves. A filler reserves no processors.
 func Reserved(u *jobs.Unit) ledger.Size {
 	size := u.Size
 	if u.Spec.GetFiller() {
@@ -264,39 +271,39 @@
 	return size
 }
 
-// CountOf is how many tasks of a unit are there.
+// CountOf returns how many tasks of a unit the worker has.
 func (w *Worker) CountOf(u *jobs.Unit) int { return int(w.tasksByUnit[u]) }
 
-// latencyTaskLoad is the share of their reserved processors that lasting tasks use
-// on average, while workers do not tell it (the reading that they give for
-// those is a latency). 0.5: half of what is reserved, as for most services.
+// latencyTaskLoad is the average share of its reserved processors that a task with a latency
+// target uses. Workers report a latency for such a task, and so not its processor use.
+// 0.5: most services use half of what they reserve.
 const latencyTaskLoad = 0.5
 
-// Empty says whether this incarnation surely holds no run and lists no end that is not taken
-// in, as long as nothing more is started there.
+// Empty says whether this incarnation certainly has no run and no unprocessed end. It stays true
+// until a run is started there.
 func (w *Worker) Empty() bool { return len(w.Runs) == 0 && w.OnlyKnownRuns() }
 
-// OnlyKnownRuns says whether this incarnation surely holds no runs but Runs, and lists no end that is not taken in,
-// as long as nothing more is started there.
+// OnlyKnownRuns says whether this incarnation certainly has no runs except Runs, and no
+// unprocessed end. It stays true until a run is started there.
 func (w *Worker) OnlyKnownRuns() bool {
 	return w.HasAnswered && w.otherRow == nil && w.UnreadableLines == 0 && len(w.OrphanedRuns) == 0 && len(w.OrphanedEnds) == 0 && w.foreignSize == ledger.Size{}
 }
 
-// Unused estimates the processors that fillers could take, after what those
-// that are there ask for.
+// Unused returns an estimate of the millicores that are left for more fillers, after the
+// requests of all tasks there, fillers included.
 func (w *Worker) Unused() int64 { return w.Capacity.Millicores - w.requestedMillicores }
 
-// FillersRequested is the processors that the fillers there ask for.
+// FillersRequested returns the millicores that the fillers there request.
 func (w *Worker) FillersRequested() int64 { return w.fillerMillicores }
 
-// Serving says whether a task runs there whose users' latency has a target.
+// Serving says whether the worker has a task with a latency target.
 func (w *Worker) Serving() bool { return w.latencyTasks > 0 }
 
-// Filling says whether a filler runs there.
+// Filling says whether the worker has a filler.
 func (w *Worker) Filling() bool { return w.fillerTasks > 0 }
 
-// Usable says whether new work may go there: listed, not leaving, heard within
-// the given span, not put aside.
+// Usable says whether the worker may get new work: it is listed, ready and not leaving, its last
+// answer is at most span old, and no call has failed since. Quarantine is not checked here.
 func (w *Worker) Usable(now time.Time, span time.Duration) bool {
 	if w.Gone || !w.Listed || !w.Ready || w.Leaving || !w.HasAnswered || !w.Clocked() {
 		return false
