--- a/pkg/process/flow/window_test.go
+++ b/pkg/process/flow/window_test.go
@@ -36,20 +36,20 @@
 // were answered, and the longest answer time and longest time-out of the second half.
 func fillWindow(w *flow.Window, l *link, span time.Duration) (answered int, longest, timeout time.Duration) {
 	start := time.Unix(1000, 0)
-	var under []answer
+	var inFlight []answer
 	for now := start; now.Sub(start) < span; now = now.Add(time.Millisecond) {
-		for len(under) > 0 && !under[0].at.After(now) {
-			took := now.Sub(under[0].sent)
-			w.Answered(now, took, under[0].bytes)
+		for len(inFlight) > 0 && !inFlight[0].at.After(now) {
+			took := now.Sub(inFlight[0].sent)
+			w.Answered(now, took, inFlight[0].bytes)
 			answered++
 			if now.Sub(start) > span/2 {
 				longest, timeout = max(longest, took), max(timeout, w.Timeout())
 			}
-			under = under[1:]
+			inFlight = inFlight[1:]
 		}
 		for w.Room() {
 			w.Sent(orderBytes)
-			under = append(under, l.send(now, orderBytes))
+			inFlight = append(inFlight, l.send(now, orderBytes))
 		}
 	}
 	return answered, longest, timeout
--- a/pkg/process/placement/placement.go
+++ b/pkg/process/placement/placement.go
@@ -67,7 +67,7 @@
 
 // Policies is the look-up table of all policies. A new policy needs a cost function and a row.
 var Policies = []Policy{
-	{"least-harm", "Least expected harm to the services on the worker, then racks apart, then a tight fit.", LeastHarm, expectedHarmCost},
+	{"least-harm", "Least expected harm to the services on the worker, plus small costs for a shared rack and for a less full worker.", LeastHarm, expectedHarmCost},
 	{"first-fit", "The first worker by name that has room (baseline).", FirstFit, firstFitCost},
 	{"least-loaded", "The worker with the smallest share reserved (baseline).", LeastLoaded, reservedShareCost},
 }
--- a/pkg/process/workers/incarnations.go
+++ b/pkg/process/workers/incarnations.go
@@ -22,13 +22,13 @@
 	if r.Born == w.outdatedBorn {
 		return false
 	}
-	news := w.otherRow == nil || w.otherRow.Born != r.Born
-	if news {
+	unknown := w.otherRow == nil || w.otherRow.Born != r.Born
+	if unknown {
 		w.otherRowAt = now
 	}
 	w.otherRow = &r
 	w.Unlist(now)
-	return news
+	return unknown
 }
 
 // PollNow makes a poll due at once, even while one is outstanding: the incarnation to which
--- a/pkg/process/workers/report.go
+++ b/pkg/process/workers/report.go
@@ -32,10 +32,12 @@
 
 // Start orders a worker to start one run.
 type Start struct {
-	Fence      int64
-	Task       string
-	Run        int64
-	Body       string
+	Fence int64
+	Task  string
+	Run   int64
+	Body  string
+	// Until is the end of the lease by the worker's clock. After it the worker refuses the
+	// start (RefusedLate).
 	Until      time.Duration
 	Checkpoint string
 	Ticket     string
