--- a/pkg/process/placement/placement_test.go
+++ b/pkg/process/placement/placement_test.go
@@ -11,7 +11,7 @@
 	"github.com/wrenferry/wrenferry/pkg/process/placement"
 )
 
-func workers(n int) []placement.Worker {
+func candidates(n int) []placement.Worker {
 	list := make([]placement.Worker, n)
 	for i := range list {
 		list[i] = placement.Worker{
@@ -22,7 +22,7 @@
 	return list
 }
 
-// A kind that was seen to harm a service goes where the service is not.
+// A kind known to harm a service is placed on a worker without that service.
 func TestLeastHarmAvoidsTheHarmedService(t *testing.T) {
 	model := interference.NewModel()
 	for range 50 {
@@ -37,7 +37,7 @@
 func BenchmarkChoose(b *testing.B) {
 	model := interference.NewModel()
 	for _, n := range []int{20, 82, 820} {
-		list := workers(n)
+		list := candidates(n)
 		for _, p := range placement.Policies {
 			b.Run(fmt.Sprintf("%s/workers=%d", p.Name, n), func(b *testing.B) {
 				b.ReportAllocs()
