--- a/pkg/process/fleet/answers.go
+++ b/pkg/process/fleet/answers.go
@@ -10,24 +10,25 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// What traffic and peers ask of the control thread.
+// Calls from request handlers and peers to the control goroutine.
 
-// Accepted takes a job that stands in the table.
+// Accepted reports a job that is recorded in the table to its cell.
 func (c *Control) Accepted(spec *wire.JobSpec) {
 	c.tell(cellEvent{cell: spec.GetCell(), event: cell.JobAccepted{Spec: spec, StoreNow: c.store.Now(clock.Now())}})
 }
 
-// Cancelled takes a cancel that stands in the table.
+// Cancelled reports a cancel request that is recorded in the table to the job's cell.
 func (c *Control) Cancelled(cellName, id string) {
 	c.tell(cellEvent{cell: cellName, event: cell.CancelRequested{ID: id}})
 }
 
-// Returned takes what became of tasks that a cell has lent; it stands in the table.
+// Returned reports the outcome of delegated tasks to their home cell. The outcome is recorded in the table.
 func (c *Control) Returned(r *wire.ReturnedTasks) {
 	c.tell(cellEvent{cell: r.GetHome(), event: cell.TasksReturned{Tasks: r}})
 }
 
-// Phase tells a job's phase, if this process leads its cell and knows it.
+// Phase returns a job's phase. The second result is false if this process does not lead the cell,
+// does not know the job, or did not answer in time.
 func (c *Control) Phase(ctx context.Context, cellName, id string) (wire.JobPhase, bool) {
 	type answer struct {
 		phase wire.JobPhase
@@ -48,12 +49,15 @@
 	return a.phase, a.known
 }
 
-// Load tells a cell's load, and what its leader believes if that is asked for.
+// Load returns a cell's load, with its leader's beliefs about workers if withBeliefs is set.
 func (c *Control) Load(ctx context.Context, cellName string, withBeliefs bool) *wire.CellLoad {
 	return c.LoadFor(ctx, &wire.CellRef{Cell: cellName, WithBeliefs: withBeliefs})
 }
 
-// LoadFor tells a cell's load, and what else is asked for: what its leader believes, what this process granted there.
+// LoadFor returns a cell's load and the parts that ref requests: the leader's beliefs about workers, and
+// the leases that an incarnation (ref.GrantsOf) granted. If this process is another incarnation, it
+// returns its uptime in place of the leases. The result has no cell name if the cell is not known or
+// the answer took too long.
 func (c *Control) LoadFor(ctx context.Context, ref *wire.CellRef) *wire.CellLoad {
 	out := make(chan *wire.CellLoad, 1)
 	ok := c.ask(ctx, func(c *Control, now time.Time) {
@@ -74,12 +78,12 @@
 		out <- &wire.CellLoad{}
 	})
 	if !ok {
-		return &wire.CellLoad{} // without the cell's name: it is not known
+		return &wire.CellLoad{} // no cell name: the load is not known
 	}
 	return <-out
 }
 
-// grantsMs rounds leases up to whole milliseconds.
+// grantsMs returns the time left of leases in milliseconds, rounded up.
 func grantsMs(grants map[string]time.Duration) map[string]int64 {
 	list := make(map[string]int64, len(grants))
 	for id, left := range grants {
@@ -88,8 +92,8 @@
 	return list
 }
 
-// OtherLoad takes in what the leader of a cell tells of it. Beliefs are for every cell
-// that this process may come to lead.
+// OtherLoad reports the load of a cell, as sent by its leader, to the cells that this process leads. A
+// load with beliefs about workers goes to every cell, since this process may lead any of them later.
 func (c *Control) OtherLoad(l *wire.CellLoad) {
 	held := c.Held()
 	for name := range c.View().Cells {
@@ -99,16 +103,16 @@
 	}
 }
 
-// TakeOver asks for a seat that is being released.
+// TakeOver makes this process claim a cell whose leader is releasing it.
 func (c *Control) TakeOver(cellName string) { c.tell(takeOver{cell: cellName}) }
 
-// Yield asks for a seat of another hall to be released.
+// Yield makes this process release a cell of another hall. A cell of its own hall is kept.
 func (c *Control) Yield(cellName string) { c.tell(yield{cell: cellName}) }
 
-// Leave begins the planned stop: every cell is handed over.
+// Leave begins the planned stop: this process releases every cell and claims no more.
 func (c *Control) Leave() { c.tell(leave{}) }
 
-// Held lists the cells that this process leads.
+// Held returns the names of the cells that this process leads.
 func (c *Control) Held() []string {
 	var list []string
 	for name, v := range c.View().Cells {
@@ -119,7 +123,7 @@
 	return list
 }
 
-// Summary sums up the cells that this process leads.
+// Summary returns the counts of each cell that this process leads, or nil without an answer in time.
 func (c *Control) Summary(ctx context.Context) map[string]cell.Counts {
 	out := make(chan map[string]cell.Counts, 1)
 	ok := c.ask(ctx, func(c *Control, now time.Time) {
@@ -137,7 +141,8 @@
 	return <-out
 }
 
-// Suspects lists, by the cells that this process leads, the tasks under which workers crashed.
+// Suspects returns the tasks with crash evidence, by the name of each cell that this process leads, or
+// nil without an answer in time.
 func (c *Control) Suspects(ctx context.Context) map[string][]cell.Suspect {
 	out := make(chan map[string][]cell.Suspect, 1)
 	ok := c.ask(ctx, func(c *Control, _ time.Time) {
@@ -155,8 +160,8 @@
 	return <-out
 }
 
-// ClearSuspicion takes back what is held against a task. It says whether this process leads a cell
-// that holds anything against it.
+// ClearSuspicion removes the crash evidence of a task. It returns false if no cell that this process
+// leads has crash evidence of the task.
 func (c *Control) ClearSuspicion(ctx context.Context, task string) bool {
 	for name, list := range c.Suspects(ctx) {
 		for _, s := range list {
--- a/pkg/process/fleet/config.go
+++ b/pkg/process/fleet/config.go
@@ -11,7 +11,7 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// Config is what one process learns from its settings file.
+// Config holds the settings of one process.
 type Config struct {
 	Name    string
 	Hall    string
@@ -27,19 +27,19 @@
 	Retention time.Duration
 	Grace     time.Duration
 	MemoryMB  float64
-	// Processors is the share of a processor that the process has.
+	// Processors is the number of processors that the process may use; it may be below 1.
 	Processors float64
 	LogLevel   string
 }
 
-// Bounds are those of the settings that decide in a cell.
+// Bounds returns the settings that a cell's decisions depend on.
 func (c Config) Bounds() cell.Bounds {
 	return cell.Bounds{
 		MaxLease: c.MaxLease, Retention: c.Retention,
 	}
 }
 
-// Fields is the look-up table that drives the check, the help and the docs.
+// Fields describes the settings for the parser, the help text and the documentation.
 var Fields = []configfile.Field[Config]{
 	{Name: "name", Example: `"entry-1"`, Required: true, Help: "The entry host's name, unique in the deployment.", Set: configfile.Value(func(c *Config) *string { return &c.Name })},
 	{Name: "hall", Example: `"mtl-a"`, Required: true, Help: "The hall that it stands in.", Set: configfile.Value(func(c *Config) *string { return &c.Hall })},
@@ -58,7 +58,7 @@
 	{Name: "logLevel", Example: `"info"`, Help: "debug, info, warning or error (default info).", Set: configfile.Value(func(c *Config) *string { return &c.LogLevel })},
 }
 
-// ParseConfig reads a settings file, whole, and reports all that is wrong.
+// ParseConfig parses the content of a settings file. The error lists all faults of the file.
 func ParseConfig(file string, source []byte) (Config, error) {
 	c := Config{
 		MaxLease: 10 * time.Second, Retention: 2 * time.Minute, Grace: 6 * time.Second, MemoryMB: 256, Processors: 1, LogLevel: "info",
@@ -70,7 +70,7 @@
 	return c, err
 }
 
-// Level is how much is logged.
+// Level returns the log level; the error says that LogLevel is not one.
 func (c Config) Level() (logrus.Level, error) {
 	level, err := logrus.ParseLevel(c.LogLevel)
 	if err != nil {
--- a/pkg/process/fleet/control.go
+++ b/pkg/process/fleet/control.go
@@ -1,11 +1,10 @@
-// Package fleet runs one entry host that schedules jobs of steps on a shared
-// table: the control thread, what it follows, and what it has done.
+// Package fleet runs one entry host that schedules jobs of steps stored in a shared table.
 //
-// One goroutine, Control, owns all scheduling state: a seat and a cell.State
-// for each cell of the deployment. Followers (watch.go) read the table and hand
-// it messages; its effects are carried out by other goroutines (effects.go)
-// whose outcomes come back as messages. Traffic sees it only through an
-// immutable View, and through short questions.
+// One goroutine, Control, owns all scheduling state: an election.Seat and a cell.State for each
+// cell of the deployment. Followers (watch.go) read the table and send Control messages.
+// Other goroutines (effects.go) execute the effects that a cell.State returns, and send the
+// outcomes back as messages. Request handlers read an immutable View, or run a short query on
+// the control goroutine.
 package fleet
 
 import (
@@ -29,17 +28,17 @@
 )
 
 const (
-	// inboxSize bounds the messages that wait for the control thread.
+	// inboxSize is the maximum number of messages that wait for the control goroutine.
 	inboxSize = 4096
-	// batchMost bounds the messages that one decision takes in.
+	// batchMost is the maximum number of messages applied before the cells decide, after the first one.
 	batchMost = 256
-	// tickEvery is how often time alone may change a decision.
+	// tickEvery is the interval at which cells decide without a message, as time passes.
 	tickEvery = 100 * time.Millisecond
-	// askTimeout bounds a question to the control thread.
+	// askTimeout is the longest time that a query of the control goroutine may take.
 	askTimeout = 500 * time.Millisecond
 )
 
-// Control owns the scheduling state of a process.
+// Control owns the scheduling state of a process. Its goroutine is called the control goroutine.
 type Control struct {
 	self    election.Self
 	store   *store.Client
@@ -54,30 +53,30 @@
 	manifest *manifest.Manifest
 	leaving  bool
 	view     atomic.Pointer[intake.View]
-	// yieldTo asks a leader of another hall for a seat of this one.
+	// yieldTo asks the process at an address, a leader from another hall, to release a cell of this hall.
 	yieldTo func(cell, address string)
 	asked   map[string]time.Time
-	// handicap is by how many seats this host counts as busier than it is.
+	// handicap returns the number that is added to the cells this process leads when it competes for
+	// another one. It is higher on a weaker host.
 	handicap func() int
-	// leads asks the process at an address whether it leads a cell, and the incarnation that led it what it granted
-	// there; ok is false where it does not answer.
+	// leads asks the process at an address whether it leads a cell. If that process is the incarnation
+	// named by holder, the answer includes the leases that it granted. ok is false without an answer.
 	leads func(address, cell, holder string) (answer predecessorAnswer, ok bool)
-	// tellThere tells the process at an address what it is to know of its cell.
+	// tellThere notifies the process at an address of a change to the cell that it leads.
 	tellThere func(ctx context.Context, address string, e cell.NotifyLeader) error
 }
 
-// seat is one cell in this process.
+// seat is one cell as this process knows it: its leadership and its scheduling state.
 type seat struct {
 	name, hall string
 	seat       *election.Seat
 	state      *cell.State
 	touched    bool
-	// confirmed is the renewal that the state was last told of.
+	// confirmed is the send time of the last renewal that was reported to the state.
 	confirmed time.Time
 }
 
-// NewControl returns the control thread of a process for the given cells, each
-// with the hall that it stands in.
+// NewControl returns the Control of a process. cells maps the name of each cell to its hall.
 func NewControl(self election.Self, cells map[string]string, bounds cell.Bounds, st *store.Client, caller workers.Caller, advisor workers.Advisor, log *logrus.Entry, registry metrics.Registry, options ...cell.Option) *Control {
 	c := &Control{
 		self: self, store: st, caller: caller, advisor: advisor, log: log, metrics: registry, wall: time.Now,
@@ -95,10 +94,10 @@
 	return c
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (c *Control) String() string { return "control" }
 
-// Serve runs the control thread until the context ends.
+// Serve runs the control goroutine until the context ends.
 func (c *Control) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
@@ -123,6 +122,7 @@
 	}
 }
 
+// takeMore applies the messages that wait already, up to the size of a batch.
 func (c *Control) takeMore(now time.Time) {
 	for range batchMost {
 		select {
@@ -134,7 +134,7 @@
 	}
 }
 
-// act lets each cell that was touched decide, and the seats renew.
+// act runs the decision of each cell whose state has changed, and the election of each cell.
 func (c *Control) act(ctx context.Context, now time.Time) {
 	wall := c.wall()
 	for _, s := range c.seats {
@@ -153,12 +153,14 @@
 	}
 }
 
+// electSeat claims, renews or releases the leadership of a cell where that is due. It also asks a
+// leader from another hall to release a cell of this host's hall.
 func (c *Control) electSeat(ctx context.Context, now time.Time, s *seat) {
 	if s.state.Settled() {
 		s.seat.Settled()
 	}
 	if s.seat.Role() == election.Leader && s.state.ReadyToHandOver() {
-		s.seat.Release() // a planned stop, or a yield, has come to its end
+		s.seat.Release() // a planned stop or a requested release is complete
 	}
 	if w := s.seat.Next(now, s.state.Members(), c.held(s)+c.handicap(), c.leaving); w != nil {
 		go c.writeSeat(ctx, s.name, *w)
@@ -169,10 +171,10 @@
 	}
 }
 
-// yieldAgain is the time between two requests for a seat.
+// yieldAgain is the least time between two requests to release the same cell.
 const yieldAgain = time.Second
 
-// held counts the other seats that this process holds.
+// held returns how many cells other than the given one this process leads.
 func (c *Control) held(but *seat) int {
 	n := 0
 	for _, s := range c.seats {
@@ -183,6 +185,7 @@
 	return n
 }
 
+// seatChanged reports the gain or the loss of a cell's leadership to the cell's state.
 func (c *Control) seatChanged(now time.Time, s *seat, change election.Change) {
 	switch {
 	case change.Led:
@@ -210,6 +213,7 @@
 	return list
 }
 
+// writeSeat commits a leadership row and sends the outcome to the control goroutine.
 func (c *Control) writeSeat(ctx context.Context, name string, w election.Write) {
 	done, err := c.store.Commit(ctx, seatTransaction(name, w))
 	version := int64(0)
@@ -222,7 +226,7 @@
 	c.tell(seatWritten{cell: name, version: version, roster: w.Roster})
 }
 
-// publish lets traffic see who leads.
+// publish replaces the View that request handlers read.
 func (c *Control) publish(now time.Time) {
 	v := &intake.View{At: now, Cells: map[string]intake.CellView{}}
 	for name, s := range c.seats {
@@ -236,14 +240,14 @@
 	c.view.Store(v)
 }
 
-// View is who leads, as this process last saw it.
+// View returns the leader of each cell as this process last read it.
 func (c *Control) View() *intake.View { return c.view.Load() }
 
-// tell hands a message to the control thread.
+// tell sends a message to the control goroutine.
 func (c *Control) tell(m message) { c.inbox <- m }
 
-// ask runs a reading on the control thread and waits for it; false: it did not
-// come to it in time.
+// ask runs a function on the control goroutine and waits for it. It returns false if the function
+// did not complete in time; it may still run later.
 func (c *Control) ask(ctx context.Context, read func(c *Control, now time.Time)) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
--- a/pkg/process/fleet/effects.go
+++ b/pkg/process/fleet/effects.go
@@ -16,11 +16,12 @@
 )
 
 const (
-	// adviceTimeout bounds a call for advice, which takes some ms a worker.
+	// adviceTimeout is the timeout of a call to the advisor, which takes some ms a worker.
 	adviceTimeout = 3 * time.Second
 )
 
-// seatTransaction is a write of a cell's leadership row, and of its roster with it.
+// seatTransaction returns the transaction that writes a cell's leadership row, and its membership if the
+// write has one.
 func seatTransaction(cellName string, w election.Write) table.Transaction {
 	key := rows.LeadKey(cellName)
 	tx := table.Transaction{
@@ -33,7 +34,7 @@
 	return tx
 }
 
-// carryOut starts an effect; its outcome comes back as a message.
+// carryOut starts an effect of a cell. The outcome comes back as a message.
 func (c *Control) carryOut(ctx context.Context, now time.Time, s *seat, e cell.Effect) {
 	name := s.name
 	switch e := e.(type) {
@@ -106,10 +107,10 @@
 	c.tell(cellEvent{name, cell.AdviceAnswered{Unit: e.Unit, Tickets: tickets, Err: err}})
 }
 
-// tellWait bounds a word to another cell's leader.
+// tellWait is the timeout of a notification to another cell's leader.
 const tellWait = 300 * time.Millisecond
 
-// tellCell tells the leader of another cell what stands in the table.
+// tellCell notifies the leader of another cell of a change that is recorded in the table.
 func (c *Control) tellCell(ctx context.Context, e cell.NotifyLeader) {
 	ctx, cancel := context.WithTimeout(ctx, tellWait)
 	defer cancel()
@@ -123,11 +124,12 @@
 	}
 	outcome := "ok"
 	if err != nil {
-		outcome = "unanswered" // it will find it in the table
+		outcome = "unanswered" // that leader reads the change from the table
 	}
 	metrics.GetOrRegisterCounter("tell."+outcome, c.metrics).Inc(1)
 }
 
+// tellHere notifies a cell that this process leads.
 func (c *Control) tellHere(e cell.NotifyLeader) {
 	switch {
 	case e.Lent != nil:
@@ -139,6 +141,7 @@
 	}
 }
 
+// record commits a transaction of a cell and reports the outcome to the cell.
 func (c *Control) record(ctx context.Context, name string, e cell.WriteProgress) {
 	began := clock.Now()
 	done, err := c.store.Commit(ctx, e.Transaction)
@@ -146,6 +149,7 @@
 	c.tell(cellEvent{name, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: done, Err: err}})
 }
 
+// countCall counts a call to a worker or to the advisor by its outcome.
 func (c *Control) countCall(what string, refusal workers.Refusal, err error) {
 	outcome := "ok"
 	switch {
@@ -157,7 +161,7 @@
 	metrics.GetOrRegisterCounter("worker."+what+"."+outcome, c.metrics).Inc(1)
 }
 
-// logNote writes one decision to the log.
+// logNote logs a note of a cell and counts it by its kind.
 func (c *Control) logNote(name string, n cell.Note) {
 	fields := logrus.Fields{"cell": name}
 	add := func(key, value string) {
--- a/pkg/process/fleet/figures.go
+++ b/pkg/process/fleet/figures.go
@@ -14,7 +14,7 @@
 	"github.com/wrenferry/wrenferry/pkg/request/intake"
 )
 
-// serveMetrics tells counters and timers as text, a line each.
+// serveMetrics writes counters, timers and the counts of the led cells as text, one value a line.
 func (h *Host) serveMetrics(w http.ResponseWriter, r *http.Request) {
 	lines := []string{fmt.Sprintf("log.dropped %d", h.eventLog.Dropped())}
 	h.Metrics.Each(func(name string, value any) { lines = append(lines, metricLines(name, value)...) })
@@ -29,11 +29,12 @@
 	w.Header().Set("Content-Type", "text/plain")
 	for _, l := range lines {
 		if _, err := fmt.Fprintln(w, l); err != nil {
-			return // who asked has left
+			return // the client has closed the connection
 		}
 	}
 }
 
+// metricLines returns the lines of a counter or a timer, and none for any other metric.
 func metricLines(name string, value any) []string {
 	switch m := value.(type) {
 	case metrics.Counter:
@@ -49,20 +50,20 @@
 	return nil
 }
 
-// Status is what an operator asks first of a host.
+// Status is the JSON answer of GET /status: an overview of one entry host.
 type Status struct {
 	Host, Hall string
-	// Ready says whether it takes calls, Why what keeps it from that.
+	// Ready reports whether the host accepts calls; Why is the reason if it does not.
 	Ready bool
 	Why   string `json:",omitempty"`
-	// Manifest is the version in force, 0 for none.
+	// Manifest is the version of the manifest in force, 0 for none.
 	Manifest int64
-	// StoreAgeMs is how long ago the table last answered.
+	// StoreAgeMs is the time since the table last answered.
 	StoreAgeMs int64
-	// Cells are all cells as this host sees them, Led sums up those that it leads.
+	// Cells holds all cells as this host last read them, Led the counts of those that it leads.
 	Cells map[string]intake.CellView
 	Led   map[string]cell.Counts
-	// Hosts are the other entry hosts that it knows of.
+	// Hosts are the names of the other entry hosts that this host knows.
 	Hosts []string
 }
 
@@ -86,12 +87,12 @@
 	}
 }
 
-// serveSuspects lists the tasks under which workers crashed, of the cells that this host leads.
+// serveSuspects writes the tasks with crash evidence of the cells that this host leads.
 func (h *Host) serveSuspects(w http.ResponseWriter, r *http.Request) {
 	h.sendJSON(w, h.Control.Suspects(r.Context()))
 }
 
-// clearSuspicion takes back what is held against a task; 404: this host has nothing to take back.
+// clearSuspicion removes the crash evidence of a task. It answers 404 if no cell that this host leads has any.
 func (h *Host) clearSuspicion(w http.ResponseWriter, r *http.Request) {
 	if !h.Control.ClearSuspicion(r.Context(), r.PathValue("task")) {
 		w.WriteHeader(http.StatusNotFound)
--- a/pkg/process/fleet/host.go
+++ b/pkg/process/fleet/host.go
@@ -26,38 +26,39 @@
 )
 
 const (
-	// storeSilence is how long the table may be silent, straight and through
-	// peers, before this host sends callers to others.
+	// storeSilence is how long the table may fail to answer, directly and through peers, before this
+	// host reports itself not ready, so that the balancer sends callers to other hosts.
 	storeSilence = 1500 * time.Millisecond
-	// balancerWait is how long a planned stop goes on taking calls: the
-	// balancer asks once a second and takes a host out after two misses.
+	// balancerWait is how long a stopping host continues to accept calls: the balancer probes once a
+	// second and removes a host after two failed probes.
 	balancerWait = 2200 * time.Millisecond
-	// handoverWait bounds the wait for all seats to be given up.
+	// handoverWait is the longest time that a stopping host waits until it leads no cell.
 	handoverWait = 1500 * time.Millisecond
-	// stopMargin is kept of the grace for the process's own end.
+	// stopMargin is the part of the grace period that is reserved for the exit of the process.
 	stopMargin = 500 * time.Millisecond
-	// headerTimeout bounds how long a caller may take to send its headers.
+	// headerTimeout is the longest time that a caller may take to send its headers.
 	headerTimeout = 3 * time.Second
-	// idleTimeout is how long a caller's unused connection is kept: longer than
-	// callers keep theirs, so that none is closed under a call just sent.
+	// idleTimeout is how long an idle caller connection is kept. It is longer than callers keep theirs,
+	// so that this host closes no connection on which a call was just sent.
 	idleTimeout = 2 * time.Minute
-	// maxHeader bounds the headers of a call.
+	// maxHeader is the maximum size of a call's headers, in bytes.
 	maxHeader = 16 << 10
-	// streamWindow keeps the memory of peers' connections small.
+	// streamWindow is the gRPC flow-control window in bytes; it is small to limit the memory of peer connections.
 	streamWindow = 64 << 10
-	// delaySpread spreads hosts that see the same, so that one takes a seat.
+	// delaySpread is the range of the hosts' claim delays. Hosts that read the same free leadership row
+	// claim it at different times, so that one of them wins.
 	delaySpread = 150 * time.Millisecond
 )
 
-// Outside is what the host's surroundings provide, each through an adapter.
+// Outside holds the adapters through which a host reaches the platform.
 type Outside struct {
 	Table  store.Direct
 	Caller workers.Caller
-	// Advisor is asked for the queues that need advice.
+	// Advisor is called for tasks of the queues that need advice.
 	Advisor workers.Advisor
 	Source  Source
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	// Callers makes the handler of callers' calls, and what runs beside it.
+	// Callers returns the HTTP handler of the caller API, and a service that runs with the host.
 	Callers func(h *Host) (http.Handler, suture.Service)
 }
 
@@ -74,7 +75,7 @@
 	peers    *fleetpeer.Clients
 	manifest atomic.Pointer[manifest.Manifest]
 	leaving  atomic.Bool
-	grace    atomic.Int64 // of a planned stop, in ns
+	grace    atomic.Int64 // grace period of a planned stop, in ns
 	outside  Outside
 	self     election.Self
 
@@ -85,7 +86,7 @@
 	grpcListener            net.Listener
 }
 
-// New puts a host together and opens its ports.
+// New returns a host with its ports open. Run starts it.
 func New(config Config, outside Outside, log *eventlog.Log, options ...cell.Option) (*Host, error) {
 	now := clock.Now()
 	life := uuid.New()
@@ -115,10 +116,10 @@
 	return h, h.listen()
 }
 
-// Manifest is the newest manifest, or nil while none has been read.
+// Manifest returns the newest manifest, or nil before one has been read.
 func (h *Host) Manifest() *manifest.Manifest { return h.manifest.Load() }
 
-// To returns the client for a peer's address.
+// To returns the gRPC client for a peer's address.
 func (h *Host) To(address string) (wire.FleetClient, error) { return h.peers.To(address) }
 
 func (h *Host) listen() error {
@@ -150,9 +151,8 @@
 	return err
 }
 
-// lastCalls tells callers, once this host is stopping, that each answer is the
-// last on its connection. Closing the connections that look unused would cut
-// calls that have been sent and not read yet.
+// lastCalls adds "Connection: close" to each response while this host is stopping. Closing the
+// connections that look idle would abort calls that were sent and are not read yet.
 func (h *Host) lastCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if h.leaving.Load() {
@@ -162,6 +162,7 @@
 	})
 }
 
+// server opens a port and returns the HTTP server for it; Run serves it.
 func (h *Host) server(name, address string, handler http.Handler) (*http.Server, error) {
 	listener, err := parts.Listen(name, address)
 	if err != nil {
@@ -172,11 +173,10 @@
 	return s, nil
 }
 
-// Run runs the host until the context ends, and then stops it as planned.
-// What else is given runs beside it.
+// Run runs the host and the given services until the context ends, and then performs a planned stop.
 func (h *Host) Run(ctx context.Context, beside ...suture.Service) error {
-	// A panic ends the process: a control state that was left half changed must
-	// not go on, and another host takes over.
+	// A panic ends the process: scheduling state that is only partly updated must not be used any
+	// more, and another host takes over.
 	supervisor := suture.New("wrenferryd", suture.Spec{PassThroughPanics: true, EventHook: func(e suture.Event) {
 		h.Log.WithField("detail", e.String()).Warn("part-ended")
 	}})
@@ -234,8 +234,8 @@
 	h.Control.tell(manifestCame{manifest: m})
 }
 
-// stop is the planned stop: say so, hand the seats over, go on until the
-// balancer has noticed, finish what is in flight.
+// stop performs the planned stop: it marks the host as leaving, hands its cells over, accepts calls
+// until the balancer has removed the host, and waits for the calls in flight.
 func (h *Host) stop() {
 	began := clock.Now()
 	h.Log.Info("host-stopping")
@@ -250,7 +250,7 @@
 	}
 }
 
-// handOver gives the seats up and asks hosts of their halls to take them.
+// handOver releases all cells that this process leads and asks a host of each cell's hall to take over.
 func (h *Host) handOver() {
 	held := h.Control.Held()
 	h.Control.Leave()
@@ -268,10 +268,11 @@
 	}
 }
 
-// peerWord bounds a word to a peer that needs no answer.
+// peerWord is the timeout of the short control calls to a peer, such as TakeOver, Yield and Load.
 const peerWord = 300 * time.Millisecond
 
-// leads asks the process at an address whether it leads a cell, and one incarnation of it what it granted there.
+// leads asks the process at an address whether it leads a cell. If that process is the incarnation named
+// by holder, the answer includes the leases that it granted. ok is false without an answer.
 func (h *Host) leads(address, cellName, holder string) (answer predecessorAnswer, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerWord)
 	defer cancel()
@@ -290,7 +291,7 @@
 	return answer, load.GetCell() == cellName
 }
 
-// tellThere tells the process at an address what it is to know of its cell.
+// tellThere notifies the process at an address of a change to the cell that it leads.
 func (h *Host) tellThere(ctx context.Context, address string, e cell.NotifyLeader) error {
 	p, err := h.peers.To(address)
 	if err != nil {
@@ -307,14 +308,14 @@
 	return err
 }
 
-// yieldTo asks a leader of another hall for a seat of ours.
+// yieldTo asks the process at an address, a leader from another hall, to release a cell. It does not wait.
 func (h *Host) yieldTo(cellName, address string) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), peerWord)
 		defer cancel()
 		p, err := h.peers.To(address)
 		if err != nil {
-			return // its row will name another address
+			return // a later leadership row names another address
 		}
 		if _, err := p.Yield(ctx, &wire.CellRef{Cell: cellName}); err != nil {
 			h.Log.WithFields(logrus.Fields{"cell": cellName, "why": err.Error()}).Warn("yield-unanswered")
@@ -322,7 +323,7 @@
 	}()
 }
 
-// Ready says whether this host takes calls, and if not, why.
+// Ready reports whether this host accepts calls, and the reason if it does not.
 func (h *Host) Ready(now time.Time) (bool, string) {
 	switch {
 	case h.leaving.Load():
--- a/pkg/process/fleet/hosts.go
+++ b/pkg/process/fleet/hosts.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// hostsEvery is the pace of writing the own row and reading the others.
+	// hostsEvery is the pause between two rounds; each writes this host's row and reads all rows.
 	hostsEvery = 2 * time.Second
-	// hostGoneAfter is how old a host's row may be: three readings.
+	// hostGoneAfter is the age up to which a host's row counts as alive: three rounds and a second.
 	hostGoneAfter = 3*hostsEvery + time.Second
-	// peersAsked bounds the peers that are asked in the table's stead, and so
-	// how long a call may take.
+	// peersAsked is the maximum number of peers through which the table is called when it does not answer
+	// directly. It limits how long a call of the table takes.
 	peersAsked = 2
 )
 
-// Hosts keeps the list of entry hosts, and this host's row in it.
+// Hosts keeps the list of the other entry hosts, and writes this host's row.
 type Hosts struct {
-	// Processors is how much of a processor this host has.
+	// Processors is the number of processors that this host may use; it may be below 1.
 	Processors float64
 	Self       election.Self
 	Store      *store.Client
@@ -36,13 +36,13 @@
 	known      atomic.Pointer[[]*wire.EntryHost]
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (h *Hosts) String() string { return "hosts follower" }
 
-// Leave lets the row say that this host is stopping.
+// Leave makes the next row mark this host as leaving.
 func (h *Hosts) Leave() { h.leaving.Store(true) }
 
-// Serve keeps the list until the context ends.
+// Serve updates the row and the list until the context ends.
 func (h *Hosts) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		h.write(ctx)
@@ -83,7 +83,7 @@
 	h.Peers.Keep(wanted)
 }
 
-// List is the other entry hosts.
+// List returns the other entry hosts, without those whose rows are too old.
 func (h *Hosts) List() []*wire.EntryHost {
 	if l := h.known.Load(); l != nil {
 		return *l
@@ -110,8 +110,8 @@
 	return out
 }
 
-// Successor picks the host to hand a cell over to: of the cell's hall, not leaving, one
-// of the strongest; nil: there is none.
+// Successor returns the host that a cell of the given hall is handed over to: a random one of the hosts
+// of that hall with the most processors, without those that are leaving. It returns nil if there is none.
 func (h *Hosts) Successor(hall string) *wire.EntryHost {
 	var fit []*wire.EntryHost
 	most := float32(0)
@@ -130,11 +130,12 @@
 	return fit[rand.IntN(len(fit))]
 }
 
-// mostHandicap bounds by how many seats a weak host counts as busier.
+// mostHandicap is the maximum handicap of a weak host, in cells.
 const mostHandicap = 3
 
-// Handicap is by how many seats this host is to count as busier than the strongest of
-// its hall when it stands for a seat: one for each time that one is stronger.
+// Handicap returns the number that is added to the cells this host leads when it competes for another
+// one. It is the number of whole times that the strongest other host of the hall exceeds this host's
+// processors, less one: 0 below twice as many, 1 from twice, 2 from three times.
 func (h *Hosts) Handicap() int {
 	strongest := h.Successor(h.Self.Hall)
 	if strongest == nil || h.Processors <= 0 {
--- a/pkg/process/fleet/load.go
+++ b/pkg/process/fleet/load.go
@@ -15,11 +15,12 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// loadAgain is the pause after a load that failed.
+// loadAgain is the pause after a failed load.
 const loadAgain = 100 * time.Millisecond
 
-// load puts the fences of a new epoch and reads the cell's jobs, part by part,
-// until it has all of them or the epoch is over.
+// load raises the cell's fences to a new epoch and reads its jobs. It retries until that succeeds, the
+// epoch ends, or a later leader's fence shows that this process is no longer the leader. After a
+// successful load it follows the cell's tables until the epoch ends.
 func (c *Control) load(ctx context.Context, name string, epoch int64) {
 	for ctx.Err() == nil {
 		loaded, err := c.loadOnce(ctx, name, epoch)
@@ -40,13 +41,13 @@
 	}
 }
 
-// loadedCell is what the table holds of a cell, and as of which versions.
+// loadedCell is the content of a cell's tables, and the versions at which they were read.
 type loadedCell struct {
 	event    cell.Loaded
 	versions followFrom
 }
 
-// loadedPart is what one part of the table holds of a cell.
+// loadedPart is the content of one part of a cell's tables.
 type loadedPart struct {
 	fence    int64
 	jobs     []cell.LoadedJob
@@ -56,6 +57,7 @@
 	err      error
 }
 
+// loadOnce loads all parts of a cell at the same time. It fails if one of them fails.
 func (c *Control) loadOnce(ctx context.Context, name string, epoch int64) (*loadedCell, error) {
 	parts := make([]loadedPart, rows.JobParts)
 	var wait sync.WaitGroup
@@ -84,6 +86,8 @@
 	return &loadedCell{event: event, versions: versions}, nil
 }
 
+// loadPart raises the fence in one part before it reads the part: an earlier leader can commit nothing
+// there after the read.
 func (c *Control) loadPart(ctx context.Context, name, part string, epoch int64) loadedPart {
 	p := loadedPart{}
 	if p.fence, p.err = c.putFence(ctx, name, part, epoch); p.err != nil {
@@ -116,8 +120,8 @@
 	return p
 }
 
-// readRoster reads which workers earlier leaders could have used. They wrote that over
-// the leadership row's version, so nothing is added once this epoch's claim stands.
+// readRoster reads the cell's membership: the workers that earlier leaders may have used. Leaders write
+// it on condition of the leadership row's version, so it can't grow after this epoch's claim.
 func (c *Control) readRoster(ctx context.Context, name string) (*wire.CellRoster, error) {
 	key := rows.RosterKey(name)
 	page, err := c.store.Read(ctx, table.Range{Table: key.Table, Part: key.Part, From: key.Key, To: key.Key + "\x00", Limit: 1})
@@ -131,8 +135,8 @@
 	return roster, rows.Read(page.Rows[0], roster)
 }
 
-// joinRows puts jobs together from their rows. Jobs that have ended have
-// progress and no specification any more.
+// joinRows combines the specification and the progress row of each job. An ended job has only a
+// progress row.
 func (c *Control) joinRows(specs, progress []table.Row) []cell.LoadedJob {
 	known := map[string]cell.LoadedJob{}
 	for _, r := range specs {
@@ -163,11 +167,13 @@
 	return list
 }
 
+// unreadable logs a row that could not be decoded.
 func (c *Control) unreadable(r table.Row, err error) {
 	c.log.WithFields(logrus.Fields{"table": r.Table, "key": r.Key.Key, "why": err.Error()}).Error(string(cell.NoteUnreadable))
 }
 
-// putFence raises a cell's fence in one part, and returns the row's version.
+// putFence raises a cell's fence in one part to an epoch, and returns the version of the fence row. It
+// fails with fault.Conflict if a later leader has raised the fence further.
 func (c *Control) putFence(ctx context.Context, name, part string, epoch int64) (int64, error) {
 	key := rows.FenceKey(name, part)
 	page, err := c.store.Read(ctx, table.Range{Table: key.Table, Part: part, From: name, To: name + "\x00", Limit: 1})
@@ -182,9 +188,9 @@
 		}
 		switch {
 		case fence.GetEpoch() > epoch:
-			return 0, fault.New(fault.Conflict, name, "a later leader has put its fence", "")
+			return 0, fault.New(fault.Conflict, name, "a later leader has raised the fence", "")
 		case fence.GetEpoch() == epoch:
-			return page.Rows[0].Version, nil // an earlier try of ours
+			return page.Rows[0].Version, nil // written by an earlier attempt of this epoch
 		}
 		before = page.Rows[0].Version
 	}
@@ -196,7 +202,7 @@
 		return 0, err
 	}
 	if done.Conflict {
-		return 0, fault.New(fault.Unavailable, name, "the fence moved meanwhile", "")
+		return 0, fault.New(fault.Unavailable, name, "the fence changed since it was read", "")
 	}
 	return done.Version, nil
 }
--- a/pkg/process/fleet/messages.go
+++ b/pkg/process/fleet/messages.go
@@ -9,12 +9,12 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// message is something that the control thread takes in.
+// message is an input of the control goroutine.
 type message interface {
 	apply(c *Control, now time.Time)
 }
 
-// cellEvent is for one cell's state.
+// cellEvent is an event for the state of one cell.
 type cellEvent struct {
 	cell  string
 	event cell.Event
@@ -27,7 +27,7 @@
 	}
 }
 
-// manifestCame brings a newer manifest.
+// manifestCame reports a newer manifest.
 type manifestCame struct{ manifest *manifest.Manifest }
 
 func (m manifestCame) apply(c *Control, now time.Time) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// boundsChanged brings new bounds from the settings.
+// boundsChanged reports new bounds from the settings file.
 type boundsChanged struct{ bounds cell.Bounds }
 
 func (m boundsChanged) apply(c *Control, now time.Time) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// workersCame brings the whole list of workers.
+// workersCame reports all usable workers of the registry.
 type workersCame struct{ records []workers.Record }
 
 func (m workersCame) apply(c *Control, now time.Time) {
@@ -61,16 +61,16 @@
 	}
 }
 
-// leadRow is a leadership row as read.
+// leadRow is a leadership row and its version.
 type leadRow struct {
 	row     *wire.CellLead
 	version int64
 }
 
-// leadsRead brings all leadership rows.
+// leadsRead reports all leadership rows by cell, read by a call sent at askedAt.
 type leadsRead struct {
 	askedAt time.Time
-	store   time.Duration
+	store   time.Duration // the table's clock
 	rows    map[string]leadRow
 }
 
@@ -82,12 +82,12 @@
 	c.publish(now)
 }
 
-// seatWritten is the outcome of a write of a leadership row; version 0: not
-// done, or unknown.
+// seatWritten reports the outcome of a write of a leadership row. Version 0 means that the write did not
+// take effect or that its outcome is not known.
 type seatWritten struct {
 	cell    string
 	version int64
-	// roster went with it, nil for none.
+	// roster is the membership in the same transaction, or nil.
 	roster *wire.CellRoster
 }
 
@@ -104,7 +104,7 @@
 	c.publish(now)
 }
 
-// takeOver and yield are words from peers.
+// takeOver is the request of a peer to claim a cell that it is releasing.
 type takeOver struct{ cell string }
 
 func (m takeOver) apply(c *Control, _ time.Time) {
@@ -113,6 +113,7 @@
 	}
 }
 
+// yield is the request of a peer in the cell's hall to release the cell.
 type yield struct{ cell string }
 
 func (m yield) apply(c *Control, now time.Time) {
@@ -122,7 +123,7 @@
 	}
 }
 
-// giveUp has this host give a cell up to a stronger one.
+// giveUp releases a cell so that a stronger host can lead it.
 type giveUp struct{ cell string }
 
 func (m giveUp) apply(c *Control, now time.Time) {
@@ -132,7 +133,7 @@
 	}
 }
 
-// leave begins the planned stop.
+// leave begins the planned stop: all cells are released.
 type leave struct{}
 
 func (leave) apply(c *Control, now time.Time) {
@@ -143,7 +144,7 @@
 	}
 }
 
-// ask runs a reading on the control thread.
+// ask runs a function on the control goroutine.
 type ask struct {
 	read func(c *Control, now time.Time)
 	done chan struct{}
--- a/pkg/process/fleet/predecessors.go
+++ b/pkg/process/fleet/predecessors.go
@@ -8,14 +8,16 @@
 	"github.com/wrenferry/wrenferry/pkg/process/election"
 )
 
-// A new leader finds out which of its predecessors are over: what they granted then ends with a lease.
+// A new leader finds out which of its predecessors have ended. An ended predecessor grants no more
+// leases, so its runs end when the granted leases expire.
 
-// askEvery is the time between two questions to a predecessor.
+// askEvery is the time between two calls that ask a predecessor whether it still leads.
 const askEvery = 300 * time.Millisecond
 
-// awaitPredecessor finds out when a predecessor has come to its end: it was an earlier incarnation of this
-// very host, or the process at its address says that it does not lead (it was told by a worker or by the
-// table, or is a new one).
+// awaitPredecessor reports the end of a predecessor's leadership to the cell. A predecessor on this host has
+// ended already: it is an earlier incarnation, or this process itself. Any other predecessor has ended when the
+// process at its address answers that it does not lead: it learned of its replacement from a worker or from the
+// table, or it is a later incarnation. A predecessor without an address can't be asked.
 func (c *Control) awaitPredecessor(s *seat, epoch int64, p election.Predecessor) {
 	over := predecessorOver{cell: s.name, epoch: epoch, holder: p.Holder}
 	if p.Host == c.self.Host {
@@ -41,22 +43,22 @@
 	}()
 }
 
-// predecessorAnswer is what a process answers that led a cell: whether it holds it, and the leases of its own that may
-// go on, if it is still the incarnation that led.
+// predecessorAnswer is the answer of the process at a predecessor's address. grants holds the time left of
+// each lease that it granted, by worker; it is known only if the process is still the incarnation that led.
 type predecessorAnswer struct {
 	holds, grantsTold bool
 	grants            map[string]time.Duration
-	// up is how long a later process has run in its place.
+	// up is the uptime of a later incarnation on the predecessor's host, 0 if it is the same incarnation.
 	up time.Duration
 }
 
-// predecessorOver says that an earlier leader of a cell grants nothing more. Its own says that it was this process.
+// predecessorOver reports that an earlier leader of a cell grants no more leases.
 type predecessorOver struct {
 	cell   string
 	epoch  int64
 	holder string
-	own    bool
-	since  time.Time
+	own    bool      // the earlier leader was this process
+	since  time.Time // start of the incarnation that now runs on its host; zero if not known
 	answer predecessorAnswer
 }
 
--- a/pkg/process/fleet/relief.go
+++ b/pkg/process/fleet/relief.go
@@ -11,25 +11,24 @@
 )
 
 const (
-	// reliefEvery is the pace of looking whether a stronger host should lead instead,
-	// and reliefAfter the least time between two handovers of this host: one costs a
-	// cell about 0.2 s.
+	// reliefEvery is the pause between two checks for a stronger host, and reliefAfter the least time
+	// between two handovers by this host: a handover interrupts a cell's scheduling for about 0.2 s.
 	reliefEvery = time.Second
 	reliefAfter = 15 * time.Second
 )
 
-// relief hands the cells of this host's hall over to a host that is at least twice as
-// strong. Who leads a cell is decided by who comes first; a weak host that was first
-// would lead for as long as it lives.
+// relief hands the cells of this host's hall over to a host with at least twice its processors. The
+// first host that claims a cell leads it; without handovers, a weak host that claimed first would
+// lead for as long as it runs.
 type relief struct {
 	host *Host
 	last time.Time
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (r *relief) String() string { return "relief" }
 
-// Serve looks until the context ends.
+// Serve checks for a stronger host until the context ends.
 func (r *relief) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause(ctx, reliefEvery)
@@ -38,6 +37,7 @@
 	return ctx.Err()
 }
 
+// look hands one cell over if a stronger host answers.
 func (r *relief) look(ctx context.Context, now time.Time) {
 	h := r.host
 	if h.leaving.Load() || now.Sub(r.last) < reliefAfter || h.Hosts.Handicap() == 0 {
@@ -52,16 +52,16 @@
 			return
 		}
 		if _, answers := h.leads(next.GetAddress(), name, ""); !answers {
-			return // a list is some seconds old
+			return // the list of hosts is some seconds old: this one may be down
 		}
 		r.last = now
-		h.Log.WithFields(logrus.Fields{"cell": name, "to": next.GetName(), "why": "it is stronger"}).Info("cell-handed-over")
+		h.Log.WithFields(logrus.Fields{"cell": name, "to": next.GetName(), "why": "stronger host"}).Info("cell-handed-over")
 		h.Control.tell(giveUp{cell: name})
 		h.askToTakeOver(ctx, next, name)
 	}
 }
 
-// askToTakeOver asks a host to lead a cell that has just been given up.
+// askToTakeOver asks a host to claim a cell that this host is releasing. A failure is logged.
 func (h *Host) askToTakeOver(ctx context.Context, next *wire.EntryHost, name string) {
 	p, err := h.peers.To(next.GetAddress())
 	if err == nil {
--- a/pkg/process/fleet/reload.go
+++ b/pkg/process/fleet/reload.go
@@ -11,29 +11,29 @@
 	"github.com/sirupsen/logrus"
 )
 
-// reloadEvery is the pace of looking whether the settings file has changed: it may
-// change without a signal, and nothing in it is more urgent than a few seconds.
+// reloadEvery is the interval at which the settings file is checked for a change without a signal. No
+// setting needs to apply sooner than within a few seconds.
 const reloadEvery = 3 * time.Second
 
-// Reload follows the settings file: at a signal, and every few seconds in any case,
-// it is read and checked whole. What is wrong changes nothing; what can only change
-// with a new process is said, and the rest is applied.
+// Reload reads the settings file at a signal and at a fixed interval. A changed file is checked as a
+// whole: a file with a fault changes no setting. Changed settings that need a new process are logged;
+// the others are applied.
 type Reload struct {
 	File string
-	// Source is the file as it was read at the start, and Config what stood in it.
+	// Source is the content of the file at the start, and Config the settings in it.
 	Source []byte
 	Config Config
-	// Asked is where signals come.
+	// Asked receives the signals that request a reload.
 	Asked <-chan os.Signal
 	Log   *logrus.Entry
-	// Apply is called with each new version of the settings.
+	// Apply is called with the settings after each change.
 	Apply func(Config)
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (r *Reload) String() string { return "settings follower" }
 
-// Serve follows until the context ends.
+// Serve reads the file until the context ends.
 func (r *Reload) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(reloadEvery)
 	defer ticker.Stop()
@@ -62,7 +62,7 @@
 		}
 		return
 	}
-	r.Source = source // a version that is refused is refused once
+	r.Source = source // so that a faulty version is logged once
 	config, err := ParseConfig(r.File, source)
 	if err != nil {
 		log.WithField("why", err.Error()).Error("settings-refused")
@@ -79,8 +79,8 @@
 	}).Info("settings-reloaded")
 }
 
-// changedFixed names the settings that differ and can't change while the process
-// runs: its ports are open, and others know it by its name.
+// changedFixed returns the names of changed settings that can't change while the process runs: its ports
+// are open, and other hosts know it by its name.
 func changedFixed(before, after Config) []string {
 	fields := []struct {
 		name    string
@@ -106,7 +106,7 @@
 	return list
 }
 
-// withFixedOf returns the settings with what can't change taken from others.
+// withFixedOf returns the other settings, with those that may change while the process runs taken from c.
 func (c Config) withFixedOf(other Config) Config {
 	other.MaxLease, other.Retention, other.Grace = c.MaxLease, c.Retention, c.Grace
 	other.MemoryMB, other.LogLevel = c.MemoryMB, c.LogLevel
--- a/pkg/process/fleet/reload_test.go
+++ b/pkg/process/fleet/reload_test.go
@@ -24,7 +24,7 @@
   "table": "127.0.0.1:5", "grace": "6s",
 }`
 
-// buffer is a log that a test reads while it is written.
+// buffer is a log output that a test may read while it is written.
 type buffer struct {
 	mu  sync.Mutex
 	out bytes.Buffer
@@ -83,10 +83,10 @@
 	asked <- syscall.SIGHUP
 	c := <-applied
 	must.Eq(t, 9*time.Second, c.Grace)
-	must.Eq(t, "127.0.0.1:5", c.Table, must.Sprint("its connections stand"))
+	must.Eq(t, "127.0.0.1:5", c.Table, must.Sprint("its connections are open"))
 	until("settings-need-restart", "table")
 
-	write(strings.Replace(settings, `"6s"`, `"7s"`, 1)) // no signal
+	write(strings.Replace(settings, `"6s"`, `"7s"`, 1)) // found by the interval, without a signal
 	c = <-applied
 	must.Eq(t, 7*time.Second, c.Grace)
 }
--- a/pkg/process/fleet/waking.go
+++ b/pkg/process/fleet/waking.go
@@ -9,24 +9,24 @@
 	"github.com/wrenferry/wrenferry/pkg/clock"
 )
 
-// waking sees to a host that was suspended: its connections may have fallen silent meanwhile, and their
-// keep-alives count from when it wakes. So those that nobody uses are closed at once; calls that are out
-// end by their own time-outs. What it believes is judged by a clock that counts the time.
+// waking handles the resumption of a suspended host. Its connections may have died during the suspension, and
+// their keep-alive timers start only when it resumes, so the idle connections are closed at once. Calls in flight end
+// by their own timeouts. Leases and other deadlines need no handling: pkg/clock counts the time of the suspension.
 type waking struct {
 	outside Outside
 	log     *logrus.Entry
 }
 
-// idleCloser closes the connections that no call uses.
+// idleCloser closes its connections that no call uses.
 type idleCloser interface{ CloseIdle() }
 
-// Serve watches until the context ends.
+// Serve watches for resumptions until the context ends.
 func (w *waking) Serve(ctx context.Context) error {
 	clock.Watch(ctx, w.woke)
 	return ctx.Err()
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (*waking) String() string { return "waking" }
 
 func (w *waking) woke(slept time.Duration) {
--- a/pkg/process/fleet/watch.go
+++ b/pkg/process/fleet/watch.go
@@ -17,49 +17,50 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// What a process follows in the table. Each follower is a supervised part; it
-// lives as long as the process and only hands on what has changed.
+// Followers read changes of the table and send them to the control goroutine. The manifest and the
+// leadership follower are supervised services that run as long as the process; followCell runs for
+// one epoch of a led cell.
 
 const (
-	// manifestWait is how long a reading of changes waits. Manifests must be in
-	// force within two seconds, also when a reading is cut short.
+	// manifestWait is how long a read of changes waits for one. A manifest must be in force within two
+	// seconds, also if a read is interrupted.
 	manifestWait = time.Second
-	// followAgain is the pause after a failure.
+	// followAgain is the pause after a failed read.
 	followAgain = 200 * time.Millisecond
-	// leadsEvery is the pace of reading who leads.
+	// leadsEvery is the pause between two reads of the leadership rows.
 	leadsEvery = 300 * time.Millisecond
-	// cellEvery is the pace of reading a led cell's new jobs and cancels. Hosts
-	// tell the leader of each; this is for words that were lost.
+	// cellEvery is the pause between two reads of a led cell's new jobs and cancels. Hosts notify the
+	// leader of each one; the reads find those whose notification was lost.
 	cellEvery = 700 * time.Millisecond
 )
 
-// Source decodes what operators and workers write into the table.
+// Source decodes the rows that operators and workers write into the table.
 type Source interface {
-	// ManifestKey is the row of the newest manifest.
+	// ManifestKey returns the key of the row with the newest manifest.
 	ManifestKey() table.Key
 	Manifest(value []byte) (*manifest.Manifest, error)
-	// WorkersTable is where workers keep their rows.
+	// WorkersTable returns the name of the worker registry's table.
 	WorkersTable() string
-	// Worker says what a row of that table says; an error is a workers.Unusable.
+	// Worker decodes a row of the worker registry. Its error is a workers.Unusable.
 	Worker(r table.Row) (workers.Account, error)
 }
 
-// ManifestFollower keeps the newest manifest.
+// ManifestFollower reads the newest manifest and each change of it.
 type ManifestFollower struct {
 	Store  *store.Client
 	Source Source
 	Log    *logrus.Entry
-	// Changed is called with each newer one.
+	// Changed is called with each newer manifest.
 	Changed func(m *manifest.Manifest)
 
-	version int64 // the manifest's own
-	after   int64 // the table's
+	version int64 // version of the last accepted manifest
+	after   int64 // version of the table up to which changes were read
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (f *ManifestFollower) String() string { return "manifest follower" }
 
-// Serve follows until the context ends.
+// Serve reads the manifest until the context ends.
 func (f *ManifestFollower) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := f.read(ctx); err != nil {
@@ -72,7 +73,8 @@
 	return ctx.Err()
 }
 
-// follow takes changes until one can't be read.
+// follow reads changes until a read fails. If the table no longer has the changes, the caller reads
+// the manifest again without a pause.
 func (f *ManifestFollower) follow(ctx context.Context) {
 	key := f.Source.ManifestKey()
 	for ctx.Err() == nil {
@@ -92,6 +94,7 @@
 	}
 }
 
+// read reads the manifest's row itself.
 func (f *ManifestFollower) read(ctx context.Context) error {
 	key := f.Source.ManifestKey()
 	page, err := f.Store.Read(ctx, table.Range{Table: key.Table, Part: key.Part, From: key.Key, To: key.Key + "\x00", Limit: 1})
@@ -105,8 +108,8 @@
 	return nil
 }
 
-// take takes in a manifest if it is newer; an older one may come from a
-// reading that was overtaken.
+// take accepts a manifest if it is newer than the last one. A read that was overtaken by another one may
+// return an older manifest.
 func (f *ManifestFollower) take(r table.Row) {
 	m, err := f.Source.Manifest(r.Value)
 	if err != nil {
@@ -121,16 +124,16 @@
 	f.Changed(m)
 }
 
-// LeadsFollower reads who leads each cell.
+// LeadsFollower reads the leadership rows of all cells.
 type LeadsFollower struct {
 	Store   *store.Client
 	Control *Control
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (f *LeadsFollower) String() string { return "leads follower" }
 
-// Serve follows until the context ends.
+// Serve reads the rows until the context ends.
 func (f *LeadsFollower) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		askedAt := clock.Now()
@@ -152,11 +155,11 @@
 	return ctx.Err()
 }
 
-// followFrom is as of which versions a cell's tables were read.
+// followFrom holds the versions up to which a cell's tables were read.
 type followFrom struct{ specs, cancels int64 }
 
-// followCell hands on jobs and cancels that come to a led cell, until its
-// epoch is over.
+// followCell reads new jobs, cancels and returned tasks of a led cell, and sends them to the cell, until
+// the epoch ends.
 func (c *Control) followCell(ctx context.Context, name string, epoch int64, from followFrom) {
 	for ctx.Err() == nil {
 		pause(ctx, cellEvery)
@@ -188,7 +191,8 @@
 	}
 }
 
-// readReturned decodes tasks that another cell gives back; nil: it can't be read.
+// readReturned decodes the outcome of delegated tasks, written by their target cell. It returns nil if
+// the row can't be decoded.
 func (c *Control) readReturned(r table.Row) *wire.ReturnedTasks {
 	back := &wire.ReturnedTasks{}
 	if err := rows.Read(r, back); err != nil {
@@ -198,8 +202,9 @@
 	return back
 }
 
-// followTable hands on what changed in a table, and returns as of when, and whether that could
-// be read. When the history is gone, the whole table is handed on.
+// followTable passes the rows that changed after a version to take. It returns the version up to which the
+// table was read, and false if it could not be read. If the changes can't be read, for example because the
+// table has dropped them, all rows of the table are passed.
 func (c *Control) followTable(ctx context.Context, name string, after int64, take func(table.Row)) (int64, bool) {
 	page, err := c.store.Changes(ctx, name, after, 0)
 	if err != nil {
@@ -217,6 +222,7 @@
 	return page.Version, true
 }
 
+// readParts reads all parts of a table. The version of the result is the lowest of the parts.
 func (c *Control) readParts(ctx context.Context, name string) (whole table.Page, failed bool) {
 	for i := range rows.JobParts {
 		page, err := table.ReadAll(ctx, c.store, name, rows.PartName(i))
@@ -231,7 +237,7 @@
 	return whole, false
 }
 
-// pause waits, or until the context ends.
+// pause waits for a time span or until the context ends.
 func pause(ctx context.Context, span time.Duration) {
 	t := time.NewTimer(span)
 	defer t.Stop()
--- a/pkg/process/fleet/watch_workers.go
+++ b/pkg/process/fleet/watch_workers.go
@@ -14,30 +14,30 @@
 	"github.com/wrenferry/wrenferry/pkg/version/manifest"
 )
 
-// The list of workers, as this process follows it while it leads a cell. Rows may come from
-// anybody: each is judged by itself (workers.Judge), and again when another manifest is in
-// force. One that is not understood names no worker to use. If it was good before, its worker
-// gets nothing new, and what runs there is looked after until it ends, as at any worker that
-// the list no longer holds: looks go on to where the last good row said, and only what answers
-// there under that id is renewed. When its row is good again, it is in use again.
+// The follower of the worker registry runs while this process leads a cell. A row may have any
+// content, so each is checked on its own (workers.Judge), and again when the manifest changes. The
+// worker of an unusable row gets no new runs. If its row was usable before, it is treated as a
+// worker that was removed from the registry: the leader polls the address of the last usable row
+// until the runs there have ended, and renews only runs of a worker that answers under the same
+// id. When the row becomes usable again, the worker gets runs again.
 
 const (
-	// workersEvery is the pace of reading what changed in the list of workers;
-	// workers renew their rows every 1.5 s.
+	// workersEvery is the pause between two reads of the registry's changes; workers renew their rows
+	// every 1.5 s.
 	workersEvery = 300 * time.Millisecond
-	// unusableTold bounds the lines on rows that are not understood, for one reading of
-	// the list; the figure workers.unusable counts them all.
+	// unusableTold is the maximum number of unusable rows that are logged for one read of the registry;
+	// the metric workers.unusable counts all of them.
 	unusableTold = 20
 )
 
-// WorkersFollower keeps the list of workers while this process leads a cell.
+// WorkersFollower reads the worker registry while this process leads a cell.
 type WorkersFollower struct {
 	Store    *store.Client
 	Source   Source
 	Halls    []string
 	Manifest func() *manifest.Manifest
-	Tell     func(list []workers.Record)
-	Leads    func() bool
+	Tell     func(list []workers.Record) // called with all usable workers after each read
+	Leads    func() bool                 // reports whether this process leads a cell
 	Log      *logrus.Entry
 	Metrics  metrics.Registry
 
@@ -45,10 +45,10 @@
 	after int64
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (f *WorkersFollower) String() string { return "workers follower" }
 
-// Serve follows until the context ends.
+// Serve reads the registry until the context ends.
 func (f *WorkersFollower) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if !f.Leads() {
@@ -62,6 +62,7 @@
 	return ctx.Err()
 }
 
+// step reads the changes of the registry, or all of it the first time and after a failed read.
 func (f *WorkersFollower) step(ctx context.Context) {
 	var page table.Page
 	var err error
@@ -72,7 +73,7 @@
 	}
 	if err != nil {
 		if f.list != nil {
-			f.list = nil // read it anew, through a peer if need be
+			f.list = nil // the next step reads all rows, through a peer if the table does not answer
 			return
 		}
 		f.Log.WithField("why", err.Error()).Warn("workers-not-read")
@@ -88,15 +89,14 @@
 	f.Tell(f.list.usable())
 }
 
-// log tells of the rows that came to be not understood, or for another reason, or were
-// understood again.
+// log logs the rows that became unusable, are unusable for another reason, or became usable again.
 func (f *WorkersFollower) log(changed []unusableChange) {
 	for i, c := range changed {
 		if i == unusableTold {
 			f.Log.WithField("more", len(changed)-unusableTold).Warn(string(cell.NoteUnreadable))
 			return
 		}
-		fields := logrus.Fields{"table": f.Source.WorkersTable(), "key": c.key, "why": "understood again"}
+		fields := logrus.Fields{"table": f.Source.WorkersTable(), "key": c.key, "why": "usable again"}
 		if c.now != nil {
 			fields["field"], fields["why"] = c.now.Field, c.now.Why
 		}
@@ -104,19 +104,19 @@
 	}
 }
 
-// workerList is the list of workers with each row judged.
+// workerList holds the rows of the worker registry with the result of their checks.
 type workerList struct {
 	source Source
 	halls  map[string]bool
-	// accounts are the rows that could be read, by key.
+	// accounts are the rows that could be decoded, by key.
 	accounts map[string]workers.Account
 	records  map[string]workers.Record
 	unusable map[string]*workers.Unusable
 	manifest *manifest.Manifest
 }
 
-// unusableChange is a row of which it is news that, or why, it is not understood; now is nil
-// where it is understood again, or is gone.
+// unusableChange reports that a row became unusable, is unusable for another reason, or became usable
+// again; now is nil in the last case.
 type unusableChange struct {
 	key string
 	now *workers.Unusable
@@ -133,7 +133,8 @@
 	return l
 }
 
-// take takes in rows that changed, and the manifest that is in force.
+// take updates the list with changed rows, and checks all rows again if the manifest has changed. It
+// returns the rows that became unusable, are unusable for another reason, or became usable again.
 func (l *workerList) take(m *manifest.Manifest, rows []table.Row) []unusableChange {
 	var changed []unusableChange
 	for _, r := range rows {
@@ -171,7 +172,7 @@
 	return changed
 }
 
-// among are the accounts of the rows that changed.
+// among returns the accounts of the given rows.
 func (l *workerList) among(rows []table.Row) map[string]workers.Account {
 	some := make(map[string]workers.Account, len(rows))
 	for _, r := range rows {
@@ -182,12 +183,13 @@
 	return some
 }
 
+// known returns the checks of the hall and service names that a row may contain.
 func (l *workerList) known() workers.Known {
 	return workers.Known{
 		Hall: func(name string) bool { return l.halls[name] },
 		Service: func(name string) bool {
 			if l.manifest == nil {
-				return true // which there are is not known yet
+				return true // the services are not known before the first manifest
 			}
 			_, named := l.manifest.Service(name)
 			return named
@@ -195,6 +197,7 @@
 	}
 }
 
+// reject marks a row as unusable. It appends the row to changed if that is new or the reason is.
 func (l *workerList) reject(changed []unusableChange, key string, err error) []unusableChange {
 	u := workers.AsUnusable(err)
 	if u == nil {
@@ -208,7 +211,7 @@
 	return append(changed, unusableChange{key: key, now: u})
 }
 
-// usable are the workers to use.
+// usable returns the workers whose rows are usable.
 func (l *workerList) usable() []workers.Record {
 	list := make([]workers.Record, 0, len(l.records))
 	for _, r := range l.records {
