--- a/pkg/process/fleet/answers.go
+++ b/pkg/process/fleet/answers.go
@@ -14,17 +14,17 @@
 
 // Accepted reports a job that is recorded in the table to its cell.
 func (c *Control) Accepted(spec *wire.JobSpec) {
-	c.tell(cellEvent{cell: spec.GetCell(), event: cell.JobAccepted{Spec: spec, StoreNow: c.store.Now(clock.Now())}})
+	c.send(cellEvent{cell: spec.GetCell(), event: cell.JobAccepted{Spec: spec, StoreNow: c.store.Now(clock.Now())}})
 }
 
 // Cancelled reports a cancel request that is recorded in the table to the job's cell.
 func (c *Control) Cancelled(cellName, id string) {
-	c.tell(cellEvent{cell: cellName, event: cell.CancelRequested{ID: id}})
+	c.send(cellEvent{cell: cellName, event: cell.CancelRequested{ID: id}})
 }
 
 // Returned reports the outcome of delegated tasks to their home cell. The outcome is recorded in the table.
 func (c *Control) Returned(r *wire.ReturnedTasks) {
-	c.tell(cellEvent{cell: r.GetHome(), event: cell.TasksReturned{Tasks: r}})
+	c.send(cellEvent{cell: r.GetHome(), event: cell.TasksReturned{Tasks: r}})
 }
 
 // Phase returns a job's phase. The second result is false if this process does not lead the cell,
@@ -35,9 +35,9 @@
 		known bool
 	}
 	out := make(chan answer, 1)
-	ok := c.ask(ctx, func(c *Control, _ time.Time) {
+	ok := c.query(ctx, func(c *Control, _ time.Time) {
 		a := answer{}
-		if s := c.seats[cellName]; s != nil {
+		if s := c.cells[cellName]; s != nil {
 			a.phase, a.known = s.state.Phase(id)
 		}
 		out <- a
@@ -60,15 +60,15 @@
 // the answer took too long.
 func (c *Control) LoadFor(ctx context.Context, ref *wire.CellRef) *wire.CellLoad {
 	out := make(chan *wire.CellLoad, 1)
-	ok := c.ask(ctx, func(c *Control, now time.Time) {
-		if s := c.seats[ref.GetCell()]; s != nil {
+	ok := c.query(ctx, func(c *Control, now time.Time) {
+		if s := c.cells[ref.GetCell()]; s != nil {
 			l := s.state.Load(now, ref.GetWithBeliefs())
 			l.Holds = l.GetHolds() || s.seat.Claiming()
 			switch {
 			case ref.GetGrantsOf() == "" || l.GetHolds():
 			case ref.GetGrantsOf() == c.self.Life:
 				grants, known := s.state.Grants(now)
-				l.GrantsTold, l.GrantsMs = known, grantsMs(grants)
+				l.GrantsTold, l.GrantsMs = known, leaseMillis(grants)
 			default:
 				l.UpMs = now.Sub(c.self.Since).Milliseconds()
 			}
@@ -83,8 +83,8 @@
 	return <-out
 }
 
-// grantsMs returns the time left of leases in milliseconds, rounded up.
-func grantsMs(grants map[string]time.Duration) map[string]int64 {
+// leaseMillis returns the time left of leases in milliseconds, rounded up.
+func leaseMillis(grants map[string]time.Duration) map[string]int64 {
 	list := make(map[string]int64, len(grants))
 	for id, left := range grants {
 		list[id] = left.Milliseconds() + 1
@@ -95,22 +95,22 @@
 // OtherLoad reports the load of a cell, as sent by its leader, to the cells that this process leads. A
 // load with beliefs about workers goes to every cell, since this process may lead any of them later.
 func (c *Control) OtherLoad(l *wire.CellLoad) {
-	held := c.Held()
+	led := c.Held()
 	for name := range c.View().Cells {
-		if len(l.GetBeliefs()) > 0 || slices.Contains(held, name) {
-			c.tell(cellEvent{cell: name, event: cell.PeerLoad{Load: l}})
+		if len(l.GetBeliefs()) > 0 || slices.Contains(led, name) {
+			c.send(cellEvent{cell: name, event: cell.PeerLoad{Load: l}})
 		}
 	}
 }
 
 // TakeOver makes this process claim a cell whose leader is releasing it.
-func (c *Control) TakeOver(cellName string) { c.tell(takeOver{cell: cellName}) }
+func (c *Control) TakeOver(cellName string) { c.send(takeOverRequest{cell: cellName}) }
 
 // Yield makes this process release a cell of another hall. A cell of its own hall is kept.
-func (c *Control) Yield(cellName string) { c.tell(yield{cell: cellName}) }
+func (c *Control) Yield(cellName string) { c.send(yieldRequest{cell: cellName}) }
 
-// Leave begins the planned stop: this process releases every cell and claims no more.
-func (c *Control) Leave() { c.tell(leave{}) }
+// BeginStop begins the planned stop: this process releases every cell and claims no more.
+func (c *Control) BeginStop() { c.send(stopRequest{}) }
 
 // Held returns the names of the cells that this process leads.
 func (c *Control) Held() []string {
@@ -126,9 +126,9 @@
 // Summary returns the counts of each cell that this process leads, or nil without an answer in time.
 func (c *Control) Summary(ctx context.Context) map[string]cell.Counts {
 	out := make(chan map[string]cell.Counts, 1)
-	ok := c.ask(ctx, func(c *Control, now time.Time) {
+	ok := c.query(ctx, func(c *Control, now time.Time) {
 		all := map[string]cell.Counts{}
-		for name, s := range c.seats {
+		for name, s := range c.cells {
 			if s.state.Leading() {
 				all[name] = s.state.Counts(now)
 			}
@@ -145,9 +145,9 @@
 // nil without an answer in time.
 func (c *Control) Suspects(ctx context.Context) map[string][]cell.Suspect {
 	out := make(chan map[string][]cell.Suspect, 1)
-	ok := c.ask(ctx, func(c *Control, _ time.Time) {
+	ok := c.query(ctx, func(c *Control, _ time.Time) {
 		all := map[string][]cell.Suspect{}
-		for name, s := range c.seats {
+		for name, s := range c.cells {
 			if s.state.Leading() {
 				all[name] = s.state.Suspects()
 			}
@@ -166,7 +166,7 @@
 	for name, list := range c.Suspects(ctx) {
 		for _, s := range list {
 			if s.Task == task {
-				c.tell(cellEvent{cell: name, event: cell.ClearSuspicion{Task: task}})
+				c.send(cellEvent{cell: name, event: cell.ClearSuspicion{Task: task}})
 				return true
 			}
 		}
--- a/pkg/process/fleet/control.go
+++ b/pkg/process/fleet/control.go
@@ -30,12 +30,12 @@
 const (
 	// inboxSize is the maximum number of messages that wait for the control goroutine.
 	inboxSize = 4096
-	// batchMost is the maximum number of messages applied before the cells decide, after the first one.
-	batchMost = 256
-	// tickEvery is the interval at which cells decide without a message, as time passes.
-	tickEvery = 100 * time.Millisecond
-	// askTimeout is the longest time that a query of the control goroutine may take.
-	askTimeout = 500 * time.Millisecond
+	// maxBatch is the maximum number of messages applied before the cells decide, after the first one.
+	maxBatch = 256
+	// tickInterval is the interval at which cells decide without a message, as time passes.
+	tickInterval = 100 * time.Millisecond
+	// queryTimeout is the longest time that a query of the control goroutine may take.
+	queryTimeout = 500 * time.Millisecond
 )
 
 // Control owns the scheduling state of a process. Its goroutine is called the control goroutine.
@@ -49,44 +49,44 @@
 	wall    func() time.Time
 
 	inbox    chan message
-	seats    map[string]*seat
+	cells    map[string]*localCell
 	manifest *manifest.Manifest
 	leaving  bool
 	view     atomic.Pointer[intake.View]
-	// yieldTo asks the process at an address, a leader from another hall, to release a cell of this hall.
-	yieldTo func(cell, address string)
-	asked   map[string]time.Time
+	// askForRelease asks the process at an address, a leader from another hall, to release a cell of this hall.
+	askForRelease  func(cell, address string)
+	releaseAskedAt map[string]time.Time
 	// handicap returns the number that is added to the cells this process leads when it competes for
 	// another one. It is higher on a weaker host.
 	handicap func() int
-	// leads asks the process at an address whether it leads a cell. If that process is the incarnation
+	// askLeadership asks the process at an address whether it leads a cell. If that process is the incarnation
 	// named by holder, the answer includes the leases that it granted. ok is false without an answer.
-	leads func(address, cell, holder string) (answer predecessorAnswer, ok bool)
-	// tellThere notifies the process at an address of a change to the cell that it leads.
-	tellThere func(ctx context.Context, address string, e cell.NotifyLeader) error
+	askLeadership func(address, cell, holder string) (answer predecessorAnswer, ok bool)
+	// notifyPeer notifies the process at an address of a change to the cell that it leads.
+	notifyPeer func(ctx context.Context, address string, e cell.NotifyLeader) error
 }
 
-// seat is one cell as this process knows it: its leadership and its scheduling state.
-type seat struct {
-	name, hall string
-	seat       *election.Seat
-	state      *cell.State
-	touched    bool
-	// confirmed is the send time of the last renewal that was reported to the state.
-	confirmed time.Time
+// localCell is one cell as this process knows it: its leadership and its scheduling state.
+type localCell struct {
+	name, hall    string
+	seat          *election.Seat
+	state         *cell.State
+	needsDecision bool
+	// reportedRenewal is the send time of the last renewal that was reported to the state.
+	reportedRenewal time.Time
 }
 
 // NewControl returns the Control of a process. cells maps the name of each cell to its hall.
 func NewControl(self election.Self, cells map[string]string, bounds cell.Bounds, st *store.Client, caller workers.Caller, advisor workers.Advisor, log *logrus.Entry, registry metrics.Registry, options ...cell.Option) *Control {
 	c := &Control{
 		self: self, store: st, caller: caller, advisor: advisor, log: log, metrics: registry, wall: time.Now,
-		inbox: make(chan message, inboxSize), seats: map[string]*seat{}, asked: map[string]time.Time{},
-		yieldTo: func(string, string) {}, handicap: func() int { return 0 }, leads: func(string, string, string) (predecessorAnswer, bool) { return predecessorAnswer{}, false },
-		tellThere: func(context.Context, string, cell.NotifyLeader) error { return nil },
+		inbox: make(chan message, inboxSize), cells: map[string]*localCell{}, releaseAskedAt: map[string]time.Time{},
+		askForRelease: func(string, string) {}, handicap: func() int { return 0 }, askLeadership: func(string, string, string) (predecessorAnswer, bool) { return predecessorAnswer{}, false },
+		notifyPeer: func(context.Context, string, cell.NotifyLeader) error { return nil },
 	}
 	options = append(options, cell.WithPeers(slices.Collect(maps.Keys(cells))))
 	for name, hall := range cells {
-		c.seats[name] = &seat{
+		c.cells[name] = &localCell{
 			name: name, hall: hall, seat: election.New(name, hall, self), state: cell.New(name, bounds, options...),
 		}
 	}
@@ -99,7 +99,7 @@
 
 // Serve runs the control goroutine until the context ends.
 func (c *Control) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -108,23 +108,23 @@
 		case m := <-c.inbox:
 			now := clock.Now()
 			m.apply(c, now)
-			c.takeMore(now)
-			c.act(ctx, now)
+			c.applyWaiting(now)
+			c.decide(ctx, now)
 		case <-ticker.C:
 			now := clock.Now()
-			for _, s := range c.seats {
+			for _, s := range c.cells {
 				s.state.Take(now, cell.Tick{})
-				s.touched = true
-				c.seatChanged(now, s, s.seat.Expire(now))
+				s.needsDecision = true
+				c.leadershipChanged(now, s, s.seat.Expire(now))
 			}
-			c.act(ctx, now)
+			c.decide(ctx, now)
 		}
 	}
 }
 
-// takeMore applies the messages that wait already, up to the size of a batch.
-func (c *Control) takeMore(now time.Time) {
-	for range batchMost {
+// applyWaiting applies the messages that wait already, up to the size of a batch.
+func (c *Control) applyWaiting(now time.Time) {
+	for range maxBatch {
 		select {
 		case m := <-c.inbox:
 			m.apply(c, now)
@@ -134,59 +134,59 @@
 	}
 }
 
-// act runs the decision of each cell whose state has changed, and the election of each cell.
-func (c *Control) act(ctx context.Context, now time.Time) {
+// decide runs the decision of each cell whose state has changed, and the election of each cell.
+func (c *Control) decide(ctx context.Context, now time.Time) {
 	wall := c.wall()
-	for _, s := range c.seats {
-		if at := s.seat.RenewedAt(); s.seat.Role() == election.Leader && at.After(s.confirmed) {
-			s.confirmed = at
+	for _, s := range c.cells {
+		if at := s.seat.RenewedAt(); s.seat.Role() == election.Leader && at.After(s.reportedRenewal) {
+			s.reportedRenewal = at
 			s.state.Take(now, cell.LeadershipConfirmed{SentAt: at, Until: at.Add(election.Tenure)})
-			s.touched = true
+			s.needsDecision = true
 		}
-		if s.touched {
-			s.touched = false
+		if s.needsDecision {
+			s.needsDecision = false
 			for _, e := range s.state.Decide(now, wall) {
-				c.carryOut(ctx, now, s, e)
+				c.execute(ctx, now, s, e)
 			}
 		}
-		c.electSeat(ctx, now, s)
+		c.runElection(ctx, now, s)
 	}
 }
 
-// electSeat claims, renews or releases the leadership of a cell where that is due. It also asks a
+// runElection claims, renews or releases the leadership of a cell where that is due. It also asks a
 // leader from another hall to release a cell of this host's hall.
-func (c *Control) electSeat(ctx context.Context, now time.Time, s *seat) {
+func (c *Control) runElection(ctx context.Context, now time.Time, s *localCell) {
 	if s.state.Settled() {
 		s.seat.Settled()
 	}
 	if s.seat.Role() == election.Leader && s.state.ReadyToHandOver() {
 		s.seat.Release() // a planned stop or a requested release is complete
 	}
-	if w := s.seat.Next(now, s.state.Members(), c.held(s)+c.handicap(), c.leaving); w != nil {
-		go c.writeSeat(ctx, s.name, *w)
+	if w := s.seat.Next(now, s.state.Members(), c.otherCellsLed(s)+c.handicap(), c.leaving); w != nil {
+		go c.writeLeadership(ctx, s.name, *w)
 	}
-	if s.seat.AskYield(now) && !c.leaving && now.Sub(c.asked[s.name]) > yieldAgain {
-		c.asked[s.name] = now
-		c.yieldTo(s.name, s.seat.Row().GetAddress())
+	if s.seat.AskYield(now) && !c.leaving && now.Sub(c.releaseAskedAt[s.name]) > releaseAskInterval {
+		c.releaseAskedAt[s.name] = now
+		c.askForRelease(s.name, s.seat.Row().GetAddress())
 	}
 }
 
-// yieldAgain is the least time between two requests to release the same cell.
-const yieldAgain = time.Second
+// releaseAskInterval is the least time between two requests to release the same cell.
+const releaseAskInterval = time.Second
 
-// held returns how many cells other than the given one this process leads.
-func (c *Control) held(but *seat) int {
+// otherCellsLed returns how many cells other than the given one this process leads.
+func (c *Control) otherCellsLed(except *localCell) int {
 	n := 0
-	for _, s := range c.seats {
-		if s != but && s.seat.Role() == election.Leader {
+	for _, s := range c.cells {
+		if s != except && s.seat.Role() == election.Leader {
 			n++
 		}
 	}
 	return n
 }
 
-// seatChanged reports the gain or the loss of a cell's leadership to the cell's state.
-func (c *Control) seatChanged(now time.Time, s *seat, change election.Change) {
+// leadershipChanged reports the gain or the loss of a cell's leadership to the cell's state.
+func (c *Control) leadershipChanged(now time.Time, s *localCell, change election.Change) {
 	switch {
 	case change.Led:
 		epoch := s.seat.Row().GetEpoch()
@@ -194,28 +194,28 @@
 		if c.manifest != nil {
 			s.state.Take(now, cell.ManifestChanged{Manifest: c.manifest})
 		}
-		s.touched = true
+		s.needsDecision = true
 		for _, p := range change.Predecessors {
 			c.awaitPredecessor(s, epoch, p)
 		}
 	case change.Lost:
 		s.state.Take(now, cell.LeadershipLost{Why: change.Why})
-		s.touched = true
+		s.needsDecision = true
 	}
 	c.publish(now)
 }
 
-func ids(roster []*wire.RosterEntry) []string {
-	list := make([]string, 0, len(roster))
-	for _, r := range roster {
+func memberIDs(members []*wire.RosterEntry) []string {
+	list := make([]string, 0, len(members))
+	for _, r := range members {
 		list = append(list, r.GetId())
 	}
 	return list
 }
 
-// writeSeat commits a leadership row and sends the outcome to the control goroutine.
-func (c *Control) writeSeat(ctx context.Context, name string, w election.Write) {
-	done, err := c.store.Commit(ctx, seatTransaction(name, w))
+// writeLeadership commits a leadership row and sends the outcome to the control goroutine.
+func (c *Control) writeLeadership(ctx context.Context, name string, w election.Write) {
+	done, err := c.store.Commit(ctx, leadershipTransaction(name, w))
 	version := int64(0)
 	switch {
 	case err != nil:
@@ -223,13 +223,13 @@
 	case !done.Conflict:
 		version = done.Version
 	}
-	c.tell(seatWritten{cell: name, version: version, roster: w.Roster})
+	c.send(leadershipWritten{cell: name, version: version, members: w.Roster})
 }
 
 // publish replaces the View that request handlers read.
 func (c *Control) publish(now time.Time) {
 	v := &intake.View{At: now, Cells: map[string]intake.CellView{}}
-	for name, s := range c.seats {
+	for name, s := range c.cells {
 		row := s.seat.Row()
 		v.Cells[name] = intake.CellView{
 			Hall: s.hall, Leader: row.GetHost(), Address: row.GetAddress(), Epoch: row.GetEpoch(),
@@ -243,15 +243,15 @@
 // View returns the leader of each cell as this process last read it.
 func (c *Control) View() *intake.View { return c.view.Load() }
 
-// tell sends a message to the control goroutine.
-func (c *Control) tell(m message) { c.inbox <- m }
+// send sends a message to the control goroutine.
+func (c *Control) send(m message) { c.inbox <- m }
 
-// ask runs a function on the control goroutine and waits for it. It returns false if the function
+// query runs a function on the control goroutine and waits for it. It returns false if the function
 // did not complete in time; it may still run later.
-func (c *Control) ask(ctx context.Context, read func(c *Control, now time.Time)) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *Control) query(ctx context.Context, run func(c *Control, now time.Time)) bool {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	m := ask{read: read, done: make(chan struct{})}
+	m := query{run: run, done: make(chan struct{})}
 	select {
 	case c.inbox <- m:
 	case <-ctx.Done():
--- a/pkg/process/fleet/effects.go
+++ b/pkg/process/fleet/effects.go
@@ -20,9 +20,9 @@
 	adviceTimeout = 3 * time.Second
 )
 
-// seatTransaction returns the transaction that writes a cell's leadership row, and its membership if the
+// leadershipTransaction returns the transaction that writes a cell's leadership row, and its membership if the
 // write has one.
-func seatTransaction(cellName string, w election.Write) table.Transaction {
+func leadershipTransaction(cellName string, w election.Write) table.Transaction {
 	key := rows.LeadKey(cellName)
 	tx := table.Transaction{
 		Conditions: []table.Condition{{Key: key, Version: w.Version}},
@@ -34,19 +34,19 @@
 	return tx
 }
 
-// carryOut starts an effect of a cell. The outcome comes back as a message.
-func (c *Control) carryOut(ctx context.Context, now time.Time, s *seat, e cell.Effect) {
+// execute starts an effect of a cell. The outcome comes back as a message.
+func (c *Control) execute(ctx context.Context, now time.Time, s *localCell, e cell.Effect) {
 	name := s.name
 	switch e := e.(type) {
 	case cell.Note:
 		c.logNote(name, e)
 	case cell.StepDown:
 		s.state.Take(now, cell.LeadershipLost{Why: e.Why})
-		s.touched = true
+		s.needsDecision = true
 	case cell.Load:
 		go c.load(ctx, name, e.Epoch)
 	case cell.SendPoll:
-		go c.sendLook(ctx, name, e, now)
+		go c.sendPoll(ctx, name, e, now)
 	case cell.SendStart:
 		go c.sendStart(ctx, name, e)
 	case cell.SendStop:
@@ -54,20 +54,20 @@
 	case cell.SendPace:
 		go c.sendPace(ctx, name, e)
 	case cell.WriteProgress:
-		go c.record(ctx, name, e)
+		go c.writeProgress(ctx, name, e)
 	case cell.NotifyLeader:
-		go c.tellCell(ctx, e)
+		go c.notifyLeader(ctx, e)
 	case cell.SendAdviceRequest:
 		go c.sendAdvice(ctx, name, e)
 	}
 }
 
-func (c *Control) sendLook(ctx context.Context, name string, e cell.SendPoll, sentAt time.Time) {
+func (c *Control) sendPoll(ctx context.Context, name string, e cell.SendPoll, sentAt time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
 	report, refusal, err := c.caller.Poll(ctx, e.To, e.Poll)
 	c.countCall("look", refusal, err)
-	c.tell(cellEvent{name, cell.PollAnswered{Worker: e.To.ID, SentAt: sentAt, Report: report, Refusal: refusal, Err: err}})
+	c.send(cellEvent{name, cell.PollAnswered{Worker: e.To.ID, SentAt: sentAt, Report: report, Refusal: refusal, Err: err}})
 }
 
 func (c *Control) sendStart(ctx context.Context, name string, e cell.SendStart) {
@@ -75,10 +75,10 @@
 	defer cancel()
 	began := clock.Now()
 	reply, err := c.caller.Start(ctx, e.To, e.Start)
-	took := clock.Now().Sub(began)
-	metrics.GetOrRegisterTimer("worker.start", c.metrics).Update(took)
+	roundTrip := clock.Now().Sub(began)
+	metrics.GetOrRegisterTimer("worker.start", c.metrics).Update(roundTrip)
 	c.countCall("start", reply.Refusal, err)
-	c.tell(cellEvent{name, cell.StartAnswered{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: reply, Err: err, RoundTrip: took, Bytes: e.Bytes}})
+	c.send(cellEvent{name, cell.StartAnswered{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: reply, Err: err, RoundTrip: roundTrip, Bytes: e.Bytes}})
 }
 
 func (c *Control) sendStop(ctx context.Context, name string, e cell.SendStop) {
@@ -86,7 +86,7 @@
 	defer cancel()
 	reply, err := c.caller.Stop(ctx, e.To, e.Stop)
 	c.countCall("stop", reply.Refusal, err)
-	c.tell(cellEvent{name, cell.StopAnswered{Worker: e.To.ID, Reply: reply, Err: err}})
+	c.send(cellEvent{name, cell.StopAnswered{Worker: e.To.ID, Reply: reply, Err: err}})
 }
 
 func (c *Control) sendPace(ctx context.Context, name string, e cell.SendPace) {
@@ -94,7 +94,7 @@
 	defer cancel()
 	reply, err := c.caller.Pace(ctx, e.To, e.Pace)
 	c.countCall("pace", reply.Refusal, err)
-	c.tell(cellEvent{name, cell.PaceAnswered{
+	c.send(cellEvent{name, cell.PaceAnswered{
 		Worker: e.To.ID, Task: e.Pace.Task, Run: e.Pace.Run, Percent: e.Pace.Percent, Reply: reply, Err: err,
 	}})
 }
@@ -104,23 +104,23 @@
 	defer cancel()
 	tickets, err := c.advisor.Advise(ctx, e.Unit, e.Workers)
 	c.countCall("advise", workers.NotRefused, err)
-	c.tell(cellEvent{name, cell.AdviceAnswered{Unit: e.Unit, Tickets: tickets, Err: err}})
+	c.send(cellEvent{name, cell.AdviceAnswered{Unit: e.Unit, Tickets: tickets, Err: err}})
 }
 
-// tellWait is the timeout of a notification to another cell's leader.
-const tellWait = 300 * time.Millisecond
+// notifyTimeout is the timeout of a notification to another cell's leader.
+const notifyTimeout = 300 * time.Millisecond
 
-// tellCell notifies the leader of another cell of a change that is recorded in the table.
-func (c *Control) tellCell(ctx context.Context, e cell.NotifyLeader) {
-	ctx, cancel := context.WithTimeout(ctx, tellWait)
+// notifyLeader notifies the leader of another cell of a change that is recorded in the table.
+func (c *Control) notifyLeader(ctx context.Context, e cell.NotifyLeader) {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	view := c.View().Cells[e.Cell]
 	var err error
 	switch {
 	case view.Mine:
-		c.tellHere(e)
+		c.notifyLocal(e)
 	default:
-		err = c.tellThere(ctx, view.Address, e)
+		err = c.notifyPeer(ctx, view.Address, e)
 	}
 	outcome := "ok"
 	if err != nil {
@@ -129,8 +129,8 @@
 	metrics.GetOrRegisterCounter("tell."+outcome, c.metrics).Inc(1)
 }
 
-// tellHere notifies a cell that this process leads.
-func (c *Control) tellHere(e cell.NotifyLeader) {
+// notifyLocal notifies a cell that this process leads.
+func (c *Control) notifyLocal(e cell.NotifyLeader) {
 	switch {
 	case e.Lent != nil:
 		c.Accepted(e.Lent)
@@ -141,16 +141,16 @@
 	}
 }
 
-// record commits a transaction of a cell and reports the outcome to the cell.
-func (c *Control) record(ctx context.Context, name string, e cell.WriteProgress) {
+// writeProgress commits a transaction of a cell and reports the outcome to the cell.
+func (c *Control) writeProgress(ctx context.Context, name string, e cell.WriteProgress) {
 	began := clock.Now()
 	done, err := c.store.Commit(ctx, e.Transaction)
 	metrics.GetOrRegisterTimer("record", c.metrics).UpdateSince(began)
-	c.tell(cellEvent{name, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: done, Err: err}})
+	c.send(cellEvent{name, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: done, Err: err}})
 }
 
 // countCall counts a call to a worker or to the advisor by its outcome.
-func (c *Control) countCall(what string, refusal workers.Refusal, err error) {
+func (c *Control) countCall(call string, refusal workers.Refusal, err error) {
 	outcome := "ok"
 	switch {
 	case err != nil:
@@ -158,7 +158,7 @@
 	case refusal != workers.NotRefused:
 		outcome = "refused." + string(refusal)
 	}
-	metrics.GetOrRegisterCounter("worker."+what+"."+outcome, c.metrics).Inc(1)
+	metrics.GetOrRegisterCounter("worker."+call+"."+outcome, c.metrics).Inc(1)
 }
 
 // logNote logs a note of a cell and counts it by its kind.
--- a/pkg/process/fleet/figures.go
+++ b/pkg/process/fleet/figures.go
@@ -92,8 +92,8 @@
 	h.sendJSON(w, h.Control.Suspects(r.Context()))
 }
 
-// clearSuspicion removes the crash evidence of a task. It answers 404 if no cell that this host leads has any.
-func (h *Host) clearSuspicion(w http.ResponseWriter, r *http.Request) {
+// serveClearSuspicion removes the crash evidence of a task. It answers 404 if no cell that this host leads has any.
+func (h *Host) serveClearSuspicion(w http.ResponseWriter, r *http.Request) {
 	if !h.Control.ClearSuspicion(r.Context(), r.PathValue("task")) {
 		w.WriteHeader(http.StatusNotFound)
 	}
--- a/pkg/process/fleet/host.go
+++ b/pkg/process/fleet/host.go
@@ -26,14 +26,14 @@
 )
 
 const (
-	// storeSilence is how long the table may fail to answer, directly and through peers, before this
+	// maxStoreSilence is how long the table may fail to answer, directly and through peers, before this
 	// host reports itself not ready, so that the balancer sends callers to other hosts.
-	storeSilence = 1500 * time.Millisecond
-	// balancerWait is how long a stopping host continues to accept calls: the balancer probes once a
+	maxStoreSilence = 1500 * time.Millisecond
+	// balancerNoticeTime is how long a stopping host continues to accept calls: the balancer probes once a
 	// second and removes a host after two failed probes.
-	balancerWait = 2200 * time.Millisecond
-	// handoverWait is the longest time that a stopping host waits until it leads no cell.
-	handoverWait = 1500 * time.Millisecond
+	balancerNoticeTime = 2200 * time.Millisecond
+	// handoverTimeout is the longest time that a stopping host waits until it leads no cell.
+	handoverTimeout = 1500 * time.Millisecond
 	// stopMargin is the part of the grace period that is reserved for the exit of the process.
 	stopMargin = 500 * time.Millisecond
 	// headerTimeout is the longest time that a caller may take to send its headers.
@@ -41,13 +41,13 @@
 	// idleTimeout is how long an idle caller connection is kept. It is longer than callers keep theirs,
 	// so that this host closes no connection on which a call was just sent.
 	idleTimeout = 2 * time.Minute
-	// maxHeader is the maximum size of a call's headers, in bytes.
-	maxHeader = 16 << 10
+	// maxHeaderBytes is the maximum size of a call's headers, in bytes.
+	maxHeaderBytes = 16 << 10
 	// streamWindow is the gRPC flow-control window in bytes; it is small to limit the memory of peer connections.
 	streamWindow = 64 << 10
-	// delaySpread is the range of the hosts' claim delays. Hosts that read the same free leadership row
+	// claimDelaySpread is the range of the hosts' claim delays. Hosts that read the same free leadership row
 	// claim it at different times, so that one of them wins.
-	delaySpread = 150 * time.Millisecond
+	claimDelaySpread = 150 * time.Millisecond
 )
 
 // Outside holds the adapters through which a host reaches the platform.
@@ -79,39 +79,39 @@
 	outside  Outside
 	self     election.Self
 
-	beside                  suture.Service
-	callers, ready, figures *http.Server
-	listeners               map[*http.Server]net.Listener
-	grpc                    *grpc.Server
-	grpcListener            net.Listener
+	callerService                            suture.Service
+	callerServer, readyServer, metricsServer *http.Server
+	listeners                                map[*http.Server]net.Listener
+	grpc                                     *grpc.Server
+	grpcListener                             net.Listener
 }
 
 // New returns a host with its ports open. Run starts it.
 func New(config Config, outside Outside, log *eventlog.Log, options ...cell.Option) (*Host, error) {
 	now := clock.Now()
-	life := uuid.New()
+	incarnation := uuid.New()
 	self := election.Self{
-		Life: config.Name + "/" + life.String(), Host: config.Name, Hall: config.Hall, Address: config.Control, Since: now,
-		Delay: time.Duration(life[0]) * delaySpread / 256,
+		Life: config.Name + "/" + incarnation.String(), Host: config.Name, Hall: config.Hall, Address: config.Control, Since: now,
+		Delay: time.Duration(incarnation[0]) * claimDelaySpread / 256,
 	}
 	h := &Host{
 		Config: config, outside: outside, eventLog: log, Metrics: metrics.NewRegistry(), self: self,
-		Log:       log.With(logrus.Fields{"host": config.Name, "hall": config.Hall, "life": life.String()[:8]}),
+		Log:       log.With(logrus.Fields{"host": config.Name, "hall": config.Hall, "life": incarnation.String()[:8]}),
 		peers:     fleetpeer.NewClients(outside.Dial),
 		listeners: map[*http.Server]net.Listener{},
 	}
 	h.grace.Store(int64(config.Grace))
 	h.Hosts = &Hosts{Self: self, Peers: h.peers, Processors: config.Processors}
-	h.Store = store.New(outside.Table, h.Hosts.ForTable, h.Metrics, now)
+	h.Store = store.New(outside.Table, h.Hosts.TablePeers, h.Metrics, now)
 	h.Hosts.Store = h.Store
 	cells := map[string]string{}
 	for _, hall := range config.Halls {
 		cells[hall] = hall
 	}
 	h.Control = NewControl(self, cells, config.Bounds(), h.Store, outside.Caller, outside.Advisor, h.Log, h.Metrics, options...)
-	h.Control.yieldTo = h.yieldTo
-	h.Control.leads = h.leads
-	h.Control.tellThere = h.tellThere
+	h.Control.askForRelease = h.askForRelease
+	h.Control.askLeadership = h.askLeadership
+	h.Control.notifyPeer = h.notifyPeer
 	h.Control.handicap = h.Hosts.Handicap
 	return h, h.listen()
 }
@@ -125,21 +125,21 @@
 func (h *Host) listen() error {
 	readyMux := http.NewServeMux()
 	readyMux.HandleFunc("GET /readyz", h.serveReady)
-	figuresMux := http.NewServeMux()
-	figuresMux.HandleFunc("GET /metrics", h.serveMetrics)
-	figuresMux.HandleFunc("GET /status", h.serveStatus)
-	figuresMux.HandleFunc("GET /suspects", h.serveSuspects)
-	figuresMux.HandleFunc("DELETE /suspects/{task}", h.clearSuspicion)
+	metricsMux := http.NewServeMux()
+	metricsMux.HandleFunc("GET /metrics", h.serveMetrics)
+	metricsMux.HandleFunc("GET /status", h.serveStatus)
+	metricsMux.HandleFunc("GET /suspects", h.serveSuspects)
+	metricsMux.HandleFunc("DELETE /suspects/{task}", h.serveClearSuspicion)
 	var err error
-	handler, beside := h.outside.Callers(h)
-	h.beside = beside
-	if h.callers, err = h.server("callers", h.Config.Callers, h.lastCalls(handler)); err != nil {
+	handler, service := h.outside.Callers(h)
+	h.callerService = service
+	if h.callerServer, err = h.openServer("callers", h.Config.Callers, h.closeWhenLeaving(handler)); err != nil {
 		return err
 	}
-	if h.ready, err = h.server("ready", h.Config.Ready, readyMux); err != nil {
+	if h.readyServer, err = h.openServer("ready", h.Config.Ready, readyMux); err != nil {
 		return err
 	}
-	if h.figures, err = h.server("metrics", h.Config.Metrics, figuresMux); err != nil {
+	if h.metricsServer, err = h.openServer("metrics", h.Config.Metrics, metricsMux); err != nil {
 		return err
 	}
 	h.grpc = grpc.NewServer(
@@ -151,9 +151,9 @@
 	return err
 }
 
-// lastCalls adds "Connection: close" to each response while this host is stopping. Closing the
+// closeWhenLeaving adds "Connection: close" to each response while this host is stopping. Closing the
 // connections that look idle would abort calls that were sent and are not read yet.
-func (h *Host) lastCalls(next http.Handler) http.Handler {
+func (h *Host) closeWhenLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if h.leaving.Load() {
 			w.Header().Set("Connection", "close")
@@ -162,13 +162,13 @@
 	})
 }
 
-// server opens a port and returns the HTTP server for it; Run serves it.
-func (h *Host) server(name, address string, handler http.Handler) (*http.Server, error) {
+// openServer opens a port and returns the HTTP server for it; Run serves it.
+func (h *Host) openServer(name, address string, handler http.Handler) (*http.Server, error) {
 	listener, err := parts.Listen(name, address)
 	if err != nil {
 		return nil, err
 	}
-	s := &http.Server{Handler: handler, MaxHeaderBytes: maxHeader, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	s := &http.Server{Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	h.listeners[s] = listener
 	return s, nil
 }
@@ -192,7 +192,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	h.stop()
+	h.plannedStop()
 	cancel()
 	<-ended
 	h.Log.Info("host-stopped")
@@ -202,16 +202,16 @@
 
 func (h *Host) parts() []suture.Service {
 	list := []suture.Service{
-		h.eventLog, h.Control, h.Hosts, h.beside,
-		&ManifestFollower{Store: h.Store, Source: h.outside.Source, Log: h.Log, Changed: h.takeManifest},
+		h.eventLog, h.Control, h.Hosts, h.callerService,
+		&ManifestFollower{Store: h.Store, Source: h.outside.Source, Log: h.Log, Changed: h.acceptManifest},
 		&WorkersFollower{
 			Store: h.Store, Source: h.outside.Source, Halls: h.Config.Halls, Manifest: h.Manifest, Log: h.Log, Metrics: h.Metrics,
-			Leads: func() bool { return len(h.Control.Held()) > 0 },
-			Tell:  func(list []workers.Record) { h.Control.tell(workersCame{records: list}) },
+			LeadsAny: func() bool { return len(h.Control.Held()) > 0 },
+			Changed:  func(list []workers.Record) { h.Control.send(registryRead{records: list}) },
 		},
-		&LeadsFollower{Store: h.Store, Control: h.Control},
-		&relief{host: h},
-		&waking{outside: h.outside, log: h.Log},
+		&LeadershipFollower{Store: h.Store, Control: h.Control},
+		&strongerHostHandover{host: h},
+		&suspensionWatch{outside: h.outside, log: h.Log},
 		&parts.GRPC{Server: h.grpc, Listener: h.grpcListener},
 	}
 	for s, l := range h.listeners {
@@ -226,35 +226,35 @@
 	if level, err := c.Level(); err == nil { // ParseConfig has checked it
 		h.eventLog.SetLevel(level)
 	}
-	h.Control.tell(boundsChanged{bounds: c.Bounds()})
+	h.Control.send(boundsChanged{bounds: c.Bounds()})
 }
 
-func (h *Host) takeManifest(m *manifest.Manifest) {
+func (h *Host) acceptManifest(m *manifest.Manifest) {
 	h.manifest.Store(m)
-	h.Control.tell(manifestCame{manifest: m})
+	h.Control.send(manifestChanged{manifest: m})
 }
 
-// stop performs the planned stop: it marks the host as leaving, hands its cells over, accepts calls
+// plannedStop performs the planned stop: it marks the host as leaving, hands its cells over, accepts calls
 // until the balancer has removed the host, and waits for the calls in flight.
-func (h *Host) stop() {
+func (h *Host) plannedStop() {
 	began := clock.Now()
 	h.Log.Info("host-stopping")
 	h.leaving.Store(true)
-	h.Hosts.Leave()
+	h.Hosts.MarkLeaving()
 	h.handOver()
-	time.Sleep(balancerWait - clock.Now().Sub(began))
+	time.Sleep(balancerNoticeTime - clock.Now().Sub(began))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(h.grace.Load())-stopMargin-clock.Now().Sub(began))
 	defer cancel()
-	if err := h.callers.Shutdown(ctx); err != nil {
+	if err := h.callerServer.Shutdown(ctx); err != nil {
 		h.Log.WithField("why", err.Error()).Warn("stop-cut-calls")
 	}
 }
 
 // handOver releases all cells that this process leads and asks a host of each cell's hall to take over.
 func (h *Host) handOver() {
-	held := h.Control.Held()
-	h.Control.Leave()
-	for _, name := range held {
+	led := h.Control.Held()
+	h.Control.BeginStop()
+	for _, name := range led {
 		next := h.Hosts.Successor(h.Control.View().Cells[name].Hall)
 		if next == nil {
 			continue
@@ -262,19 +262,19 @@
 		h.Log.WithFields(logrus.Fields{"cell": name, "to": next.GetName()}).Info("cell-handed-over")
 		h.askToTakeOver(context.Background(), next, name)
 	}
-	deadline := clock.Now().Add(handoverWait)
+	deadline := clock.Now().Add(handoverTimeout)
 	for len(h.Control.Held()) > 0 && clock.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// peerWord is the timeout of the short control calls to a peer, such as TakeOver, Yield and Load.
-const peerWord = 300 * time.Millisecond
+// peerCallTimeout is the timeout of the short control calls to a peer, such as TakeOver, Yield and Load.
+const peerCallTimeout = 300 * time.Millisecond
 
-// leads asks the process at an address whether it leads a cell. If that process is the incarnation named
+// askLeadership asks the process at an address whether it leads a cell. If that process is the incarnation named
 // by holder, the answer includes the leases that it granted. ok is false without an answer.
-func (h *Host) leads(address, cellName, holder string) (answer predecessorAnswer, ok bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), peerWord)
+func (h *Host) askLeadership(address, cellName, holder string) (answer predecessorAnswer, ok bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
 	p, err := h.peers.To(address)
 	if err != nil {
@@ -284,15 +284,15 @@
 	if err != nil {
 		return answer, false
 	}
-	answer = predecessorAnswer{holds: load.GetHolds(), grantsTold: load.GetGrantsTold(), grants: map[string]time.Duration{}, up: time.Duration(load.GetUpMs()) * time.Millisecond}
+	answer = predecessorAnswer{holdsLeadership: load.GetHolds(), grantsKnown: load.GetGrantsTold(), grants: map[string]time.Duration{}, uptime: time.Duration(load.GetUpMs()) * time.Millisecond}
 	for id, ms := range load.GetGrantsMs() {
 		answer.grants[id] = time.Duration(ms) * time.Millisecond
 	}
 	return answer, load.GetCell() == cellName
 }
 
-// tellThere notifies the process at an address of a change to the cell that it leads.
-func (h *Host) tellThere(ctx context.Context, address string, e cell.NotifyLeader) error {
+// notifyPeer notifies the process at an address of a change to the cell that it leads.
+func (h *Host) notifyPeer(ctx context.Context, address string, e cell.NotifyLeader) error {
 	p, err := h.peers.To(address)
 	if err != nil {
 		return err
@@ -308,10 +308,10 @@
 	return err
 }
 
-// yieldTo asks the process at an address, a leader from another hall, to release a cell. It does not wait.
-func (h *Host) yieldTo(cellName, address string) {
+// askForRelease asks the process at an address, a leader from another hall, to release a cell. It does not wait.
+func (h *Host) askForRelease(cellName, address string) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), peerWord)
+		ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 		defer cancel()
 		p, err := h.peers.To(address)
 		if err != nil {
@@ -330,7 +330,7 @@
 		return false, "stopping"
 	case h.manifest.Load() == nil:
 		return false, "no manifest yet"
-	case h.Store.SinceWorked(now) > storeSilence:
+	case h.Store.SinceWorked(now) > maxStoreSilence:
 		return false, "the table does not answer"
 	}
 	return true, ""
--- a/pkg/process/fleet/hosts.go
+++ b/pkg/process/fleet/hosts.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// hostsEvery is the pause between two rounds; each writes this host's row and reads all rows.
-	hostsEvery = 2 * time.Second
-	// hostGoneAfter is the age up to which a host's row counts as alive: three rounds and a second.
-	hostGoneAfter = 3*hostsEvery + time.Second
-	// peersAsked is the maximum number of peers through which the table is called when it does not answer
+	// hostsInterval is the pause between two rounds; each writes this host's row and reads all rows.
+	hostsInterval = 2 * time.Second
+	// maxHostRowAge is the age up to which a host's row counts as alive: three rounds and a second.
+	maxHostRowAge = 3*hostsInterval + time.Second
+	// maxTablePeers is the maximum number of peers through which the table is called when it does not answer
 	// directly. It limits how long a call of the table takes.
-	peersAsked = 2
+	maxTablePeers = 2
 )
 
 // Hosts keeps the list of the other entry hosts, and writes this host's row.
@@ -33,26 +33,26 @@
 	Store      *store.Client
 	Peers      *fleetpeer.Clients
 	leaving    atomic.Bool
-	known      atomic.Pointer[[]*wire.EntryHost]
+	others     atomic.Pointer[[]*wire.EntryHost]
 }
 
 // String returns the name that the supervisor logs.
 func (h *Hosts) String() string { return "hosts follower" }
 
-// Leave makes the next row mark this host as leaving.
-func (h *Hosts) Leave() { h.leaving.Store(true) }
+// MarkLeaving makes the next row mark this host as leaving.
+func (h *Hosts) MarkLeaving() { h.leaving.Store(true) }
 
 // Serve updates the row and the list until the context ends.
 func (h *Hosts) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		h.write(ctx)
-		h.read(ctx)
-		pause(ctx, hostsEvery)
+		h.writeRow(ctx)
+		h.readRows(ctx)
+		pause(ctx, hostsInterval)
 	}
 	return ctx.Err()
 }
 
-func (h *Hosts) write(ctx context.Context) {
+func (h *Hosts) writeRow(ctx context.Context) {
 	row := &wire.EntryHost{
 		Name: h.Self.Host, Hall: h.Self.Hall, Address: h.Self.Address, Life: h.Self.Life,
 		SeenStoreMs: h.Store.Now(clock.Now()).Milliseconds(), Leaving: h.leaving.Load(), Processors: float32(h.Processors),
@@ -61,45 +61,45 @@
 	_, _ = h.Store.Commit(ctx, table.Transaction{Puts: []table.Row{rows.Row(rows.HostKey(h.Self.Host), row)}})
 }
 
-func (h *Hosts) read(ctx context.Context) {
+func (h *Hosts) readRows(ctx context.Context) {
 	page, err := table.ReadAll(ctx, h.Store, rows.HostTable, "")
 	if err != nil {
 		return // counted by the store client; the last list stays
 	}
 	var list []*wire.EntryHost
-	wanted := map[string]bool{}
+	addresses := map[string]bool{}
 	for _, r := range page.Rows {
 		host := &wire.EntryHost{}
 		if rows.Read(r, host) != nil || host.GetName() == h.Self.Host {
 			continue
 		}
-		if page.StoreTime-time.Duration(host.GetSeenStoreMs())*time.Millisecond > hostGoneAfter {
+		if page.StoreTime-time.Duration(host.GetSeenStoreMs())*time.Millisecond > maxHostRowAge {
 			continue
 		}
 		list = append(list, host)
-		wanted[host.GetAddress()] = true
+		addresses[host.GetAddress()] = true
 	}
-	h.known.Store(&list)
-	h.Peers.Keep(wanted)
+	h.others.Store(&list)
+	h.Peers.Keep(addresses)
 }
 
 // List returns the other entry hosts, without those whose rows are too old.
 func (h *Hosts) List() []*wire.EntryHost {
-	if l := h.known.Load(); l != nil {
+	if l := h.others.Load(); l != nil {
 		return *l
 	}
 	return nil
 }
 
-// ForTable lists peers that may ask the table in our stead: first of other
+// TablePeers lists peers that may ask the table in our stead: first of other
 // halls, since a hall may be cut off whole.
-func (h *Hosts) ForTable() []store.Peer {
+func (h *Hosts) TablePeers() []store.Peer {
 	list := append([]*wire.EntryHost(nil), h.List()...)
 	rand.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 	var out []store.Peer
 	for _, other := range []bool{true, false} {
 		for _, host := range list {
-			if len(out) >= peersAsked || (host.GetHall() != h.Self.Hall) != other {
+			if len(out) >= maxTablePeers || (host.GetHall() != h.Self.Hall) != other {
 				continue
 			}
 			if p, err := h.Peers.To(host.GetAddress()); err == nil {
@@ -113,25 +113,25 @@
 // Successor returns the host that a cell of the given hall is handed over to: a random one of the hosts
 // of that hall with the most processors, without those that are leaving. It returns nil if there is none.
 func (h *Hosts) Successor(hall string) *wire.EntryHost {
-	var fit []*wire.EntryHost
-	most := float32(0)
+	var strongest []*wire.EntryHost
+	mostProcessors := float32(0)
 	for _, host := range h.List() {
-		if host.GetHall() != hall || host.GetLeaving() || host.GetProcessors() < most {
+		if host.GetHall() != hall || host.GetLeaving() || host.GetProcessors() < mostProcessors {
 			continue
 		}
-		if host.GetProcessors() > most {
-			fit, most = nil, host.GetProcessors()
+		if host.GetProcessors() > mostProcessors {
+			strongest, mostProcessors = nil, host.GetProcessors()
 		}
-		fit = append(fit, host)
+		strongest = append(strongest, host)
 	}
-	if len(fit) == 0 {
+	if len(strongest) == 0 {
 		return nil
 	}
-	return fit[rand.IntN(len(fit))]
+	return strongest[rand.IntN(len(strongest))]
 }
 
-// mostHandicap is the maximum handicap of a weak host, in cells.
-const mostHandicap = 3
+// maxHandicap is the maximum handicap of a weak host, in cells.
+const maxHandicap = 3
 
 // Handicap returns the number that is added to the cells this host leads when it competes for another
 // one. It is the number of whole times that the strongest other host of the hall exceeds this host's
@@ -141,5 +141,5 @@
 	if strongest == nil || h.Processors <= 0 {
 		return 0
 	}
-	return max(0, min(mostHandicap, int(float64(strongest.GetProcessors())/h.Processors)-1))
+	return max(0, min(maxHandicap, int(float64(strongest.GetProcessors())/h.Processors)-1))
 }
--- a/pkg/process/fleet/load.go
+++ b/pkg/process/fleet/load.go
@@ -15,8 +15,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// loadAgain is the pause after a failed load.
-const loadAgain = 100 * time.Millisecond
+// loadRetryPause is the pause after a failed load.
+const loadRetryPause = 100 * time.Millisecond
 
 // load raises the cell's fences to a new epoch and reads its jobs. It retries until that succeeds, the
 // epoch ends, or a later leader's fence shows that this process is no longer the leader. After a
@@ -25,26 +25,26 @@
 	for ctx.Err() == nil {
 		loaded, err := c.loadOnce(ctx, name, epoch)
 		if err == nil {
-			c.tell(cellEvent{name, loaded.event})
+			c.send(cellEvent{name, loaded.event})
 			c.followCell(ctx, name, epoch, loaded.versions)
 			return
 		}
 		c.log.WithFields(logrus.Fields{"cell": name, "why": err.Error()}).Warn("cell-load-failed")
 		if fault.CodeOf(err) == fault.Conflict {
-			c.tell(cellEvent{name, cell.LeadershipLost{Why: err.Error()}})
+			c.send(cellEvent{name, cell.LeadershipLost{Why: err.Error()}})
 			return
 		}
 		if v := c.View().Cells[name]; !v.Mine || v.Epoch != epoch {
 			return
 		}
-		time.Sleep(loadAgain)
+		time.Sleep(loadRetryPause)
 	}
 }
 
 // loadedCell is the content of a cell's tables, and the versions at which they were read.
 type loadedCell struct {
 	event    cell.Loaded
-	versions followFrom
+	versions tableVersions
 }
 
 // loadedPart is the content of one part of a cell's tables.
@@ -53,7 +53,7 @@
 	jobs     []cell.LoadedJob
 	cancels  []string
 	returned []*wire.ReturnedTasks
-	versions followFrom
+	versions tableVersions
 	err      error
 }
 
@@ -64,13 +64,13 @@
 	for i := range parts {
 		wait.Go(func() { parts[i] = c.loadPart(ctx, name, rows.PartName(i), epoch) })
 	}
-	roster, err := c.readRoster(ctx, name)
+	membership, err := c.readMembership(ctx, name)
 	wait.Wait()
 	if err != nil {
 		return nil, err
 	}
 	now := clock.Now()
-	event := cell.Loaded{Epoch: epoch, Members: roster.GetEntries(), Fences: map[string]int64{}, Wall: c.wall(), StoreNow: c.store.Now(now)}
+	event := cell.Loaded{Epoch: epoch, Members: membership.GetEntries(), Fences: map[string]int64{}, Wall: c.wall(), StoreNow: c.store.Now(now)}
 	versions := parts[0].versions
 	for i, p := range parts {
 		if p.err != nil {
@@ -90,7 +90,7 @@
 // there after the read.
 func (c *Control) loadPart(ctx context.Context, name, part string, epoch int64) loadedPart {
 	p := loadedPart{}
-	if p.fence, p.err = c.putFence(ctx, name, part, epoch); p.err != nil {
+	if p.fence, p.err = c.raiseFence(ctx, name, part, epoch); p.err != nil {
 		return p
 	}
 	specs, err := table.ReadAll(ctx, c.store, rows.SpecTable(name), part)
@@ -108,41 +108,41 @@
 		p.err = err
 		return p
 	}
-	p.versions = followFrom{specs: specs.Version, cancels: cancels.Version}
-	p.jobs = c.joinRows(specs.Rows, progress.Rows)
+	p.versions = tableVersions{specs: specs.Version, cancels: cancels.Version}
+	p.jobs = c.joinJobRows(specs.Rows, progress.Rows)
 	for _, r := range cancels.Rows {
 		if !rows.IsReturn(r.Key) {
 			p.cancels = append(p.cancels, r.Key.Key)
-		} else if back := c.readReturned(r); back != nil {
-			p.returned = append(p.returned, back)
+		} else if returned := c.readReturned(r); returned != nil {
+			p.returned = append(p.returned, returned)
 		}
 	}
 	return p
 }
 
-// readRoster reads the cell's membership: the workers that earlier leaders may have used. Leaders write
+// readMembership reads the cell's membership: the workers that earlier leaders may have used. Leaders write
 // it on condition of the leadership row's version, so it can't grow after this epoch's claim.
-func (c *Control) readRoster(ctx context.Context, name string) (*wire.CellRoster, error) {
+func (c *Control) readMembership(ctx context.Context, name string) (*wire.CellRoster, error) {
 	key := rows.RosterKey(name)
 	page, err := c.store.Read(ctx, table.Range{Table: key.Table, Part: key.Part, From: key.Key, To: key.Key + "\x00", Limit: 1})
 	if err != nil {
 		return nil, err
 	}
-	roster := &wire.CellRoster{}
+	membership := &wire.CellRoster{}
 	if len(page.Rows) == 0 {
-		return roster, nil
+		return membership, nil
 	}
-	return roster, rows.Read(page.Rows[0], roster)
+	return membership, rows.Read(page.Rows[0], membership)
 }
 
-// joinRows combines the specification and the progress row of each job. An ended job has only a
+// joinJobRows combines the specification and the progress row of each job. An ended job has only a
 // progress row.
-func (c *Control) joinRows(specs, progress []table.Row) []cell.LoadedJob {
+func (c *Control) joinJobRows(specs, progress []table.Row) []cell.LoadedJob {
 	known := map[string]cell.LoadedJob{}
 	for _, r := range specs {
 		spec := &wire.JobSpec{}
 		if err := rows.Read(r, spec); err != nil {
-			c.unreadable(r, err)
+			c.logUnreadable(r, err)
 			continue
 		}
 		known[spec.GetId()] = cell.LoadedJob{Spec: spec}
@@ -150,7 +150,7 @@
 	for _, r := range progress {
 		p := &wire.JobProgress{}
 		if err := rows.Read(r, p); err != nil {
-			c.unreadable(r, err)
+			c.logUnreadable(r, err)
 			continue
 		}
 		j := known[r.Key.Key]
@@ -167,20 +167,20 @@
 	return list
 }
 
-// unreadable logs a row that could not be decoded.
-func (c *Control) unreadable(r table.Row, err error) {
+// logUnreadable logs a row that could not be decoded.
+func (c *Control) logUnreadable(r table.Row, err error) {
 	c.log.WithFields(logrus.Fields{"table": r.Table, "key": r.Key.Key, "why": err.Error()}).Error(string(cell.NoteUnreadable))
 }
 
-// putFence raises a cell's fence in one part to an epoch, and returns the version of the fence row. It
+// raiseFence raises a cell's fence in one part to an epoch, and returns the version of the fence row. It
 // fails with fault.Conflict if a later leader has raised the fence further.
-func (c *Control) putFence(ctx context.Context, name, part string, epoch int64) (int64, error) {
+func (c *Control) raiseFence(ctx context.Context, name, part string, epoch int64) (int64, error) {
 	key := rows.FenceKey(name, part)
 	page, err := c.store.Read(ctx, table.Range{Table: key.Table, Part: part, From: name, To: name + "\x00", Limit: 1})
 	if err != nil {
 		return 0, err
 	}
-	before := int64(0)
+	version := int64(0)
 	if len(page.Rows) > 0 {
 		fence := &wire.CellFence{}
 		if err := rows.Read(page.Rows[0], fence); err != nil {
@@ -192,10 +192,10 @@
 		case fence.GetEpoch() == epoch:
 			return page.Rows[0].Version, nil // written by an earlier attempt of this epoch
 		}
-		before = page.Rows[0].Version
+		version = page.Rows[0].Version
 	}
 	done, err := c.store.Commit(ctx, table.Transaction{
-		Conditions: []table.Condition{{Key: key, Version: before}},
+		Conditions: []table.Condition{{Key: key, Version: version}},
 		Puts:       []table.Row{rows.Row(key, &wire.CellFence{Epoch: epoch})},
 	})
 	if err != nil {
--- a/pkg/process/fleet/messages.go
+++ b/pkg/process/fleet/messages.go
@@ -21,20 +21,20 @@
 }
 
 func (m cellEvent) apply(c *Control, now time.Time) {
-	if s := c.seats[m.cell]; s != nil {
+	if s := c.cells[m.cell]; s != nil {
 		s.state.Take(now, m.event)
-		s.touched = true
+		s.needsDecision = true
 	}
 }
 
-// manifestCame reports a newer manifest.
-type manifestCame struct{ manifest *manifest.Manifest }
+// manifestChanged reports a newer manifest.
+type manifestChanged struct{ manifest *manifest.Manifest }
 
-func (m manifestCame) apply(c *Control, now time.Time) {
+func (m manifestChanged) apply(c *Control, now time.Time) {
 	c.manifest = m.manifest
-	for _, s := range c.seats {
+	for _, s := range c.cells {
 		s.state.Take(now, cell.ManifestChanged{Manifest: m.manifest})
-		s.touched = true
+		s.needsDecision = true
 	}
 }
 
@@ -42,115 +42,115 @@
 type boundsChanged struct{ bounds cell.Bounds }
 
 func (m boundsChanged) apply(c *Control, now time.Time) {
-	for _, s := range c.seats {
+	for _, s := range c.cells {
 		s.state.Take(now, cell.BoundsChanged{Bounds: m.bounds})
 	}
 }
 
-// workersCame reports all usable workers of the registry.
-type workersCame struct{ records []workers.Record }
+// registryRead reports all usable workers of the registry.
+type registryRead struct{ records []workers.Record }
 
-func (m workersCame) apply(c *Control, now time.Time) {
+func (m registryRead) apply(c *Control, now time.Time) {
 	byHall := map[string][]workers.Record{}
 	for _, r := range m.records {
 		byHall[r.Hall] = append(byHall[r.Hall], r)
 	}
-	for _, s := range c.seats {
+	for _, s := range c.cells {
 		s.state.Take(now, cell.WorkersListed{Records: byHall[s.hall]})
-		s.touched = true
+		s.needsDecision = true
 	}
 }
 
-// leadRow is a leadership row and its version.
-type leadRow struct {
+// leadershipRow is a leadership row and its version.
+type leadershipRow struct {
 	row     *wire.CellLead
 	version int64
 }
 
-// leadsRead reports all leadership rows by cell, read by a call sent at askedAt.
-type leadsRead struct {
-	askedAt time.Time
-	store   time.Duration // the table's clock
-	rows    map[string]leadRow
+// leadershipsRead reports all leadership rows by cell, read by a call sent at askedAt.
+type leadershipsRead struct {
+	askedAt   time.Time
+	storeTime time.Duration // the table's clock
+	rows      map[string]leadershipRow
 }
 
-func (m leadsRead) apply(c *Control, now time.Time) {
-	for name, s := range c.seats {
+func (m leadershipsRead) apply(c *Control, now time.Time) {
+	for name, s := range c.cells {
 		r := m.rows[name]
-		c.seatChanged(now, s, s.seat.TakeRead(now, m.askedAt, r.row, r.version, m.store))
+		c.leadershipChanged(now, s, s.seat.TakeRead(now, m.askedAt, r.row, r.version, m.storeTime))
 	}
 	c.publish(now)
 }
 
-// seatWritten reports the outcome of a write of a leadership row. Version 0 means that the write did not
+// leadershipWritten reports the outcome of a write of a leadership row. Version 0 means that the write did not
 // take effect or that its outcome is not known.
-type seatWritten struct {
+type leadershipWritten struct {
 	cell    string
 	version int64
-	// roster is the membership in the same transaction, or nil.
-	roster *wire.CellRoster
+	// members is the membership in the same transaction, or nil.
+	members *wire.CellRoster
 }
 
-func (m seatWritten) apply(c *Control, now time.Time) {
-	s := c.seats[m.cell]
+func (m leadershipWritten) apply(c *Control, now time.Time) {
+	s := c.cells[m.cell]
 	if s == nil {
 		return
 	}
-	c.seatChanged(now, s, s.seat.TakeWritten(now, m.version))
-	if m.version != 0 && m.roster != nil {
-		s.state.Take(now, cell.MembershipRecorded{IDs: ids(m.roster.GetEntries())})
-		s.touched = true
+	c.leadershipChanged(now, s, s.seat.TakeWritten(now, m.version))
+	if m.version != 0 && m.members != nil {
+		s.state.Take(now, cell.MembershipRecorded{IDs: memberIDs(m.members.GetEntries())})
+		s.needsDecision = true
 	}
 	c.publish(now)
 }
 
-// takeOver is the request of a peer to claim a cell that it is releasing.
-type takeOver struct{ cell string }
+// takeOverRequest is the request of a peer to claim a cell that it is releasing.
+type takeOverRequest struct{ cell string }
 
-func (m takeOver) apply(c *Control, _ time.Time) {
-	if s := c.seats[m.cell]; s != nil && !c.leaving {
+func (m takeOverRequest) apply(c *Control, _ time.Time) {
+	if s := c.cells[m.cell]; s != nil && !c.leaving {
 		s.seat.Want()
 	}
 }
 
-// yield is the request of a peer in the cell's hall to release the cell.
-type yield struct{ cell string }
+// yieldRequest is the request of a peer in the cell's hall to release the cell.
+type yieldRequest struct{ cell string }
 
-func (m yield) apply(c *Control, now time.Time) {
-	if s := c.seats[m.cell]; s != nil && s.hall != c.self.Hall {
+func (m yieldRequest) apply(c *Control, now time.Time) {
+	if s := c.cells[m.cell]; s != nil && s.hall != c.self.Hall {
 		s.state.Take(now, cell.ReleaseRequested{})
-		s.touched = true
+		s.needsDecision = true
 	}
 }
 
-// giveUp releases a cell so that a stronger host can lead it.
-type giveUp struct{ cell string }
+// handOverRequest releases a cell so that a stronger host can lead it.
+type handOverRequest struct{ cell string }
 
-func (m giveUp) apply(c *Control, now time.Time) {
-	if s := c.seats[m.cell]; s != nil {
+func (m handOverRequest) apply(c *Control, now time.Time) {
+	if s := c.cells[m.cell]; s != nil {
 		s.state.Take(now, cell.ReleaseRequested{})
-		s.touched = true
+		s.needsDecision = true
 	}
 }
 
-// leave begins the planned stop: all cells are released.
-type leave struct{}
+// stopRequest begins the planned stop: all cells are released.
+type stopRequest struct{}
 
-func (leave) apply(c *Control, now time.Time) {
+func (stopRequest) apply(c *Control, now time.Time) {
 	c.leaving = true
-	for _, s := range c.seats {
+	for _, s := range c.cells {
 		s.state.Take(now, cell.ReleaseRequested{})
-		s.touched = true
+		s.needsDecision = true
 	}
 }
 
-// ask runs a function on the control goroutine.
-type ask struct {
-	read func(c *Control, now time.Time)
+// query runs a function on the control goroutine.
+type query struct {
+	run  func(c *Control, now time.Time)
 	done chan struct{}
 }
 
-func (m ask) apply(c *Control, now time.Time) {
-	m.read(c, now)
+func (m query) apply(c *Control, now time.Time) {
+	m.run(c, now)
 	close(m.done)
 }
--- a/pkg/process/fleet/relief.go
+++ b/pkg/process/fleet/relief.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	// reliefEvery is the pause between two checks for a stronger host, and reliefAfter the least time
+	// strongerHostCheckInterval is the pause between two checks for a stronger host, and reliefAfter the least time
 	// between two handovers by this host: a handover interrupts a cell's scheduling for about 0.2 s.
-	reliefEvery = time.Second
-	reliefAfter = 15 * time.Second
+	strongerHostCheckInterval = time.Second
+	minHandoverInterval       = 15 * time.Second
 )
 
-// relief hands the cells of this host's hall over to a host with at least twice its processors. The
+// strongerHostHandover hands the cells of this host's hall over to a host with at least twice its processors. The
 // first host that claims a cell leads it; without handovers, a weak host that claimed first would
 // lead for as long as it runs.
-type relief struct {
-	host *Host
-	last time.Time
+type strongerHostHandover struct {
+	host         *Host
+	lastHandover time.Time
 }
 
 // String returns the name that the supervisor logs.
-func (r *relief) String() string { return "relief" }
+func (r *strongerHostHandover) String() string { return "relief" }
 
 // Serve checks for a stronger host until the context ends.
-func (r *relief) Serve(ctx context.Context) error {
+func (r *strongerHostHandover) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause(ctx, reliefEvery)
-		r.look(ctx, clock.Now())
+		pause(ctx, strongerHostCheckInterval)
+		r.handOverIfStronger(ctx, clock.Now())
 	}
 	return ctx.Err()
 }
 
-// look hands one cell over if a stronger host answers.
-func (r *relief) look(ctx context.Context, now time.Time) {
+// handOverIfStronger hands one cell over if a stronger host answers.
+func (r *strongerHostHandover) handOverIfStronger(ctx context.Context, now time.Time) {
 	h := r.host
-	if h.leaving.Load() || now.Sub(r.last) < reliefAfter || h.Hosts.Handicap() == 0 {
+	if h.leaving.Load() || now.Sub(r.lastHandover) < minHandoverInterval || h.Hosts.Handicap() == 0 {
 		return
 	}
 	for _, name := range h.Control.Held() {
@@ -51,12 +51,12 @@
 		if next == nil {
 			return
 		}
-		if _, answers := h.leads(next.GetAddress(), name, ""); !answers {
+		if _, answers := h.askLeadership(next.GetAddress(), name, ""); !answers {
 			return // the list of hosts is some seconds old: this one may be down
 		}
-		r.last = now
+		r.lastHandover = now
 		h.Log.WithFields(logrus.Fields{"cell": name, "to": next.GetName(), "why": "stronger host"}).Info("cell-handed-over")
-		h.Control.tell(giveUp{cell: name})
+		h.Control.send(handOverRequest{cell: name})
 		h.askToTakeOver(ctx, next, name)
 	}
 }
@@ -66,7 +66,7 @@
 	p, err := h.peers.To(next.GetAddress())
 	if err == nil {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, peerWord)
+		ctx, cancel = context.WithTimeout(ctx, peerCallTimeout)
 		defer cancel()
 		_, err = p.TakeOver(ctx, &wire.CellRef{Cell: name})
 	}
--- a/pkg/process/fleet/reload.go
+++ b/pkg/process/fleet/reload.go
@@ -11,9 +11,9 @@
 	"github.com/sirupsen/logrus"
 )
 
-// reloadEvery is the interval at which the settings file is checked for a change without a signal. No
+// reloadInterval is the interval at which the settings file is checked for a change without a signal. No
 // setting needs to apply sooner than within a few seconds.
-const reloadEvery = 3 * time.Second
+const reloadInterval = 3 * time.Second
 
 // Reload reads the settings file at a signal and at a fixed interval. A changed file is checked as a
 // whole: a file with a fault changes no setting. Changed settings that need a new process are logged;
@@ -35,21 +35,21 @@
 
 // Serve reads the file until the context ends.
 func (r *Reload) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(reloadEvery)
+	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-r.Asked:
-			r.read("signal")
+			r.reloadFile("signal")
 		case <-ticker.C:
-			r.read("change")
+			r.reloadFile("change")
 		}
 	}
 }
 
-func (r *Reload) read(cause string) {
+func (r *Reload) reloadFile(cause string) {
 	log := r.Log.WithFields(logrus.Fields{"file": r.File, "cause": cause})
 	source, err := os.ReadFile(r.File)
 	if err != nil {
@@ -68,10 +68,10 @@
 		log.WithField("why", err.Error()).Error("settings-refused")
 		return
 	}
-	if fixed := changedFixed(r.Config, config); len(fixed) > 0 {
+	if fixed := changedFixedSettings(r.Config, config); len(fixed) > 0 {
 		log.WithField("fields", strings.Join(fixed, ", ")).Warn("settings-need-restart")
 	}
-	r.Config = config.withFixedOf(r.Config)
+	r.Config = config.withFixedSettingsOf(r.Config)
 	r.Apply(r.Config)
 	log.WithFields(logrus.Fields{
 		"max_lease": config.MaxLease.String(), "retention": config.Retention.String(), "grace": config.Grace.String(),
@@ -79,9 +79,9 @@
 	}).Info("settings-reloaded")
 }
 
-// changedFixed returns the names of changed settings that can't change while the process runs: its ports
+// changedFixedSettings returns the names of changed settings that can't change while the process runs: its ports
 // are open, and other hosts know it by its name.
-func changedFixed(before, after Config) []string {
+func changedFixedSettings(before, after Config) []string {
 	fields := []struct {
 		name    string
 		changed bool
@@ -106,8 +106,8 @@
 	return list
 }
 
-// withFixedOf returns the other settings, with those that may change while the process runs taken from c.
-func (c Config) withFixedOf(other Config) Config {
+// withFixedSettingsOf returns the other settings, with those that may change while the process runs taken from c.
+func (c Config) withFixedSettingsOf(other Config) Config {
 	other.MaxLease, other.Retention, other.Grace = c.MaxLease, c.Retention, c.Grace
 	other.MemoryMB, other.LogLevel = c.MemoryMB, c.LogLevel
 	return other
--- a/pkg/process/fleet/reload_test.go
+++ b/pkg/process/fleet/reload_test.go
@@ -18,25 +18,25 @@
 	"github.com/wrenferry/wrenferry/pkg/process/fleet"
 )
 
-const settings = `{
+const settingsFile = `{
   "name": "entry-1", "hall": "a", "halls": ["a", "b"],
   "callers": "127.0.0.1:1", "ready": "127.0.0.1:2", "control": "127.0.0.1:3", "metrics": "127.0.0.1:4",
   "table": "127.0.0.1:5", "grace": "6s",
 }`
 
-// buffer is a log output that a test may read while it is written.
-type buffer struct {
+// logBuffer is a log output that a test may read while it is written.
+type logBuffer struct {
 	mu  sync.Mutex
 	out bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *logBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.out.Write(p)
 }
 
-func (b *buffer) has(words ...string) bool {
+func (b *logBuffer) contains(words ...string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, w := range words {
@@ -51,16 +51,16 @@
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "settings.jsonc")
 	write := func(source string) { must.NoError(t, os.WriteFile(file, []byte(source), 0o600)) }
-	write(settings)
-	config, err := fleet.ParseConfig(file, []byte(settings))
+	write(settingsFile)
+	config, err := fleet.ParseConfig(file, []byte(settingsFile))
 	must.NoError(t, err)
-	log := &buffer{}
+	log := &logBuffer{}
 	logger := logrus.New()
 	logger.SetOutput(log)
 	asked := make(chan os.Signal, 1)
 	applied := make(chan fleet.Config, 10)
 	r := &fleet.Reload{
-		File: file, Source: []byte(settings), Config: config, Asked: asked, Log: logrus.NewEntry(logger),
+		File: file, Source: []byte(settingsFile), Config: config, Asked: asked, Log: logrus.NewEntry(logger),
 		Apply: func(c fleet.Config) { applied <- c },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -68,25 +68,25 @@
 	go func() { _ = r.Serve(ctx) }()
 	until := func(words ...string) {
 		t.Helper()
-		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return log.has(words...) }), wait.Timeout(30*time.Second)), must.Sprint(words))
+		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return log.contains(words...) }), wait.Timeout(30*time.Second)), must.Sprint(words))
 	}
 
 	asked <- syscall.SIGHUP
 	until("settings-unchanged")
 
-	write(strings.Replace(settings, `"6s"`, `"quite long"`, 1))
+	write(strings.Replace(settingsFile, `"6s"`, `"quite long"`, 1))
 	asked <- syscall.SIGHUP
 	until("settings-refused", "grace")
 	must.Eq(t, 0, len(applied))
 
-	write(strings.Replace(strings.Replace(settings, `"6s"`, `"9s"`, 1), `"127.0.0.1:5"`, `"127.0.0.1:6"`, 1))
+	write(strings.Replace(strings.Replace(settingsFile, `"6s"`, `"9s"`, 1), `"127.0.0.1:5"`, `"127.0.0.1:6"`, 1))
 	asked <- syscall.SIGHUP
 	c := <-applied
 	must.Eq(t, 9*time.Second, c.Grace)
 	must.Eq(t, "127.0.0.1:5", c.Table, must.Sprint("its connections are open"))
 	until("settings-need-restart", "table")
 
-	write(strings.Replace(settings, `"6s"`, `"7s"`, 1)) // found by the interval, without a signal
+	write(strings.Replace(settingsFile, `"6s"`, `"7s"`, 1)) // found by the interval, without a signal
 	c = <-applied
 	must.Eq(t, 7*time.Second, c.Grace)
 }
--- a/pkg/process/fleet/waking.go
+++ b/pkg/process/fleet/waking.go
@@ -9,10 +9,10 @@
 	"github.com/wrenferry/wrenferry/pkg/clock"
 )
 
-// waking handles the resumption of a suspended host. Its connections may have died during the suspension, and
+// suspensionWatch handles the resumption of a suspended host. Its connections may have died during the suspension, and
 // their keep-alive timers start only when it resumes, so the idle connections are closed at once. Calls in flight end
 // by their own timeouts. Leases and other deadlines need no handling: pkg/clock counts the time of the suspension.
-type waking struct {
+type suspensionWatch struct {
 	outside Outside
 	log     *logrus.Entry
 }
@@ -21,15 +21,15 @@
 type idleCloser interface{ CloseIdle() }
 
 // Serve watches for resumptions until the context ends.
-func (w *waking) Serve(ctx context.Context) error {
-	clock.Watch(ctx, w.woke)
+func (w *suspensionWatch) Serve(ctx context.Context) error {
+	clock.Watch(ctx, w.resumed)
 	return ctx.Err()
 }
 
 // String returns the name that the supervisor logs.
-func (*waking) String() string { return "waking" }
+func (*suspensionWatch) String() string { return "waking" }
 
-func (w *waking) woke(slept time.Duration) {
+func (w *suspensionWatch) resumed(slept time.Duration) {
 	w.log.WithField("ms", slept.Milliseconds()).Warn("host-woke")
 	for _, outside := range []any{w.outside.Table, w.outside.Caller} {
 		if c, ok := outside.(idleCloser); ok {
--- a/pkg/process/fleet/watch.go
+++ b/pkg/process/fleet/watch.go
@@ -22,16 +22,16 @@
 // one epoch of a led cell.
 
 const (
-	// manifestWait is how long a read of changes waits for one. A manifest must be in force within two
+	// manifestChangesWait is how long a read of changes waits for one. A manifest must be in force within two
 	// seconds, also if a read is interrupted.
-	manifestWait = time.Second
-	// followAgain is the pause after a failed read.
-	followAgain = 200 * time.Millisecond
-	// leadsEvery is the pause between two reads of the leadership rows.
-	leadsEvery = 300 * time.Millisecond
-	// cellEvery is the pause between two reads of a led cell's new jobs and cancels. Hosts notify the
+	manifestChangesWait = time.Second
+	// readRetryPause is the pause after a failed read.
+	readRetryPause = 200 * time.Millisecond
+	// leadershipReadInterval is the pause between two reads of the leadership rows.
+	leadershipReadInterval = 300 * time.Millisecond
+	// cellReadInterval is the pause between two reads of a led cell's new jobs and cancels. Hosts notify the
 	// leader of each one; the reads find those whose notification was lost.
-	cellEvery = 700 * time.Millisecond
+	cellReadInterval = 700 * time.Millisecond
 )
 
 // Source decodes the rows that operators and workers write into the table.
@@ -53,8 +53,8 @@
 	// Changed is called with each newer manifest.
 	Changed func(m *manifest.Manifest)
 
-	version int64 // version of the last accepted manifest
-	after   int64 // version of the table up to which changes were read
+	manifestVersion int64 // version of the last accepted manifest
+	tableVersion    int64 // version of the table up to which changes were read
 }
 
 // String returns the name that the supervisor logs.
@@ -65,7 +65,7 @@
 	for ctx.Err() == nil {
 		if err := f.read(ctx); err != nil {
 			f.Log.WithField("why", err.Error()).Warn("manifest-not-read")
-			pause(ctx, followAgain)
+			pause(ctx, readRetryPause)
 			continue
 		}
 		f.follow(ctx)
@@ -78,19 +78,19 @@
 func (f *ManifestFollower) follow(ctx context.Context) {
 	key := f.Source.ManifestKey()
 	for ctx.Err() == nil {
-		page, err := f.Store.Changes(ctx, key.Table, f.after, manifestWait)
+		page, err := f.Store.Changes(ctx, key.Table, f.tableVersion, manifestChangesWait)
 		if err != nil {
 			if !errors.Is(err, table.ErrForgotten) {
-				pause(ctx, followAgain)
+				pause(ctx, readRetryPause)
 			}
 			return
 		}
 		for _, r := range page.Rows {
 			if r.Key == key && !r.Gone {
-				f.take(r)
+				f.accept(r)
 			}
 		}
-		f.after = page.Version
+		f.tableVersion = page.Version
 	}
 }
 
@@ -102,90 +102,90 @@
 		return err
 	}
 	for _, r := range page.Rows {
-		f.take(r)
+		f.accept(r)
 	}
-	f.after = max(f.after, page.Version)
+	f.tableVersion = max(f.tableVersion, page.Version)
 	return nil
 }
 
-// take accepts a manifest if it is newer than the last one. A read that was overtaken by another one may
+// accept accepts a manifest if it is newer than the last one. A read that was overtaken by another one may
 // return an older manifest.
-func (f *ManifestFollower) take(r table.Row) {
+func (f *ManifestFollower) accept(r table.Row) {
 	m, err := f.Source.Manifest(r.Value)
 	if err != nil {
 		f.Log.WithFields(logrus.Fields{"why": err.Error(), "row_version": r.Version}).Error("manifest-unreadable")
 		return
 	}
-	if m.Version() <= f.version {
+	if m.Version() <= f.manifestVersion {
 		return
 	}
-	f.version = m.Version()
+	f.manifestVersion = m.Version()
 	f.Log.WithFields(logrus.Fields{"version": m.Version(), "row_version": r.Version}).Info(string(cell.NoteManifest))
 	f.Changed(m)
 }
 
-// LeadsFollower reads the leadership rows of all cells.
-type LeadsFollower struct {
+// LeadershipFollower reads the leadership rows of all cells.
+type LeadershipFollower struct {
 	Store   *store.Client
 	Control *Control
 }
 
 // String returns the name that the supervisor logs.
-func (f *LeadsFollower) String() string { return "leads follower" }
+func (f *LeadershipFollower) String() string { return "leads follower" }
 
 // Serve reads the rows until the context ends.
-func (f *LeadsFollower) Serve(ctx context.Context) error {
+func (f *LeadershipFollower) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		askedAt := clock.Now()
 		page, err := table.ReadAll(ctx, f.Store, rows.LeadTable, "")
 		if err == nil {
-			m := leadsRead{askedAt: askedAt, store: page.StoreTime, rows: map[string]leadRow{}}
+			m := leadershipsRead{askedAt: askedAt, storeTime: page.StoreTime, rows: map[string]leadershipRow{}}
 			for _, r := range page.Rows {
 				row := &wire.CellLead{}
 				if err := rows.Read(r, row); err != nil {
-					f.Control.unreadable(r, err)
+					f.Control.logUnreadable(r, err)
 					continue
 				}
-				m.rows[r.Key.Key] = leadRow{row: row, version: r.Version}
+				m.rows[r.Key.Key] = leadershipRow{row: row, version: r.Version}
 			}
-			f.Control.tell(m)
+			f.Control.send(m)
 		}
-		pause(ctx, leadsEvery)
+		pause(ctx, leadershipReadInterval)
 	}
 	return ctx.Err()
 }
 
-// followFrom holds the versions up to which a cell's tables were read.
-type followFrom struct{ specs, cancels int64 }
+// tableVersions holds the versions up to which a cell's tables were read.
+type tableVersions struct{ specs, cancels int64 }
 
 // followCell reads new jobs, cancels and returned tasks of a led cell, and sends them to the cell, until
 // the epoch ends.
-func (c *Control) followCell(ctx context.Context, name string, epoch int64, from followFrom) {
+func (c *Control) followCell(ctx context.Context, name string, epoch int64, from tableVersions) {
 	for ctx.Err() == nil {
-		pause(ctx, cellEvery)
+		pause(ctx, cellReadInterval)
 		if v := c.View().Cells[name]; !v.Mine || v.Epoch != epoch {
 			return
 		}
 		askedAt := clock.Now()
-		var followed bool
-		from.specs, followed = c.followTable(ctx, rows.SpecTable(name), from.specs, func(r table.Row) {
+		var specsRead bool
+		from.specs, specsRead = c.followTable(ctx, rows.SpecTable(name), from.specs, func(r table.Row) {
 			spec := &wire.JobSpec{}
 			if err := rows.Read(r, spec); err != nil {
-				c.unreadable(r, err)
+				c.logUnreadable(r, err)
 				return
 			}
 			c.Accepted(spec)
 		})
-		if followed {
-			c.tell(cellEvent{cell: name, event: cell.TableCaughtUp{At: askedAt}})
+		if specsRead {
+			c.send(cellEvent{cell: name, event: cell.TableCaughtUp{At: askedAt}})
 		}
 		from.cancels, _ = c.followTable(ctx, rows.CancelTable(name), from.cancels, func(r table.Row) {
 			if !rows.IsReturn(r.Key) {
 				c.Cancelled(name, r.Key.Key)
 				return
 			}
-			if back := c.readReturned(r); back != nil {
-				c.tell(cellEvent{cell: name, event: cell.TasksReturned{Tasks: back}})
+			if returned := c.readReturned(r); returned != nil {
+				c.send(cellEvent{cell: name, event: cell.TasksReturned{Tasks: returned}})
 			}
 		})
 	}
@@ -194,12 +194,12 @@
 // readReturned decodes the outcome of delegated tasks, written by their target cell. It returns nil if
 // the row can't be decoded.
 func (c *Control) readReturned(r table.Row) *wire.ReturnedTasks {
-	back := &wire.ReturnedTasks{}
-	if err := rows.Read(r, back); err != nil {
-		c.unreadable(r, err)
+	returned := &wire.ReturnedTasks{}
+	if err := rows.Read(r, returned); err != nil {
+		c.logUnreadable(r, err)
 		return nil
 	}
-	return back
+	return returned
 }
 
 // followTable passes the rows that changed after a version to take. It returns the version up to which the
@@ -209,7 +209,7 @@
 	page, err := c.store.Changes(ctx, name, after, 0)
 	if err != nil {
 		var failed bool
-		page, failed = c.readParts(ctx, name)
+		page, failed = c.readAllParts(ctx, name)
 		if failed {
 			return after, false
 		}
@@ -222,8 +222,8 @@
 	return page.Version, true
 }
 
-// readParts reads all parts of a table. The version of the result is the lowest of the parts.
-func (c *Control) readParts(ctx context.Context, name string) (whole table.Page, failed bool) {
+// readAllParts reads all parts of a table. The version of the result is the lowest of the parts.
+func (c *Control) readAllParts(ctx context.Context, name string) (whole table.Page, failed bool) {
 	for i := range rows.JobParts {
 		page, err := table.ReadAll(ctx, c.store, name, rows.PartName(i))
 		if err != nil {
--- a/pkg/process/fleet/watch_workers.go
+++ b/pkg/process/fleet/watch_workers.go
@@ -22,12 +22,12 @@
 // id. When the row becomes usable again, the worker gets runs again.
 
 const (
-	// workersEvery is the pause between two reads of the registry's changes; workers renew their rows
+	// registryReadInterval is the pause between two reads of the registry's changes; workers renew their rows
 	// every 1.5 s.
-	workersEvery = 300 * time.Millisecond
-	// unusableTold is the maximum number of unusable rows that are logged for one read of the registry;
+	registryReadInterval = 300 * time.Millisecond
+	// maxUnusableLogged is the maximum number of unusable rows that are logged for one read of the registry;
 	// the metric workers.unusable counts all of them.
-	unusableTold = 20
+	maxUnusableLogged = 20
 )
 
 // WorkersFollower reads the worker registry while this process leads a cell.
@@ -36,13 +36,13 @@
 	Source   Source
 	Halls    []string
 	Manifest func() *manifest.Manifest
-	Tell     func(list []workers.Record) // called with all usable workers after each read
-	Leads    func() bool                 // reports whether this process leads a cell
+	Changed  func(list []workers.Record) // called with all usable workers after each read
+	LeadsAny func() bool                 // reports whether this process leads a cell
 	Log      *logrus.Entry
 	Metrics  metrics.Registry
 
-	list  *workerList
-	after int64
+	registry     *workerRegistry
+	tableVersion int64
 }
 
 // String returns the name that the supervisor logs.
@@ -51,61 +51,61 @@
 // Serve reads the registry until the context ends.
 func (f *WorkersFollower) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if !f.Leads() {
-			f.list = nil
-			pause(ctx, workersEvery/6)
+		if !f.LeadsAny() {
+			f.registry = nil
+			pause(ctx, registryReadInterval/6)
 			continue
 		}
-		f.step(ctx)
-		pause(ctx, workersEvery)
+		f.readRegistry(ctx)
+		pause(ctx, registryReadInterval)
 	}
 	return ctx.Err()
 }
 
-// step reads the changes of the registry, or all of it the first time and after a failed read.
-func (f *WorkersFollower) step(ctx context.Context) {
+// readRegistry reads the changes of the registry, or all of it the first time and after a failed read.
+func (f *WorkersFollower) readRegistry(ctx context.Context) {
 	var page table.Page
 	var err error
-	if f.list == nil {
+	if f.registry == nil {
 		page, err = table.ReadAll(ctx, f.Store, f.Source.WorkersTable(), "")
 	} else {
-		page, err = f.Store.Changes(ctx, f.Source.WorkersTable(), f.after, 0)
+		page, err = f.Store.Changes(ctx, f.Source.WorkersTable(), f.tableVersion, 0)
 	}
 	if err != nil {
-		if f.list != nil {
-			f.list = nil // the next step reads all rows, through a peer if the table does not answer
+		if f.registry != nil {
+			f.registry = nil // the next step reads all rows, through a peer if the table does not answer
 			return
 		}
 		f.Log.WithField("why", err.Error()).Warn("workers-not-read")
 		return
 	}
-	if f.list == nil {
-		f.list = newWorkerList(f.Source, f.Halls)
+	if f.registry == nil {
+		f.registry = newWorkerRegistry(f.Source, f.Halls)
 	}
-	f.after = page.Version
-	changed := f.list.take(f.Manifest(), page.Rows)
-	f.log(changed)
-	metrics.GetOrRegisterGauge("workers.unusable", f.Metrics).Update(int64(len(f.list.unusable)))
-	f.Tell(f.list.usable())
+	f.tableVersion = page.Version
+	changed := f.registry.update(f.Manifest(), page.Rows)
+	f.logChanges(changed)
+	metrics.GetOrRegisterGauge("workers.unusable", f.Metrics).Update(int64(len(f.registry.unusable)))
+	f.Changed(f.registry.usable())
 }
 
-// log logs the rows that became unusable, are unusable for another reason, or became usable again.
-func (f *WorkersFollower) log(changed []unusableChange) {
+// logChanges logs the rows that became unusable, are unusable for another reason, or became usable again.
+func (f *WorkersFollower) logChanges(changed []unusableChange) {
 	for i, c := range changed {
-		if i == unusableTold {
-			f.Log.WithField("more", len(changed)-unusableTold).Warn(string(cell.NoteUnreadable))
+		if i == maxUnusableLogged {
+			f.Log.WithField("more", len(changed)-maxUnusableLogged).Warn(string(cell.NoteUnreadable))
 			return
 		}
 		fields := logrus.Fields{"table": f.Source.WorkersTable(), "key": c.key, "why": "usable again"}
-		if c.now != nil {
-			fields["field"], fields["why"] = c.now.Field, c.now.Why
+		if c.unusable != nil {
+			fields["field"], fields["why"] = c.unusable.Field, c.unusable.Why
 		}
 		f.Log.WithFields(fields).Warn(string(cell.NoteUnreadable))
 	}
 }
 
-// workerList holds the rows of the worker registry with the result of their checks.
-type workerList struct {
+// workerRegistry holds the rows of the worker registry with the result of their checks.
+type workerRegistry struct {
 	source Source
 	halls  map[string]bool
 	// accounts are the rows that could be decoded, by key.
@@ -118,12 +118,12 @@
 // unusableChange reports that a row became unusable, is unusable for another reason, or became usable
 // again; now is nil in the last case.
 type unusableChange struct {
-	key string
-	now *workers.Unusable
+	key      string
+	unusable *workers.Unusable
 }
 
-func newWorkerList(source Source, halls []string) *workerList {
-	l := &workerList{
+func newWorkerRegistry(source Source, halls []string) *workerRegistry {
+	l := &workerRegistry{
 		source: source, halls: map[string]bool{}, accounts: map[string]workers.Account{},
 		records: map[string]workers.Record{}, unusable: map[string]*workers.Unusable{},
 	}
@@ -133,9 +133,9 @@
 	return l
 }
 
-// take updates the list with changed rows, and checks all rows again if the manifest has changed. It
+// update updates the list with changed rows, and checks all rows again if the manifest has changed. It
 // returns the rows that became unusable, are unusable for another reason, or became usable again.
-func (l *workerList) take(m *manifest.Manifest, rows []table.Row) []unusableChange {
+func (l *workerRegistry) update(m *manifest.Manifest, rows []table.Row) []unusableChange {
 	var changed []unusableChange
 	for _, r := range rows {
 		key := r.Key.Key
@@ -150,17 +150,17 @@
 			l.accounts[key] = account
 			continue
 		}
-		changed = l.reject(changed, key, err)
+		changed = l.markUnusable(changed, key, err)
 	}
-	judged := l.accounts
+	toCheck := l.accounts
 	if m == l.manifest {
-		judged = l.among(rows)
+		toCheck = l.accountsOf(rows)
 	}
 	l.manifest = m
-	for key, account := range judged {
-		record, err := workers.Judge(account, l.known())
+	for key, account := range toCheck {
+		record, err := workers.Judge(account, l.knownNames())
 		if err != nil {
-			changed = l.reject(changed, key, err)
+			changed = l.markUnusable(changed, key, err)
 			continue
 		}
 		if l.unusable[key] != nil {
@@ -172,8 +172,8 @@
 	return changed
 }
 
-// among returns the accounts of the given rows.
-func (l *workerList) among(rows []table.Row) map[string]workers.Account {
+// accountsOf returns the accounts of the given rows.
+func (l *workerRegistry) accountsOf(rows []table.Row) map[string]workers.Account {
 	some := make(map[string]workers.Account, len(rows))
 	for _, r := range rows {
 		if a, ok := l.accounts[r.Key.Key]; ok {
@@ -183,8 +183,8 @@
 	return some
 }
 
-// known returns the checks of the hall and service names that a row may contain.
-func (l *workerList) known() workers.Known {
+// knownNames returns the checks of the hall and service names that a row may contain.
+func (l *workerRegistry) knownNames() workers.Known {
 	return workers.Known{
 		Hall: func(name string) bool { return l.halls[name] },
 		Service: func(name string) bool {
@@ -197,8 +197,8 @@
 	}
 }
 
-// reject marks a row as unusable. It appends the row to changed if that is new or the reason is.
-func (l *workerList) reject(changed []unusableChange, key string, err error) []unusableChange {
+// markUnusable marks a row as unusable. It appends the row to changed if that is new or the reason is.
+func (l *workerRegistry) markUnusable(changed []unusableChange, key string, err error) []unusableChange {
 	u := workers.AsUnusable(err)
 	if u == nil {
 		u = &workers.Unusable{ID: key, Why: err.Error()}
@@ -208,11 +208,11 @@
 		return changed
 	}
 	l.unusable[key] = u
-	return append(changed, unusableChange{key: key, now: u})
+	return append(changed, unusableChange{key: key, unusable: u})
 }
 
 // usable returns the workers whose rows are usable.
-func (l *workerList) usable() []workers.Record {
+func (l *workerRegistry) usable() []workers.Record {
 	list := make([]workers.Record, 0, len(l.records))
 	for _, r := range l.records {
 		list = append(list, r)
