--- a/pkg/process/fleet/host.go
+++ b/pkg/process/fleet/host.go
@@ -34,6 +34,8 @@
 	balancerNoticeTime = 2200 * time.Millisecond
 	// handoverTimeout is the longest time that a stopping host waits until it leads no cell.
 	handoverTimeout = 1500 * time.Millisecond
+	// handoverCheckInterval is the pause between two checks during that wait.
+	handoverCheckInterval = 10 * time.Millisecond
 	// stopMargin is the part of the grace period that is reserved for the exit of the process.
 	stopMargin = 500 * time.Millisecond
 	// headerTimeout is the longest time that a caller may take to send its headers.
@@ -45,7 +47,9 @@
 	maxHeaderBytes = 16 << 10
 	// streamWindow is the gRPC flow-control window in bytes; it is small to limit the memory of peer connections.
 	streamWindow = 64 << 10
-	// claimDelaySpread is the range of the hosts' claim delays. Hosts that read the same free leadership row
+	// streamBuffer is the size of a peer connection's read and write buffers, in bytes.
+	streamBuffer = 8 << 10
+	// claimDelaySpread is the range of the hosts' random claim delays. Hosts that read the same free leadership row
 	// claim it at different times, so that one of them wins.
 	claimDelaySpread = 150 * time.Millisecond
 )
@@ -122,6 +126,7 @@
 // To returns the gRPC client for a peer's address.
 func (h *Host) To(address string) (wire.FleetClient, error) { return h.peers.To(address) }
 
+// listen opens the ports of the caller API, the readiness check, the metrics and the peers' calls.
 func (h *Host) listen() error {
 	readyMux := http.NewServeMux()
 	readyMux.HandleFunc("GET /readyz", h.serveReady)
@@ -144,7 +149,7 @@
 	}
 	h.grpc = grpc.NewServer(
 		grpc.InitialWindowSize(streamWindow), grpc.InitialConnWindowSize(streamWindow),
-		grpc.ReadBufferSize(8<<10), grpc.WriteBufferSize(8<<10),
+		grpc.ReadBufferSize(streamBuffer), grpc.WriteBufferSize(streamBuffer),
 	)
 	wire.RegisterFleetServer(h.grpc, &fleetpeer.Server{Control: h.Control, Table: h.outside.Table})
 	h.grpcListener, err = parts.Listen("control", h.Config.Control)
@@ -200,6 +205,7 @@
 	return nil
 }
 
+// parts returns the services that the supervisor runs.
 func (h *Host) parts() []suture.Service {
 	list := []suture.Service{
 		h.eventLog, h.Control, h.Hosts, h.callerService,
@@ -229,6 +235,7 @@
 	h.Control.send(boundsChanged{bounds: c.Bounds()})
 }
 
+// acceptManifest makes a manifest the one in force on this host.
 func (h *Host) acceptManifest(m *manifest.Manifest) {
 	h.manifest.Store(m)
 	h.Control.send(manifestChanged{manifest: m})
@@ -264,7 +271,7 @@
 	}
 	deadline := clock.Now().Add(handoverTimeout)
 	for len(h.Control.Held()) > 0 && clock.Now().Before(deadline) {
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(handoverCheckInterval)
 	}
 }
 
--- a/pkg/process/fleet/hosts.go
+++ b/pkg/process/fleet/hosts.go
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// TablePeers lists peers that may ask the table in our stead: first of other
-// halls, since a hall may be cut off whole.
+// TablePeers returns the peers through which this host may call the table, in random order. Peers of other
+// halls come first, since the table may be unreachable from a whole hall.
 func (h *Hosts) TablePeers() []store.Peer {
 	list := append([]*wire.EntryHost(nil), h.List()...)
 	rand.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
@@ -134,8 +134,8 @@
 const maxHandicap = 3
 
 // Handicap returns the number that is added to the cells this host leads when it competes for another
-// one. It is the number of whole times that the strongest other host of the hall exceeds this host's
-// processors, less one: 0 below twice as many, 1 from twice, 2 from three times.
+// one: the processors of the strongest other host of its hall divided by its own, rounded down, minus one.
+// The result is between 0 and maxHandicap, and 0 without another host in the hall.
 func (h *Hosts) Handicap() int {
 	strongest := h.Successor(h.Self.Hall)
 	if strongest == nil || h.Processors <= 0 {
--- a/pkg/process/fleet/load.go
+++ b/pkg/process/fleet/load.go
@@ -86,8 +86,8 @@
 	return &loadedCell{event: event, versions: versions}, nil
 }
 
-// loadPart raises the fence in one part before it reads the part: an earlier leader can commit nothing
-// there after the read.
+// loadPart raises the fence in one part and then reads the part. The fence rejects later commits of
+// earlier leaders, so the read is complete.
 func (c *Control) loadPart(ctx context.Context, name, part string, epoch int64) loadedPart {
 	p := loadedPart{}
 	if p.fence, p.err = c.raiseFence(ctx, name, part, epoch); p.err != nil {
--- a/pkg/process/fleet/predecessors.go
+++ b/pkg/process/fleet/predecessors.go
@@ -58,7 +58,7 @@
 	epoch       int64
 	holder      string
 	sameProcess bool      // the earlier leader was this process
-	endedAt     time.Time // start of the incarnation that now runs on its host; zero if not known
+	endedAt     time.Time // start of the process now at its address: an earlier incarnation had ended by then; zero if not known
 	answer      predecessorAnswer
 }
 
--- a/pkg/process/fleet/relief.go
+++ b/pkg/process/fleet/relief.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// strongerHostCheckInterval is the pause between two checks for a stronger host, and reliefAfter the least time
-	// between two handovers by this host: a handover interrupts a cell's scheduling for about 0.2 s.
+	// strongerHostCheckInterval is the pause between two checks for a stronger host.
 	strongerHostCheckInterval = time.Second
-	minHandoverInterval       = 15 * time.Second
+	// minHandoverInterval is the least time between two rounds of handovers by this host: a handover
+	// interrupts a cell's scheduling for about 0.2 s.
+	minHandoverInterval = 15 * time.Second
 )
 
-// strongerHostHandover hands the cells of this host's hall over to a host with at least twice its processors. The
-// first host that claims a cell leads it; without handovers, a weak host that claimed first would
-// lead for as long as it runs.
+// strongerHostHandover hands the cells of this host's hall over to a host with at least twice its
+// processors. The first host that claims a cell leads it; without handovers, a weak host that claimed
+// first would lead for as long as it runs.
 type strongerHostHandover struct {
 	host         *Host
 	lastHandover time.Time
@@ -37,7 +38,7 @@
 	return ctx.Err()
 }
 
-// handOverIfStronger hands one cell over if a stronger host answers.
+// handOverIfStronger hands over the cells of this host's hall that it leads, if a stronger host answers.
 func (r *strongerHostHandover) handOverIfStronger(ctx context.Context, now time.Time) {
 	h := r.host
 	if h.leaving.Load() || now.Sub(r.lastHandover) < minHandoverInterval || h.Hosts.Handicap() == 0 {
--- a/pkg/process/fleet/watch_workers.go
+++ b/pkg/process/fleet/watch_workers.go
@@ -25,6 +25,8 @@
 	// registryReadInterval is the pause between two reads of the registry's changes; workers renew their rows
 	// every 1.5 s.
 	registryReadInterval = 300 * time.Millisecond
+	// notLeadingPause is the pause between two checks whether this process leads a cell.
+	notLeadingPause = registryReadInterval / 6
 	// maxUnusableLogged is the maximum number of unusable rows that are logged for one read of the registry;
 	// the metric workers.unusable counts all of them.
 	maxUnusableLogged = 20
@@ -53,7 +55,7 @@
 	for ctx.Err() == nil {
 		if !f.LeadsAny() {
 			f.registry = nil
-			pause(ctx, registryReadInterval/6)
+			pause(ctx, notLeadingPause)
 			continue
 		}
 		f.readRegistry(ctx)
@@ -73,7 +75,7 @@
 	}
 	if err != nil {
 		if f.registry != nil {
-			f.registry = nil // the next step reads all rows, through a peer if the table does not answer
+			f.registry = nil // the next read gets all rows, through a peer if the table does not answer
 			return
 		}
 		f.Log.WithField("why", err.Error()).Warn("workers-not-read")
@@ -116,7 +118,7 @@
 }
 
 // unusableChange reports that a row became unusable, is unusable for another reason, or became usable
-// again; now is nil in the last case.
+// again; unusable is nil in the last case.
 type unusableChange struct {
 	key      string
 	unusable *workers.Unusable
