--- a/pkg/process/fleet/control.go
+++ b/pkg/process/fleet/control.go
@@ -1,7 +1,7 @@
 // Package fleet runs one entry host that schedules jobs of steps stored in a shared table.
 //
 // One goroutine, Control, owns all scheduling state: an election.Seat and a cell.State for each
-// cell of the deployment. Followers (watch.go) read the table and send Control messages.
+// cell of the deployment. Followers (followers.go) read the table and send Control messages.
 // Other goroutines (effects.go) execute the effects that a cell.State returns, and send the
 // outcomes back as messages. Request handlers read an immutable View, or run a short query on
 // the control goroutine.
--- a/pkg/process/fleet/reload_test.go
+++ b/pkg/process/fleet/reload_test.go
@@ -47,6 +47,8 @@
 	return true
 }
 
+// A settings file with a fault must change no setting. A valid one must change only the settings that
+// may change while the process runs, after a signal and also without one.
 func TestSettingsAreTakenInWholeOrNotAtAll(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "settings.jsonc")
@@ -66,17 +68,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = r.Serve(ctx) }()
-	until := func(words ...string) {
+	waitForLog := func(words ...string) {
 		t.Helper()
 		must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return log.contains(words...) }), wait.Timeout(30*time.Second)), must.Sprint(words))
 	}
 
 	asked <- syscall.SIGHUP
-	until("settings-unchanged")
+	waitForLog("settings-unchanged")
 
 	write(strings.Replace(settingsFile, `"6s"`, `"quite long"`, 1))
 	asked <- syscall.SIGHUP
-	until("settings-refused", "grace")
+	waitForLog("settings-refused", "grace")
 	must.Eq(t, 0, len(applied))
 
 	write(strings.Replace(strings.Replace(settingsFile, `"6s"`, `"9s"`, 1), `"127.0.0.1:5"`, `"127.0.0.1:6"`, 1))
@@ -84,7 +86,7 @@
 	c := <-applied
 	must.Eq(t, 9*time.Second, c.Grace)
 	must.Eq(t, "127.0.0.1:5", c.Table, must.Sprint("its connections are open"))
-	until("settings-need-restart", "table")
+	waitForLog("settings-need-restart", "table")
 
 	write(strings.Replace(settingsFile, `"6s"`, `"7s"`, 1)) // found by the interval, without a signal
 	c = <-applied
