--- a/pkg/process/fleet/control.go
+++ b/pkg/process/fleet/control.go
@@ -246,8 +246,8 @@
 // send sends a message to the control goroutine.
 func (c *Control) send(m message) { c.inbox <- m }
 
-// query runs a function on the control goroutine, with the time at which it runs, and waits for it. It returns false if the function
-// did not complete in time; it may still run later.
+// query runs a function on the control goroutine and waits for it; the function gets the time at which it
+// runs. query returns false if the function did not complete in time. The function may still run later.
 func (c *Control) query(ctx context.Context, run func(c *Control, now time.Time)) bool {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
--- a/pkg/process/fleet/predecessors.go
+++ b/pkg/process/fleet/predecessors.go
@@ -57,9 +57,11 @@
 	cell        string
 	epoch       int64
 	holder      string
-	sameProcess bool      // the earlier leader was this process
-	endedAt     time.Time // start of the process now at its address: an earlier incarnation had ended by then; zero if not known
-	answer      predecessorAnswer
+	sameProcess bool // the earlier leader was this process
+	// endedAt is the start of the process now at the leader's address: an earlier incarnation had ended by
+	// then. It is zero if not known.
+	endedAt time.Time
+	answer  predecessorAnswer
 }
 
 func (m predecessorEnded) apply(c *Control, now time.Time) {
