--- /dev/null
+++ b/pkg/process/fleet/followers.go
@@ -0,0 +1,248 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/wrenferry/wrenferry/pkg/clock"
+	"github.com/wrenferry/wrenferry/pkg/connection/store"
+	"github.com/wrenferry/wrenferry/pkg/process/cell"
+	"github.com/wrenferry/wrenferry/pkg/process/workers"
+	"github.com/wrenferry/wrenferry/pkg/rows"
+	"github.com/wrenferry/wrenferry/pkg/table"
+	"github.com/wrenferry/wrenferry/pkg/version/manifest"
+	"github.com/wrenferry/wrenferry/pkg/wire"
+)
+
+// Followers read changes of the table and send them to the control goroutine. The manifest and the
+// leadership follower are supervised services that run as long as the process; followCell runs for
+// one epoch of a led cell.
+
+const (
+	// manifestChangesWait is how long a read of changes waits for one. A manifest must be in force within two
+	// seconds, also if a read is interrupted.
+	manifestChangesWait = time.Second
+	// readRetryPause is the pause after a failed read.
+	readRetryPause = 200 * time.Millisecond
+	// leadershipReadInterval is the pause between two reads of the leadership rows.
+	leadershipReadInterval = 300 * time.Millisecond
+	// cellReadInterval is the pause between two reads of a led cell's new jobs and cancels. Hosts notify the
+	// leader of each one; the reads find those whose notification was lost.
+	cellReadInterval = 700 * time.Millisecond
+)
+
+// Source decodes the rows that operators and workers write into the table.
+type Source interface {
+	// ManifestKey returns the key of the row with the newest manifest.
+	ManifestKey() table.Key
+	Manifest(value []byte) (*manifest.Manifest, error)
+	// WorkersTable returns the name of the worker registry's table.
+	WorkersTable() string
+	// Worker decodes a row of the worker registry. Its error is a workers.Unusable.
+	Worker(r table.Row) (workers.Account, error)
+}
+
+// ManifestFollower reads the newest manifest and each change of it.
+type ManifestFollower struct {
+	Store  *store.Client
+	Source Source
+	Log    *logrus.Entry
+	// Changed is called with each newer manifest.
+	Changed func(m *manifest.Manifest)
+
+	manifestVersion int64 // version of the last accepted manifest
+	tableVersion    int64 // version of the table up to which changes were read
+}
+
+// String returns the name that the supervisor logs.
+func (f *ManifestFollower) String() string { return "manifest follower" }
+
+// Serve reads the manifest until the context ends.
+func (f *ManifestFollower) Serve(ctx context.Context) error {
+	for ctx.Err() == nil {
+		if err := f.read(ctx); err != nil {
+			f.Log.WithField("why", err.Error()).Warn("manifest-not-read")
+			pause(ctx, readRetryPause)
+			continue
+		}
+		f.follow(ctx)
+	}
+	return ctx.Err()
+}
+
+// follow reads changes until a read fails. If the table no longer has the changes, the caller reads
+// the manifest again without a pause.
+func (f *ManifestFollower) follow(ctx context.Context) {
+	key := f.Source.ManifestKey()
+	for ctx.Err() == nil {
+		page, err := f.Store.Changes(ctx, key.Table, f.tableVersion, manifestChangesWait)
+		if err != nil {
+			if !errors.Is(err, table.ErrForgotten) {
+				pause(ctx, readRetryPause)
+			}
+			return
+		}
+		for _, r := range page.Rows {
+			if r.Key == key && !r.Gone {
+				f.accept(r)
+			}
+		}
+		f.tableVersion = page.Version
+	}
+}
+
+// read reads the manifest's row itself.
+func (f *ManifestFollower) read(ctx context.Context) error {
+	key := f.Source.ManifestKey()
+	page, err := f.Store.Read(ctx, table.Range{Table: key.Table, Part: key.Part, From: key.Key, To: key.Key + "\x00", Limit: 1})
+	if err != nil {
+		return err
+	}
+	for _, r := range page.Rows {
+		f.accept(r)
+	}
+	f.tableVersion = max(f.tableVersion, page.Version)
+	return nil
+}
+
+// accept accepts a manifest if it is newer than the last one. A read that was overtaken by another one may
+// return an older manifest.
+func (f *ManifestFollower) accept(r table.Row) {
+	m, err := f.Source.Manifest(r.Value)
+	if err != nil {
+		f.Log.WithFields(logrus.Fields{"why": err.Error(), "row_version": r.Version}).Error("manifest-unreadable")
+		return
+	}
+	if m.Version() <= f.manifestVersion {
+		return
+	}
+	f.manifestVersion = m.Version()
+	f.Log.WithFields(logrus.Fields{"version": m.Version(), "row_version": r.Version}).Info(string(cell.NoteManifest))
+	f.Changed(m)
+}
+
+// LeadershipFollower reads the leadership rows of all cells.
+type LeadershipFollower struct {
+	Store   *store.Client
+	Control *Control
+}
+
+// String returns the name that the supervisor logs.
+func (f *LeadershipFollower) String() string { return "leads follower" }
+
+// Serve reads the rows until the context ends.
+func (f *LeadershipFollower) Serve(ctx context.Context) error {
+	for ctx.Err() == nil {
+		askedAt := clock.Now()
+		page, err := table.ReadAll(ctx, f.Store, rows.LeadTable, "")
+		if err == nil {
+			m := leadershipsRead{askedAt: askedAt, storeTime: page.StoreTime, rows: map[string]leadershipRow{}}
+			for _, r := range page.Rows {
+				row := &wire.CellLead{}
+				if err := rows.Read(r, row); err != nil {
+					f.Control.logUnreadable(r, err)
+					continue
+				}
+				m.rows[r.Key.Key] = leadershipRow{row: row, version: r.Version}
+			}
+			f.Control.send(m)
+		}
+		pause(ctx, leadershipReadInterval)
+	}
+	return ctx.Err()
+}
+
+// tableVersions holds the versions up to which a cell's tables were read.
+type tableVersions struct{ specs, cancels int64 }
+
+// followCell reads new jobs, cancels and returned tasks of a led cell, and sends them to the cell, until
+// the epoch ends.
+func (c *Control) followCell(ctx context.Context, name string, epoch int64, from tableVersions) {
+	for ctx.Err() == nil {
+		pause(ctx, cellReadInterval)
+		if v := c.View().Cells[name]; !v.Mine || v.Epoch != epoch {
+			return
+		}
+		askedAt := clock.Now()
+		var specsRead bool
+		from.specs, specsRead = c.followTable(ctx, rows.SpecTable(name), from.specs, func(r table.Row) {
+			spec := &wire.JobSpec{}
+			if err := rows.Read(r, spec); err != nil {
+				c.logUnreadable(r, err)
+				return
+			}
+			c.Accepted(spec)
+		})
+		if specsRead {
+			c.send(cellEvent{cell: name, event: cell.TableCaughtUp{At: askedAt}})
+		}
+		from.cancels, _ = c.followTable(ctx, rows.CancelTable(name), from.cancels, func(r table.Row) {
+			if !rows.IsReturn(r.Key) {
+				c.Cancelled(name, r.Key.Key)
+				return
+			}
+			if returned := c.readReturned(r); returned != nil {
+				c.send(cellEvent{cell: name, event: cell.TasksReturned{Tasks: returned}})
+			}
+		})
+	}
+}
+
+// readReturned decodes the outcome of delegated tasks, written by their target cell. It returns nil if
+// the row can't be decoded.
+func (c *Control) readReturned(r table.Row) *wire.ReturnedTasks {
+	returned := &wire.ReturnedTasks{}
+	if err := rows.Read(r, returned); err != nil {
+		c.logUnreadable(r, err)
+		return nil
+	}
+	return returned
+}
+
+// followTable passes the rows that changed after a version to take. It returns the version up to which the
+// table was read, and false if it could not be read. If the changes can't be read, for example because the
+// table has dropped them, all rows of the table are passed.
+func (c *Control) followTable(ctx context.Context, name string, after int64, take func(table.Row)) (int64, bool) {
+	page, err := c.store.Changes(ctx, name, after, 0)
+	if err != nil {
+		var failed bool
+		page, failed = c.readAllParts(ctx, name)
+		if failed {
+			return after, false
+		}
+	}
+	for _, r := range page.Rows {
+		if !r.Gone {
+			take(r)
+		}
+	}
+	return page.Version, true
+}
+
+// readAllParts reads all parts of a table. The version of the result is the lowest of the parts.
+func (c *Control) readAllParts(ctx context.Context, name string) (whole table.Page, failed bool) {
+	for i := range rows.JobParts {
+		page, err := table.ReadAll(ctx, c.store, name, rows.PartName(i))
+		if err != nil {
+			return table.Page{}, true
+		}
+		whole.Rows = append(whole.Rows, page.Rows...)
+		if i == 0 || page.Version < whole.Version {
+			whole.Version = page.Version
+		}
+	}
+	return whole, false
+}
+
+// pause waits for a time span or until the context ends.
+func pause(ctx context.Context, span time.Duration) {
+	t := time.NewTimer(span)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+	case <-t.C:
+	}
+}
--- a/pkg/process/fleet/host.go
+++ b/pkg/process/fleet/host.go
@@ -26,38 +26,43 @@
 )
 
 const (
-	// storeSilence is how long the table may be silent, straight and through
-	// peers, before this host sends callers to others.
-	storeSilence = 1500 * time.Millisecond
-	// balancerWait is how long a planned stop goes on taking calls: the
-	// balancer asks once a second and takes a host out after two misses.
-	balancerWait = 2200 * time.Millisecond
-	// handoverWait bounds the wait for all seats to be given up.
-	handoverWait = 1500 * time.Millisecond
-	// stopMargin is kept of the grace for the process's own end.
+	// maxStoreSilence is how long the table may fail to answer, directly and through peers, before this
+	// host reports itself not ready, so that the balancer sends callers to other hosts.
+	maxStoreSilence = 1500 * time.Millisecond
+	// balancerNoticeTime is how long a stopping host continues to accept calls: the balancer probes once a
+	// second and removes a host after two failed probes.
+	balancerNoticeTime = 2200 * time.Millisecond
+	// handoverTimeout is the longest time that a stopping host waits until it leads no cell.
+	handoverTimeout = 1500 * time.Millisecond
+	// handoverCheckInterval is the pause between two checks during that wait.
+	handoverCheckInterval = 10 * time.Millisecond
+	// stopMargin is the part of the grace period that is reserved for the exit of the process.
 	stopMargin = 500 * time.Millisecond
-	// headerTimeout bounds how long a caller may take to send its headers.
+	// headerTimeout is the longest time that a caller may take to send its headers.
 	headerTimeout = 3 * time.Second
-	// idleTimeout is how long a caller's unused connection is kept: longer than
-	// callers keep theirs, so that none is closed under a call just sent.
+	// idleTimeout is how long an idle caller connection is kept. It is longer than callers keep theirs,
+	// so that this host closes no connection on which a call was just sent.
 	idleTimeout = 2 * time.Minute
-	// maxHeader bounds the headers of a call.
-	maxHeader = 16 << 10
-	// streamWindow keeps the memory of peers' connections small.
+	// maxHeaderBytes is the maximum size of a call's headers, in bytes.
+	maxHeaderBytes = 16 << 10
+	// streamWindow is the gRPC flow-control window in bytes; it is small to limit the memory of peer connections.
 	streamWindow = 64 << 10
-	// delaySpread spreads hosts that see the same, so that one takes a seat.
-	delaySpread = 150 * time.Millisecond
+	// streamBuffer is the size of a peer connection's read and write buffers, in bytes.
+	streamBuffer = 8 << 10
+	// claimDelaySpread is the range of the hosts' random claim delays. Hosts that read the same free leadership row
+	// claim it at different times, so that one of them wins.
+	claimDelaySpread = 150 * time.Millisecond
 )
 
-// Outside is what the host's surroundings provide, each through an adapter.
+// Outside holds the adapters through which a host reaches the platform.
 type Outside struct {
 	Table  store.Direct
 	Caller workers.Caller
-	// Advisor is asked for the queues that need advice.
+	// Advisor is called for tasks of the queues that need advice.
 	Advisor workers.Advisor
 	Source  Source
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	// Callers makes the handler of callers' calls, and what runs beside it.
+	// Callers returns the HTTP handler of the caller API, and a service that runs with the host.
 	Callers func(h *Host) (http.Handler, suture.Service)
 }
 
@@ -74,86 +79,86 @@
 	peers    *fleetpeer.Clients
 	manifest atomic.Pointer[manifest.Manifest]
 	leaving  atomic.Bool
-	grace    atomic.Int64 // of a planned stop, in ns
+	grace    atomic.Int64 // grace period of a planned stop, in ns
 	outside  Outside
 	self     election.Self
 
-	beside                  suture.Service
-	callers, ready, figures *http.Server
-	listeners               map[*http.Server]net.Listener
-	grpc                    *grpc.Server
-	grpcListener            net.Listener
+	callerService                            suture.Service
+	callerServer, readyServer, metricsServer *http.Server
+	listeners                                map[*http.Server]net.Listener
+	grpc                                     *grpc.Server
+	grpcListener                             net.Listener
 }
 
-// New puts a host together and opens its ports.
+// New returns a host with its ports open. Run starts it.
 func New(config Config, outside Outside, log *eventlog.Log, options ...cell.Option) (*Host, error) {
 	now := clock.Now()
-	life := uuid.New()
+	incarnation := uuid.New()
 	self := election.Self{
-		Life: config.Name + "/" + life.String(), Host: config.Name, Hall: config.Hall, Address: config.Control, Since: now,
-		Delay: time.Duration(life[0]) * delaySpread / 256,
+		Life: config.Name + "/" + incarnation.String(), Host: config.Name, Hall: config.Hall, Address: config.Control, Since: now,
+		Delay: time.Duration(incarnation[0]) * claimDelaySpread / 256,
 	}
 	h := &Host{
 		Config: config, outside: outside, eventLog: log, Metrics: metrics.NewRegistry(), self: self,
-		Log:       log.With(logrus.Fields{"host": config.Name, "hall": config.Hall, "life": life.String()[:8]}),
+		Log:       log.With(logrus.Fields{"host": config.Name, "hall": config.Hall, "life": incarnation.String()[:8]}),
 		peers:     fleetpeer.NewClients(outside.Dial),
 		listeners: map[*http.Server]net.Listener{},
 	}
 	h.grace.Store(int64(config.Grace))
 	h.Hosts = &Hosts{Self: self, Peers: h.peers, Processors: config.Processors}
-	h.Store = store.New(outside.Table, h.Hosts.ForTable, h.Metrics, now)
+	h.Store = store.New(outside.Table, h.Hosts.TablePeers, h.Metrics, now)
 	h.Hosts.Store = h.Store
 	cells := map[string]string{}
 	for _, hall := range config.Halls {
 		cells[hall] = hall
 	}
 	h.Control = NewControl(self, cells, config.Bounds(), h.Store, outside.Caller, outside.Advisor, h.Log, h.Metrics, options...)
-	h.Control.yieldTo = h.yieldTo
-	h.Control.leads = h.leads
-	h.Control.tellThere = h.tellThere
+	h.Control.askForRelease = h.askForRelease
+	h.Control.askLeadership = h.askLeadership
+	h.Control.notifyPeer = h.notifyPeer
 	h.Control.handicap = h.Hosts.Handicap
 	return h, h.listen()
 }
 
-// Manifest is the newest manifest, or nil while none has been read.
+// Manifest returns the newest manifest, or nil before one has been read.
 func (h *Host) Manifest() *manifest.Manifest { return h.manifest.Load() }
 
-// To returns the client for a peer's address.
+// To returns the gRPC client for a peer's address.
 func (h *Host) To(address string) (wire.FleetClient, error) { return h.peers.To(address) }
 
+// listen opens the ports of the caller API, the readiness check, the metrics and the peers' calls.
 func (h *Host) listen() error {
 	readyMux := http.NewServeMux()
 	readyMux.HandleFunc("GET /readyz", h.serveReady)
-	figuresMux := http.NewServeMux()
-	figuresMux.HandleFunc("GET /metrics", h.serveMetrics)
-	figuresMux.HandleFunc("GET /status", h.serveStatus)
-	figuresMux.HandleFunc("GET /suspects", h.serveSuspects)
-	figuresMux.HandleFunc("DELETE /suspects/{task}", h.clearSuspicion)
+	metricsMux := http.NewServeMux()
+	metricsMux.HandleFunc("GET /metrics", h.serveMetrics)
+	metricsMux.HandleFunc("GET /status", h.serveStatus)
+	metricsMux.HandleFunc("GET /suspects", h.serveSuspects)
+	metricsMux.HandleFunc("DELETE /suspects/{task}", h.serveClearSuspicion)
 	var err error
-	handler, beside := h.outside.Callers(h)
-	h.beside = beside
-	if h.callers, err = h.server("callers", h.Config.Callers, h.lastCalls(handler)); err != nil {
+	handler, service := h.outside.Callers(h)
+	h.callerService = service
+	if h.callerServer, err = h.openServer("callers", h.Config.Callers, h.closeWhenLeaving(handler)); err != nil {
 		return err
 	}
-	if h.ready, err = h.server("ready", h.Config.Ready, readyMux); err != nil {
+	if h.readyServer, err = h.openServer("ready", h.Config.Ready, readyMux); err != nil {
 		return err
 	}
-	if h.figures, err = h.server("metrics", h.Config.Metrics, figuresMux); err != nil {
+	if h.metricsServer, err = h.openServer("metrics", h.Config.Metrics, metricsMux); err != nil {
 		return err
 	}
 	h.grpc = grpc.NewServer(
 		grpc.InitialWindowSize(streamWindow), grpc.InitialConnWindowSize(streamWindow),
-		grpc.ReadBufferSize(8<<10), grpc.WriteBufferSize(8<<10),
+		grpc.ReadBufferSize(streamBuffer), grpc.WriteBufferSize(streamBuffer),
 	)
 	wire.RegisterFleetServer(h.grpc, &fleetpeer.Server{Control: h.Control, Table: h.outside.Table})
 	h.grpcListener, err = parts.Listen("control", h.Config.Control)
 	return err
 }
 
-// lastCalls tells callers, once this host is stopping, that each answer is the
-// last on its connection. Closing the connections that look unused would cut
-// calls that have been sent and not read yet.
-func (h *Host) lastCalls(next http.Handler) http.Handler {
+// closeWhenLeaving adds "Connection: close" to each response while this host is stopping. Closing the
+// connections that look idle would abort calls that were sent and are not read yet.
+func (h *Host) closeWhenLeaving(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if h.leaving.Load() {
 			w.Header().Set("Connection", "close")
@@ -162,21 +167,21 @@
 	})
 }
 
-func (h *Host) server(name, address string, handler http.Handler) (*http.Server, error) {
+// openServer opens a port and returns the HTTP server for it; Run serves it.
+func (h *Host) openServer(name, address string, handler http.Handler) (*http.Server, error) {
 	listener, err := parts.Listen(name, address)
 	if err != nil {
 		return nil, err
 	}
-	s := &http.Server{Handler: handler, MaxHeaderBytes: maxHeader, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	s := &http.Server{Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	h.listeners[s] = listener
 	return s, nil
 }
 
-// Run runs the host until the context ends, and then stops it as planned.
-// What else is given runs beside it.
+// Run runs the host and the given services until the context ends, and then performs a planned stop.
 func (h *Host) Run(ctx context.Context, beside ...suture.Service) error {
-	// A panic ends the process: a control state that was left half changed must
-	// not go on, and another host takes over.
+	// A panic ends the process: scheduling state that is only partly updated must not be used any
+	// more, and another host takes over.
 	supervisor := suture.New("wrenferryd", suture.Spec{PassThroughPanics: true, EventHook: func(e suture.Event) {
 		h.Log.WithField("detail", e.String()).Warn("part-ended")
 	}})
@@ -192,7 +197,7 @@
 		return err
 	case <-ctx.Done():
 	}
-	h.stop()
+	h.plannedStop()
 	cancel()
 	<-ended
 	h.Log.Info("host-stopped")
@@ -200,18 +205,19 @@
 	return nil
 }
 
+// parts returns the services that the supervisor runs.
 func (h *Host) parts() []suture.Service {
 	list := []suture.Service{
-		h.eventLog, h.Control, h.Hosts, h.beside,
-		&ManifestFollower{Store: h.Store, Source: h.outside.Source, Log: h.Log, Changed: h.takeManifest},
+		h.eventLog, h.Control, h.Hosts, h.callerService,
+		&ManifestFollower{Store: h.Store, Source: h.outside.Source, Log: h.Log, Changed: h.acceptManifest},
 		&WorkersFollower{
 			Store: h.Store, Source: h.outside.Source, Halls: h.Config.Halls, Manifest: h.Manifest, Log: h.Log, Metrics: h.Metrics,
-			Leads: func() bool { return len(h.Control.Held()) > 0 },
-			Tell:  func(list []workers.Record) { h.Control.tell(workersCame{records: list}) },
+			LeadsAny: func() bool { return len(h.Control.Held()) > 0 },
+			Changed:  func(list []workers.Record) { h.Control.send(registryRead{records: list}) },
 		},
-		&LeadsFollower{Store: h.Store, Control: h.Control},
-		&relief{host: h},
-		&waking{outside: h.outside, log: h.Log},
+		&LeadershipFollower{Store: h.Store, Control: h.Control},
+		&strongerHostHandover{host: h},
+		&suspensionWatch{outside: h.outside, log: h.Log},
 		&parts.GRPC{Server: h.grpc, Listener: h.grpcListener},
 	}
 	for s, l := range h.listeners {
@@ -226,35 +232,36 @@
 	if level, err := c.Level(); err == nil { // ParseConfig has checked it
 		h.eventLog.SetLevel(level)
 	}
-	h.Control.tell(boundsChanged{bounds: c.Bounds()})
+	h.Control.send(boundsChanged{bounds: c.Bounds()})
 }
 
-func (h *Host) takeManifest(m *manifest.Manifest) {
+// acceptManifest makes a manifest the one in force on this host.
+func (h *Host) acceptManifest(m *manifest.Manifest) {
 	h.manifest.Store(m)
-	h.Control.tell(manifestCame{manifest: m})
+	h.Control.send(manifestChanged{manifest: m})
 }
 
-// stop is the planned stop: say so, hand the seats over, go on until the
-// balancer has noticed, finish what is in flight.
-func (h *Host) stop() {
+// plannedStop performs the planned stop: it marks the host as leaving, hands its cells over, accepts calls
+// until the balancer has removed the host, and waits for the calls in flight.
+func (h *Host) plannedStop() {
 	began := clock.Now()
 	h.Log.Info("host-stopping")
 	h.leaving.Store(true)
-	h.Hosts.Leave()
+	h.Hosts.MarkLeaving()
 	h.handOver()
-	time.Sleep(balancerWait - clock.Now().Sub(began))
+	time.Sleep(balancerNoticeTime - clock.Now().Sub(began))
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(h.grace.Load())-stopMargin-clock.Now().Sub(began))
 	defer cancel()
-	if err := h.callers.Shutdown(ctx); err != nil {
+	if err := h.callerServer.Shutdown(ctx); err != nil {
 		h.Log.WithField("why", err.Error()).Warn("stop-cut-calls")
 	}
 }
 
-// handOver gives the seats up and asks hosts of their halls to take them.
+// handOver releases all cells that this process leads and asks a host of each cell's hall to take over.
 func (h *Host) handOver() {
-	held := h.Control.Held()
-	h.Control.Leave()
-	for _, name := range held {
+	led := h.Control.Held()
+	h.Control.BeginStop()
+	for _, name := range led {
 		next := h.Hosts.Successor(h.Control.View().Cells[name].Hall)
 		if next == nil {
 			continue
@@ -262,18 +269,19 @@
 		h.Log.WithFields(logrus.Fields{"cell": name, "to": next.GetName()}).Info("cell-handed-over")
 		h.askToTakeOver(context.Background(), next, name)
 	}
-	deadline := clock.Now().Add(handoverWait)
+	deadline := clock.Now().Add(handoverTimeout)
 	for len(h.Control.Held()) > 0 && clock.Now().Before(deadline) {
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(handoverCheckInterval)
 	}
 }
 
-// peerWord bounds a word to a peer that needs no answer.
-const peerWord = 300 * time.Millisecond
+// peerCallTimeout is the timeout of the short control calls to a peer, such as TakeOver, Yield and Load.
+const peerCallTimeout = 300 * time.Millisecond
 
-// leads asks the process at an address whether it leads a cell, and one incarnation of it what it granted there.
-func (h *Host) leads(address, cellName, holder string) (answer predecessorAnswer, ok bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), peerWord)
+// askLeadership asks the process at an address whether it leads a cell. If that process is the incarnation named
+// by holder, the answer includes the leases that it granted. ok is false without an answer.
+func (h *Host) askLeadership(address, cellName, holder string) (answer predecessorAnswer, ok bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
 	p, err := h.peers.To(address)
 	if err != nil {
@@ -283,15 +291,15 @@
 	if err != nil {
 		return answer, false
 	}
-	answer = predecessorAnswer{holds: load.GetHolds(), grantsTold: load.GetGrantsTold(), grants: map[string]time.Duration{}, up: time.Duration(load.GetUpMs()) * time.Millisecond}
+	answer = predecessorAnswer{holdsLeadership: load.GetHolds(), grantsKnown: load.GetGrantsTold(), grants: map[string]time.Duration{}, uptime: time.Duration(load.GetUpMs()) * time.Millisecond}
 	for id, ms := range load.GetGrantsMs() {
 		answer.grants[id] = time.Duration(ms) * time.Millisecond
 	}
 	return answer, load.GetCell() == cellName
 }
 
-// tellThere tells the process at an address what it is to know of its cell.
-func (h *Host) tellThere(ctx context.Context, address string, e cell.NotifyLeader) error {
+// notifyPeer notifies the process at an address of a change to the cell that it leads.
+func (h *Host) notifyPeer(ctx context.Context, address string, e cell.NotifyLeader) error {
 	p, err := h.peers.To(address)
 	if err != nil {
 		return err
@@ -307,14 +315,14 @@
 	return err
 }
 
-// yieldTo asks a leader of another hall for a seat of ours.
-func (h *Host) yieldTo(cellName, address string) {
+// askForRelease asks the process at an address, a leader from another hall, to release a cell. It does not wait.
+func (h *Host) askForRelease(cellName, address string) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), peerWord)
+		ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 		defer cancel()
 		p, err := h.peers.To(address)
 		if err != nil {
-			return // its row will name another address
+			return // a later leadership row names another address
 		}
 		if _, err := p.Yield(ctx, &wire.CellRef{Cell: cellName}); err != nil {
 			h.Log.WithFields(logrus.Fields{"cell": cellName, "why": err.Error()}).Warn("yield-unanswered")
@@ -322,14 +330,14 @@
 	}()
 }
 
-// Ready says whether this host takes calls, and if not, why.
+// Ready reports whether this host accepts calls, and the reason if it does not.
 func (h *Host) Ready(now time.Time) (bool, string) {
 	switch {
 	case h.leaving.Load():
 		return false, "stopping"
 	case h.manifest.Load() == nil:
 		return false, "no manifest yet"
-	case h.Store.SinceWorked(now) > storeSilence:
+	case h.Store.SinceWorked(now) > maxStoreSilence:
 		return false, "the table does not answer"
 	}
 	return true, ""
--- a/pkg/process/fleet/load.go
+++ b/pkg/process/fleet/load.go
@@ -15,60 +15,62 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// loadAgain is the pause after a load that failed.
-const loadAgain = 100 * time.Millisecond
+// loadRetryPause is the pause after a failed load.
+const loadRetryPause = 100 * time.Millisecond
 
-// load puts the fences of a new epoch and reads the cell's jobs, part by part,
-// until it has all of them or the epoch is over.
+// load raises the cell's fences to a new epoch and reads its jobs. It retries until that succeeds, the
+// epoch ends, or a later leader's fence shows that this process is no longer the leader. After a
+// successful load it follows the cell's tables until the epoch ends.
 func (c *Control) load(ctx context.Context, name string, epoch int64) {
 	for ctx.Err() == nil {
 		loaded, err := c.loadOnce(ctx, name, epoch)
 		if err == nil {
-			c.tell(cellEvent{name, loaded.event})
+			c.send(cellEvent{name, loaded.event})
 			c.followCell(ctx, name, epoch, loaded.versions)
 			return
 		}
 		c.log.WithFields(logrus.Fields{"cell": name, "why": err.Error()}).Warn("cell-load-failed")
 		if fault.CodeOf(err) == fault.Conflict {
-			c.tell(cellEvent{name, cell.LeadershipLost{Why: err.Error()}})
+			c.send(cellEvent{name, cell.LeadershipLost{Why: err.Error()}})
 			return
 		}
 		if v := c.View().Cells[name]; !v.Mine || v.Epoch != epoch {
 			return
 		}
-		time.Sleep(loadAgain)
+		time.Sleep(loadRetryPause)
 	}
 }
 
-// loadedCell is what the table holds of a cell, and as of which versions.
+// loadedCell is the content of a cell's tables, and the versions at which they were read.
 type loadedCell struct {
 	event    cell.Loaded
-	versions followFrom
+	versions tableVersions
 }
 
-// loadedPart is what one part of the table holds of a cell.
+// loadedPart is the content of one part of a cell's tables.
 type loadedPart struct {
 	fence    int64
 	jobs     []cell.LoadedJob
 	cancels  []string
 	returned []*wire.ReturnedTasks
-	versions followFrom
+	versions tableVersions
 	err      error
 }
 
+// loadOnce loads all parts of a cell at the same time. It fails if one of them fails.
 func (c *Control) loadOnce(ctx context.Context, name string, epoch int64) (*loadedCell, error) {
 	parts := make([]loadedPart, rows.JobParts)
 	var wait sync.WaitGroup
 	for i := range parts {
 		wait.Go(func() { parts[i] = c.loadPart(ctx, name, rows.PartName(i), epoch) })
 	}
-	roster, err := c.readRoster(ctx, name)
+	membership, err := c.readMembership(ctx, name)
 	wait.Wait()
 	if err != nil {
 		return nil, err
 	}
 	now := clock.Now()
-	event := cell.Loaded{Epoch: epoch, Members: roster.GetEntries(), Fences: map[string]int64{}, Wall: c.wall(), StoreNow: c.store.Now(now)}
+	event := cell.Loaded{Epoch: epoch, Members: membership.GetEntries(), Fences: map[string]int64{}, Wall: c.wall(), StoreNow: c.store.Now(now)}
 	versions := parts[0].versions
 	for i, p := range parts {
 		if p.err != nil {
@@ -84,9 +86,11 @@
 	return &loadedCell{event: event, versions: versions}, nil
 }
 
+// loadPart raises the fence in one part and then reads the part. The fence rejects later commits of
+// earlier leaders, so the read is complete.
 func (c *Control) loadPart(ctx context.Context, name, part string, epoch int64) loadedPart {
 	p := loadedPart{}
-	if p.fence, p.err = c.putFence(ctx, name, part, epoch); p.err != nil {
+	if p.fence, p.err = c.raiseFence(ctx, name, part, epoch); p.err != nil {
 		return p
 	}
 	specs, err := table.ReadAll(ctx, c.store, rows.SpecTable(name), part)
@@ -104,41 +108,41 @@
 		p.err = err
 		return p
 	}
-	p.versions = followFrom{specs: specs.Version, cancels: cancels.Version}
-	p.jobs = c.joinRows(specs.Rows, progress.Rows)
+	p.versions = tableVersions{specs: specs.Version, cancels: cancels.Version}
+	p.jobs = c.joinJobRows(specs.Rows, progress.Rows)
 	for _, r := range cancels.Rows {
 		if !rows.IsReturn(r.Key) {
 			p.cancels = append(p.cancels, r.Key.Key)
-		} else if back := c.readReturned(r); back != nil {
-			p.returned = append(p.returned, back)
+		} else if returned := c.readReturned(r); returned != nil {
+			p.returned = append(p.returned, returned)
 		}
 	}
 	return p
 }
 
-// readRoster reads which workers earlier leaders could have used. They wrote that over
-// the leadership row's version, so nothing is added once this epoch's claim stands.
-func (c *Control) readRoster(ctx context.Context, name string) (*wire.CellRoster, error) {
+// readMembership reads the cell's membership: the workers that earlier leaders may have used. Leaders write
+// it on condition of the leadership row's version, so it can't grow after this epoch's claim.
+func (c *Control) readMembership(ctx context.Context, name string) (*wire.CellRoster, error) {
 	key := rows.RosterKey(name)
 	page, err := c.store.Read(ctx, table.Range{Table: key.Table, Part: key.Part, From: key.Key, To: key.Key + "\x00", Limit: 1})
 	if err != nil {
 		return nil, err
 	}
-	roster := &wire.CellRoster{}
+	membership := &wire.CellRoster{}
 	if len(page.Rows) == 0 {
-		return roster, nil
+		return membership, nil
 	}
-	return roster, rows.Read(page.Rows[0], roster)
+	return membership, rows.Read(page.Rows[0], membership)
 }
 
-// joinRows puts jobs together from their rows. Jobs that have ended have
-// progress and no specification any more.
-func (c *Control) joinRows(specs, progress []table.Row) []cell.LoadedJob {
+// joinJobRows combines the specification and the progress row of each job. An ended job has only a
+// progress row.
+func (c *Control) joinJobRows(specs, progress []table.Row) []cell.LoadedJob {
 	known := map[string]cell.LoadedJob{}
 	for _, r := range specs {
 		spec := &wire.JobSpec{}
 		if err := rows.Read(r, spec); err != nil {
-			c.unreadable(r, err)
+			c.logUnreadable(r, err)
 			continue
 		}
 		known[spec.GetId()] = cell.LoadedJob{Spec: spec}
@@ -146,7 +150,7 @@
 	for _, r := range progress {
 		p := &wire.JobProgress{}
 		if err := rows.Read(r, p); err != nil {
-			c.unreadable(r, err)
+			c.logUnreadable(r, err)
 			continue
 		}
 		j := known[r.Key.Key]
@@ -163,18 +167,20 @@
 	return list
 }
 
-func (c *Control) unreadable(r table.Row, err error) {
+// logUnreadable logs a row that could not be decoded.
+func (c *Control) logUnreadable(r table.Row, err error) {
 	c.log.WithFields(logrus.Fields{"table": r.Table, "key": r.Key.Key, "why": err.Error()}).Error(string(cell.NoteUnreadable))
 }
 
-// putFence raises a cell's fence in one part, and returns the row's version.
-func (c *Control) putFence(ctx context.Context, name, part string, epoch int64) (int64, error) {
+// raiseFence raises a cell's fence in one part to an epoch, and returns the version of the fence row. It
+// fails with fault.Conflict if a later leader has raised the fence further.
+func (c *Control) raiseFence(ctx context.Context, name, part string, epoch int64) (int64, error) {
 	key := rows.FenceKey(name, part)
 	page, err := c.store.Read(ctx, table.Range{Table: key.Table, Part: part, From: name, To: name + "\x00", Limit: 1})
 	if err != nil {
 		return 0, err
 	}
-	before := int64(0)
+	version := int64(0)
 	if len(page.Rows) > 0 {
 		fence := &wire.CellFence{}
 		if err := rows.Read(page.Rows[0], fence); err != nil {
@@ -182,21 +188,21 @@
 		}
 		switch {
 		case fence.GetEpoch() > epoch:
-			return 0, fault.New(fault.Conflict, name, "a later leader has put its fence", "")
+			return 0, fault.New(fault.Conflict, name, "a later leader has raised the fence", "")
 		case fence.GetEpoch() == epoch:
-			return page.Rows[0].Version, nil // an earlier try of ours
+			return page.Rows[0].Version, nil // written by an earlier attempt of this epoch
 		}
-		before = page.Rows[0].Version
+		version = page.Rows[0].Version
 	}
 	done, err := c.store.Commit(ctx, table.Transaction{
-		Conditions: []table.Condition{{Key: key, Version: before}},
+		Conditions: []table.Condition{{Key: key, Version: version}},
 		Puts:       []table.Row{rows.Row(key, &wire.CellFence{Epoch: epoch})},
 	})
 	if err != nil {
 		return 0, err
 	}
 	if done.Conflict {
-		return 0, fault.New(fault.Unavailable, name, "the fence moved meanwhile", "")
+		return 0, fault.New(fault.Unavailable, name, "the fence changed since it was read", "")
 	}
 	return done.Version, nil
 }
