--- a/pkg/clock/boottime_linux.go
+++ b/pkg/clock/boottime_linux.go
@@ -7,26 +7,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// reading is what one reading of CLOCK_BOOTTIME showed, and when it was made.
+// reading is one reading of CLOCK_BOOTTIME.
 type reading struct {
+	// at is the time of the reading by time.Now.
 	at time.Time
-	// boot is that clock, suspended for how long the host was suspended since the first reading.
+	// boot is the value of CLOCK_BOOTTIME, suspended the time for which the host was suspended since the first
+	// reading.
 	boot, suspended time.Duration
 }
 
-// first is the reading that suspensions are counted from, last the newest one.
+// first is the reading from which suspensions are counted, last the newest one.
 var (
 	first = &reading{at: time.Now(), boot: boottime()}
 	last  atomic.Pointer[reading]
 )
 
-// Now is the present time, with the time in which the host was suspended since the process began. It goes by
-// CLOCK_BOOTTIME, which runs through a suspension, and which nobody sets; where the time of day has moved
-// otherwise than the steady clock, that is only a reason to read CLOCK_BOOTTIME at once.
+// Now returns the current time, including the time for which the host was suspended since the process started. It
+// relies on CLOCK_BOOTTIME, which advances during a suspension and can't be set. A jump of the time of day against the
+// monotonic clock only causes CLOCK_BOOTTIME to be read at once.
 //
-// Differences and comparisons among such times are right, whatever was set or suspended in between. They must
-// not be mixed with what time.Now gives: deadlines of sockets and contexts, and the time of day that callers
-// see, go on to use that.
+// Differences and comparisons among such times are right even if the time of day was set or the host was suspended in
+// between. They must not be mixed with results of time.Now, which deadlines of sockets and contexts and the time of
+// day shown to callers still use.
 func Now() time.Time {
 	now := time.Now()
 	r := last.Load()
@@ -36,7 +38,8 @@
 	return now.Add(r.suspended)
 }
 
-// read reads the clock anew. Of several threads that do, each keeps the longest suspension that is known.
+// read makes a new reading and stores it. Its suspension is at least that of the previous reading, so the clock doesn't
+// go back when several goroutines read at the same time.
 func read(now time.Time, before *reading) *reading {
 	r := &reading{at: now, boot: boottime()}
 	if before == nil {
@@ -50,7 +53,7 @@
 func boottime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// Kernels have had this clock since 2.6.39; without it no time can be trusted here.
+		// Linux has had this clock since 2.6.39. Without it the package can't provide a reliable time.
 		panic(err)
 	}
 	return time.Duration(t.Nano())
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,25 +1,25 @@
-// Package clock tells the present time to whoever decides.
+// Package clock provides the current time to all code that makes decisions.
 //
-// A host may be suspended for seconds, which the language's steady clock does not count: a
-// process that wakes would believe its renewals, readings and leases to be as fresh as before.
-// Now counts that time. What decides on the platform's path takes its time from here;
-// clock_test.go keeps time.Now out of there.
+// A host may be suspended for seconds. Go's monotonic clock doesn't count that time, so a process would
+// take its renewals, readings and leases to be as fresh as before the suspension. Now counts that time.
+// Packages that decide on the platform's path take the time from here; clock_test.go refuses time.Now there.
 //
-// It never takes a time from the time of day, which is set and jumps.
+// The package takes no time from the time of day, which is set and jumps.
 package clock
 
 import "time"
 
 const (
-	// readEvery is how long, by the steady clock, one reading serves: a suspension that nothing else
-	// shows is noticed after that.
+	// readEvery is the age by the monotonic clock up to which a reading of CLOCK_BOOTTIME is valid. A
+	// suspension that leaves no jump in the time of day is noticed after that.
 	readEvery = 250 * time.Millisecond
-	// moved is by how much the time of day has to have moved otherwise than the steady clock for
-	// another reading at once. Suspensions last for seconds; the time of day is slewed by less.
+	// moved is the difference between the advance of the time of day and that of the monotonic clock that makes a
+	// reading invalid at once. Suspensions last for seconds; slewing moves the time of day by less.
 	moved = 50 * time.Millisecond
 )
 
-// holds says whether a reading still serves, after a time by the steady clock and by the time of day.
+// holds returns whether a reading is still valid. steady and ofDay are the time since the reading by the monotonic
+// clock and by the time of day.
 func holds(steady, ofDay time.Duration) bool {
 	return steady >= 0 && steady < readEvery && (ofDay-steady).Abs() < moved
 }
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -28,11 +28,11 @@
 	must.Eq(t, 5*time.Second, clock.Slept(5250*time.Millisecond, 250*time.Millisecond))
 }
 
-// Packages that decide get their time from this one.
+// Packages that make decisions must take the time from this package, not from package time.
 func TestNoOtherClockDecides(t *testing.T) {
 	t.Parallel()
 	allowed := map[string]string{
-		"pkg/process/fleet/control.go": "wall: time.Now,", // the time of day, for jobs with times
+		"pkg/process/fleet/control.go": "wall: time.Now,", // the time of day, for jobs with due times
 		"platform/lives.go":            "c.SetDeadline(time.Now()",
 	}
 	other := regexp.MustCompile(`\btime\.(Now|Since|Until)\b`)
@@ -59,7 +59,7 @@
 	}
 }
 
-// BenchmarkNow and BenchmarkSteady together show what a reading costs against the language's own.
+// BenchmarkNow and BenchmarkSteady compare the cost of clock.Now with that of time.Now.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		clock.Now()
--- a/pkg/clock/holds_test.go
+++ b/pkg/clock/holds_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// What is asked for right after a suspension is not answered from before it.
+// The first call of Now after a suspension must not use a reading from before the suspension.
 func TestAReadingServesOnlyWhileNothingSpeaksForASuspension(t *testing.T) {
 	t.Parallel()
 	must.True(t, holds(5*time.Millisecond, 5*time.Millisecond))
--- a/pkg/clock/watch.go
+++ b/pkg/clock/watch.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// watchEvery is how often a Watch looks whether the host was suspended.
+	// watchEvery is the interval at which Watch checks for a suspension.
 	watchEvery = 500 * time.Millisecond
-	// sleptLeast is the least suspension that counts: two clocks are not read in the same moment, and
-	// what a host does in less it does on a slow processor, too.
+	// sleptLeast is the shortest suspension that counts. Two clocks are not read at the same moment, and a slow
+	// processor causes pauses as long as a shorter suspension, too.
 	sleptLeast = 50 * time.Millisecond
 )
 
-// Slept is how long a host was suspended between two moments, given the time that passed by a clock
-// that counts suspensions, and by one that does not; 0: not for long enough to count.
+// Slept returns the time for which the host was suspended between two moments, or 0 if it is less than sleptLeast.
+// passed is the time between them by a clock that counts suspensions, steady by one that doesn't.
 func Slept(passed, steady time.Duration) time.Duration {
 	if passed-steady < sleptLeast {
 		return 0
@@ -22,7 +22,8 @@
 	return passed - steady
 }
 
-// Watch tells each time that the host was suspended, soon after it wakes, until the context ends.
+// Watch calls woke with the length of each suspension of the host, soon after the host wakes. It returns when the
+// context ends.
 func Watch(ctx context.Context, woke func(slept time.Duration)) {
 	ticker := time.NewTicker(watchEvery)
 	defer ticker.Stop()
--- a/pkg/process/election/election.go
+++ b/pkg/process/election/election.go
@@ -1,12 +1,12 @@
-// Package election decides who leads a cell, by one row in the table.
+// Package election elects the leader of a cell by one row in the table.
 //
-// Package fleet has a Seat for each cell: readings and outcomes of writes come in, the next
-// write comes out. Every write replaces the version that was read, so of two writers one wins;
-// the epoch rises with each change of the holder, and the cell's workers refuse a lower one.
-// A leader that can't renew goes on for its tenure. A successor does not wait for that: its
-// epoch shuts the old leader out at each worker that it reaches.
+// Package fleet keeps a Seat per cell: it passes in readings and write outcomes and sends the writes
+// that the Seat returns. Every write is conditional on the version read, so one of two writers wins.
+// The epoch rises with each change of holder, and the cell's workers refuse lower epochs. A leader that
+// can't renew keeps leading for its tenure. A successor doesn't wait for that tenure to end: its
+// epoch shuts the old leader out at each worker that the successor reaches.
 //
-// It makes no calls and reads no clock. What may run out of reach is package cell's concern.
+// The package does no I/O and reads no clock. Package cell tracks what may run on unreached workers.
 package election
 
 import (
@@ -18,28 +18,29 @@
 )
 
 const (
-	// renewEvery is the time between two renewals.
+	// renewEvery is the time between two renewals of the leader's row.
 	renewEvery = 400 * time.Millisecond
-	// overdueAfter is how old a renewal may be before a host of the same hall
-	// takes over: three renewals, so that one lost answer does not depose.
+	// overdueAfter is the age of a renewal at which a host of the same hall takes over. It is
+	// three renewal intervals, so that one lost answer doesn't depose the leader.
 	overdueAfter = 1200 * time.Millisecond
-	// elsewhereAfter is the same for hosts of other halls: longer than a cut of
-	// a hall usually lasts, since they don't reach its workers then either.
+	// elsewhereAfter is the age of a renewal at which a host of another hall takes over. It is
+	// longer than a network cut of a hall usually lasts, since hosts of other halls can't reach the hall's
+	// workers during the cut either.
 	elsewhereAfter = 9 * time.Second
-	// newcomerWait is how long a host of another hall leaves an empty seat to
+	// newcomerWait is the time for which a host of another hall leaves a vacant seat to
 	// hosts of the seat's own hall.
 	newcomerWait = 3 * time.Second
-	// Tenure is how long a leader goes on without a renewal: longer than the
-	// table's outages on the platform's sites (up to 9 s).
+	// Tenure is the time for which a leader keeps leading without a renewal. It is longer than
+	// the table's outages on the platform's sites (up to 9 s).
 	Tenure = 12 * time.Second
-	// yieldWait is how long a host waits before it asks a leader of another
-	// hall for its own hall's seat.
+	// yieldWait is the time since its start after which a host asks a leader of another hall to hand over
+	// a seat of the host's own hall.
 	yieldWait = 2 * time.Second
-	// perSeat delays a candidate for each seat that it holds already.
+	// perSeat is a candidate's extra delay for each seat that it holds already.
 	perSeat = 300 * time.Millisecond
 )
 
-// Role is what a process is to a seat.
+// Role is the role of a process in the election of one seat.
 type Role int
 
 // The roles.
@@ -49,19 +50,20 @@
 	Leader
 )
 
-// Self says who this process is.
+// Self describes this process.
 type Self struct {
 	// Life names this life of this process.
 	Life    string
 	Host    string
 	Hall    string
 	Address string
-	// Delay spreads candidates that see the same, in [0, 150 ms).
+	// Delay spreads the claims of candidates that have read the same row. It is in [0, 150 ms).
 	Delay time.Duration
+	// Since is the start of this process.
 	Since time.Time
 }
 
-// Seat is one cell's leadership as one process sees it.
+// Seat is one process's view of the leadership of one cell.
 type Seat struct {
 	cell, hall string
 	self       Self
@@ -69,70 +71,68 @@
 	row     *wire.CellLead
 	version int64
 	readAt  time.Time
-	// storeAt is the store's clock at readAt.
+	// storeAt is the table's clock at readAt.
 	storeAt time.Duration
 
 	role Role
-	// renewedAt is when the last renewal that took effect was sent.
+	// renewedAt is the time at which the last renewal that took effect was sent.
 	renewedAt time.Time
 	sending   bool
 	sentAt    time.Time
 	sent      *wire.CellLead
-	// sentRoster went with it, nil for none.
+	// sentRoster is the roster written together with sent, or nil.
 	sentRoster *wire.CellRoster
 	release    bool
 	wanted     bool
-	// settled says that leaders before this one are surely over.
+	// settled means that all predecessors have surely ended; see Settled.
 	settled bool
-	// over are the predecessors that are known to be over.
+	// over holds the predecessors that are known to have ended, by holder.
 	over map[string]bool
-	// roster is what this process wrote last of it while leading.
+	// roster is the roster that this process wrote last while leading, or nil.
 	roster []*wire.RosterEntry
-	// stale says that the last write did not take effect, or may not have: the
-	// row has to be read before the next one. (Else candidates that lost would
-	// write over the version they knew, again and again, and each write would
-	// make the readings that are under way too old to be used.)
+	// stale means that the last write failed or has an unknown outcome, so the row has to be read before
+	// the next write. Otherwise a losing candidate would keep writing over the version it knows, and each
+	// write would make the readings under way too old to be used.
 	stale bool
 }
 
-// New returns the seat of a cell that belongs to a hall.
+// New returns this process's view of the seat of a cell that belongs to the given hall.
 func New(cell, hall string, self Self) *Seat { return &Seat{cell: cell, hall: hall, self: self} }
 
-// Write is a row to write over the version that was read, and with it the cell's
-// roster, where that has changed.
+// Write is a leadership row to write on condition that the table still holds Version. Roster is written
+// in the same transaction; nil leaves the stored roster as it is.
 type Write struct {
 	Row     *wire.CellLead
 	Version int64
 	Roster  *wire.CellRoster
 }
 
-// Change is what became of the role.
+// Change is a change of the role; the zero Change is none.
 type Change struct {
-	// Led is set when this process begins to lead; Before is the row that it
-	// replaced, nil for none.
+	// Led is set when this process becomes the leader. Before is the row that its claim replaced, or nil.
 	Led    bool
 	Before *wire.CellLead
-	// Predecessors are the leaders that are not known to be over.
+	// Predecessors are the earlier leaders that are not known to have ended.
 	Predecessors []Predecessor
-	// Lost is set when it ends to lead; Why says why.
+	// Lost is set when this process stops leading. Why is the reason.
 	Lost bool
 	Why  string
 }
 
-// Role returns the present role.
+// Role returns the present role of this process.
 func (s *Seat) Role() Role { return s.role }
 
-// Claiming says whether this process has claimed the seat and does not know yet whether it has won it.
+// Claiming returns whether this process has sent a claim whose outcome it doesn't know yet.
 func (s *Seat) Claiming() bool { return s.role == Candidate }
 
-// RenewedAt is when the last write that took effect was sent: this process led
-// the cell then.
+// RenewedAt returns the time at which the last claim or renewal that took effect was sent. This process
+// led the cell at that time.
 func (s *Seat) RenewedAt() time.Time { return s.renewedAt }
 
-// Row returns the row as last read, or nil.
+// Row returns the row as last read or written, or nil.
 func (s *Seat) Row() *wire.CellLead { return s.row }
 
-// Age is how old the row's renewal is now.
+// Age returns the time since the row's last renewal by the table's clock, or 0 without a row.
 func (s *Seat) Age(now time.Time) time.Duration {
 	if s.row == nil {
 		return 0
@@ -142,13 +142,14 @@
 
 func (s *Seat) storeNow(now time.Time) time.Duration { return s.storeAt + now.Sub(s.readAt) }
 
-// Fresh says whether somebody leads the cell as far as the last reading tells.
+// Fresh returns whether the last known row names a leader that has renewed recently and has not released the seat.
 func (s *Seat) Fresh(now time.Time) bool {
 	return s.row != nil && !s.row.GetReleased() && s.Age(now) < overdueAfter
 }
 
-// TakeRead takes in a reading of the row; a nil row means that there is none.
-// A reading that was asked for before the last write was answered is not used.
+// TakeRead handles a reading of the row; a nil row means that the table has none. store is the table's
+// clock. A reading is ignored if a write is pending, if it was requested before the last write was sent,
+// or if its version is older than the known one.
 func (s *Seat) TakeRead(now, askedAt time.Time, row *wire.CellLead, version int64, store time.Duration) Change {
 	if s.sending || askedAt.Before(s.sentAt) || version < s.version {
 		return Change{}
@@ -160,11 +161,11 @@
 	switch {
 	case s.role == Leader && !mine:
 		s.role = Follower
-		return Change{Lost: true, Why: "the row names another leader"}
+		return Change{Lost: true, Why: "the leadership row names another leader"}
 	case s.role == Candidate && mine && row.GetEpoch() == s.sent.GetEpoch():
 		return s.won(now, s.sentAt, before)
 	case s.role == Leader && mine && s.sent != nil && row.GetRenewedStoreMs() == s.sent.GetRenewedStoreMs():
-		s.renewedAt = s.sentAt // the renewal whose answer was lost
+		s.renewedAt = s.sentAt // the renewal took effect but its answer was lost
 	case s.role == Candidate:
 		s.role = Follower
 	}
@@ -177,27 +178,29 @@
 	return Change{Led: true, Before: before, Predecessors: s.predecessors(now)}
 }
 
-// Settled says that what leaders before this one started is known, or surely over.
+// Settled records that all runs started by predecessors are known or have surely ended. Later renewals name no
+// predecessors.
 func (s *Seat) Settled() { s.settled = true }
 
-// Expire ends the role of a leader that has not renewed for its tenure.
+// Expire ends the leadership if the last renewal is older than Tenure.
 func (s *Seat) Expire(now time.Time) Change {
 	if s.role == Leader && now.Sub(s.renewedAt) > Tenure {
 		s.role = Follower
-		return Change{Lost: true, Why: "no renewal for the tenure"}
+		return Change{Lost: true, Why: "no renewal within the tenure"}
 	}
 	return Change{}
 }
 
-// Want says that this process was asked to take the seat that is being
-// released.
+// Want records that the present leader has asked this process to take the seat that it is releasing. A
+// released seat is then claimed at once.
 func (s *Seat) Want() { s.wanted = true }
 
-// Release asks for the seat to be given up with the next write.
+// Release makes the next write give the seat up.
 func (s *Seat) Release() { s.release = true }
 
-// Next returns the write that is due, or nil. roster are the workers that may hold runs,
-// nil while that is not known; held is how many other seats this process holds.
+// Next returns the write that is due, or nil. roster lists the workers that may hold runs, or is nil while
+// they are not known. held is the number of other seats that this process holds. A process that is leaving
+// claims no seat.
 func (s *Seat) Next(now time.Time, roster []*wire.RosterEntry, held int, leaving bool) *Write {
 	if s.sending || s.stale || s.readAt.IsZero() {
 		return nil
@@ -225,7 +228,7 @@
 	changed = changed || (roster != nil && tellsMoreRuns(s.roster, roster))
 	row, ok := proto.Clone(s.row).(*wire.CellLead)
 	if !ok {
-		return nil // a clone has the type of what it is a clone of
+		return nil // unreachable: Clone returns the type of its argument
 	}
 	row.RenewedStoreMs = s.storeNow(now).Milliseconds()
 	row.Released = s.release
@@ -246,14 +249,14 @@
 			return false
 		}
 		if a[i].GetRunsKnown() && !b[i].GetRunsKnown() {
-			return false // the worker gets no work before this is recorded
+			return false // the worker gets no work until the table no longer lists its runs as known
 		}
 	}
 	return true
 }
 
-// tellsMoreRuns says whether a membership tells more of what may run at its workers than the one that was written: of
-// more of them, or that half of it is over. Such news goes with the next renewal.
+// tellsMoreRuns returns whether the runs at some worker are newly known, or at most half of the tasks last written may
+// still run there. Such a roster is written with the next renewal. Both lists have the same workers.
 func tellsMoreRuns(written, roster []*wire.RosterEntry) bool {
 	for i, e := range roster {
 		if e.GetRunsKnown() && (!written[i].GetRunsKnown() || 2*len(e.GetMayRun()) <= len(written[i].GetMayRun()) && len(written[i].GetMayRun()) > 0) {
@@ -263,14 +266,14 @@
 	return false
 }
 
-// due says whether this process should try to take the seat.
+// due returns whether this process should claim the seat now.
 func (s *Seat) due(now time.Time, held int) bool {
 	wait := s.self.Delay + time.Duration(held)*perSeat
 	own := s.self.Hall == s.hall
 	free := s.row == nil || s.row.GetReleased()
 	switch {
 	case !free && s.row.GetHost() == s.self.Host:
-		return true // an earlier life of this very host, or its own lapsed tenure
+		return true // an earlier incarnation on this host, or this process after its tenure
 	case s.wanted && free:
 		return true
 	case free && own:
@@ -284,8 +287,8 @@
 	}
 }
 
-// AskYield says whether to ask the present leader for the seat: it leads from
-// another hall, and this host of the seat's own hall has been up for a while.
+// AskYield returns whether to ask the present leader to hand the seat over: the leader is in another hall,
+// and this host is in the seat's own hall and has been up for longer than yieldWait.
 func (s *Seat) AskYield(now time.Time) bool {
 	return s.role == Follower && s.self.Hall == s.hall && s.row != nil && s.row.GetHall() != s.hall &&
 		s.Fresh(now) && now.Sub(s.self.Since) > yieldWait
@@ -296,14 +299,14 @@
 	return &Write{Row: row, Version: s.version, Roster: roster}
 }
 
-// TakeWritten takes in the outcome of a write: its new version, or 0 when it
-// did not take effect or nobody knows. In both cases the next reading tells.
+// TakeWritten handles the outcome of a write: the row's new version, or 0 if the write failed or its outcome
+// is unknown. After 0, the next reading of the row shows the outcome.
 func (s *Seat) TakeWritten(now time.Time, version int64) Change {
 	s.sending = false
 	if version == 0 {
 		s.stale = true
 		if s.sentRoster != nil {
-			s.roster = nil // it may stand in the table, and what stood there before may not
+			s.roster = nil // the table may hold either the old or the new roster
 		}
 		return Change{}
 	}
--- a/pkg/process/election/election_test.go
+++ b/pkg/process/election/election_test.go
@@ -21,7 +21,7 @@
 	return election.New("cell", "hall", election.Self{Life: host + "/1", Host: host, Hall: "hall", Address: host, Since: t0})
 }
 
-// lead makes a seat win an empty row.
+// lead makes a seat win the election while the table has no row.
 func lead(t *testing.T, s *election.Seat) {
 	t.Helper()
 	s.TakeRead(at(0), at(0), nil, 0, storeAt(0))
@@ -31,7 +31,7 @@
 	must.Eq(t, election.Leader, s.Role())
 }
 
-// A candidate that writes over the version that it knew loses each time.
+// Without a new reading, a candidate that lost would write over the version it knows and lose each time.
 func TestACandidateThatLostReadsTheRowBeforeItTriesAgain(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
@@ -94,8 +94,9 @@
 	must.NotNil(t, s.Next(at(11), nil, 0, false))
 }
 
-// The roster is written with the first renewal that knows it, and then when it changes;
-// while earlier leaders' is not read it stays as it is. The table takes no empty row.
+// The roster is written with the first renewal after it is known, and again when it changes. Until the leader has
+// read its predecessors' roster, the stored one stays. The table refuses empty values, so an empty roster still
+// encodes to some bytes.
 func TestTheRosterIsWrittenWhenItIsKnownAndChanges(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
@@ -111,7 +112,7 @@
 	one := []*wire.RosterEntry{{Id: "w1"}}
 	w = s.Next(at(520), one, 0, false)
 	must.Eq(t, "w1", w.Roster.GetEntries()[0].GetId())
-	s.TakeWritten(at(525), 0) // unknown: it is written again
+	s.TakeWritten(at(525), 0) // outcome unknown: the roster is written again
 	s.TakeRead(at(800), at(790), w.Row, 4, storeAt(800))
 	w = s.Next(at(1000), one, 0, false)
 	must.NotNil(t, w.Roster)
@@ -120,8 +121,8 @@
 	must.Nil(t, s.Next(at(1500), one, 0, false).Roster)
 }
 
-// Leaders follow each other so fast that the first, which is suspended, may still go on as the third begins:
-// what the second says of itself tells nothing of the first.
+// Leaders change so fast that the first, which is suspended, may still be within its tenure when the third wins. That
+// the second has ended says nothing about the first, so the row names both.
 func TestASuccessorKnowsOfLeadersBeforeItsForerunner(t *testing.T) {
 	t.Parallel()
 	first := &wire.CellLead{Cell: "cell", Epoch: 1, Holder: "a/1", Host: "a", Hall: "hall", RenewedStoreMs: storeAt(0).Milliseconds()}
@@ -153,7 +154,7 @@
 	must.SliceEmpty(t, row.GetEarlier())
 }
 
-// A predecessor that is known to be over is named to no successor; those before it still are.
+// The row drops a predecessor that is known to have ended, but still names earlier ones.
 func TestARowNamesThePredecessorsThatAreNotKnownToBeOver(t *testing.T) {
 	t.Parallel()
 	row := &wire.CellLead{
@@ -171,7 +172,7 @@
 	must.Eq(t, storeAt(11000).Milliseconds(), next.GetEarlierStoreMs())
 }
 
-// A leader that gave the cell up is over; one before it that did not answer is still asked.
+// A leader that released the cell has ended. Its predecessor that did not answer is still named.
 func TestAReleasedRowStillNamesEarlierLeaders(t *testing.T) {
 	t.Parallel()
 	row := &wire.CellLead{
@@ -186,7 +187,7 @@
 	must.Eq(t, "x", list[0].Address)
 }
 
-// A row of a host that does not name earlier leaders still says until when they may grant.
+// A row may hold only the time until which earlier leaders may grant, without naming them. That time is kept.
 func TestARowWithoutNamesOfEarlierLeadersKeepsTheirTime(t *testing.T) {
 	t.Parallel()
 	row := &wire.CellLead{
@@ -201,7 +202,8 @@
 	must.Less(t, 20*time.Millisecond, (8500*time.Millisecond - list[0].Grants).Abs())
 }
 
-// A leader that was replaced while it was about to give the cell up keeps it when it wins it again.
+// A pending release ends with the leadership: a leader that was replaced before it released the cell must not release
+// it when it wins again.
 func TestALeaderThatWinsAgainDoesNotReleaseForAnEarlierReason(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
@@ -214,7 +216,7 @@
 	must.False(t, s.Next(at(2500), nil, 0, false).Row.GetReleased())
 }
 
-// A write of the membership whose answer was lost may stand in the table, so the next one says it anew.
+// A membership write whose answer was lost may have taken effect, so the next write includes the membership again.
 func TestAMembershipWhoseWriteWasNotAnsweredIsWrittenAgain(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
@@ -232,8 +234,8 @@
 	must.Len(t, 2, again.Roster.GetEntries())
 }
 
-// A host that has claimed a seat may win it late, also after a successor has found its row overdue: it must not
-// answer that one that it does not lead.
+// A claim may take effect late, even after a successor has found its row overdue. Until the outcome is known, the host
+// must not answer the successor that it doesn't lead.
 func TestAHostThatMayStillWinASeatIsNotOver(t *testing.T) {
 	t.Parallel()
 	for name, answer := range map[string]func(*election.Seat, *election.Write) election.Change{
@@ -258,13 +260,13 @@
 	a.TakeRead(at(0), at(0), nil, 0, storeAt(0))
 	w := a.Next(at(0), nil, 0, false)
 	a.TakeWritten(at(900), 0)
-	must.True(t, a.Claiming(), must.Sprint("nobody knows whether the claim stands"))
+	must.True(t, a.Claiming(), must.Sprint("the claim's outcome is unknown"))
 	w.Row.Holder, w.Row.Epoch = "b/1", 2
 	a.TakeRead(at(1500), at(1490), w.Row, 4, storeAt(1500))
 	must.False(t, a.Claiming())
 }
 
-// A process that leads again is one predecessor, with the later of its times.
+// A process that led twice is named once, with the later of its two times.
 func TestARowNamesAProcessThatLedTwiceOnce(t *testing.T) {
 	t.Parallel()
 	row := &wire.CellLead{
@@ -280,8 +282,8 @@
 	must.Greater(t, 10*time.Second, list[1].Grants)
 }
 
-// A worker gets work again only once no row names its runs, so that is written at once; that runs are known waits
-// for a renewal, and that they became fewer until they are half as many.
+// A worker gets work again only after the table no longer lists its runs as known, so this change is written at once.
+// Newly known runs wait for the next renewal. A list that has become shorter waits until it is half as long.
 func TestTheMembershipIsWrittenAtOnceWhereAWorkersRunsAreNotKnownAnyMore(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
--- a/pkg/process/election/predecessors.go
+++ b/pkg/process/election/predecessors.go
@@ -7,27 +7,27 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Predecessors: leaders that were replaced before they gave the cell up. Each may go on for its tenure,
-// unless it answers that it does not lead. The row names all of them that are not known to be over, so
-// that a successor can ask each, however fast leaders followed each other.
+// Predecessors are leaders that were replaced before they released the cell. Each may keep leading for its tenure,
+// unless it answers that it doesn't lead. The row names all of them that are not known to have ended, so that a
+// successor can ask each one even when several leaders changed within one tenure.
 
 const (
-	// mostEarlier bounds the leaders that a row names.
+	// mostEarlier bounds the number of predecessors that a row names.
 	mostEarlier = 8
-	// earlierKept is how long a leader is named after its tenure: longer than any lease.
+	// earlierKept is the time for which a row names a predecessor after its tenure. It is longer than any lease.
 	earlierKept = 12 * time.Second
 )
 
-// Predecessor is a leader that may not know that it was replaced.
+// Predecessor is an earlier leader that may not know that it was replaced.
 type Predecessor struct {
-	// Holder names the incarnation of its process; Host and Address are where that runs. All are empty
-	// where several were merged, or a row does not tell.
+	// Holder identifies the incarnation of its process, Host and Address its location. All are empty if the
+	// entry merges several predecessors or the row names none.
 	Holder, Host, Address string
-	// Grants is how long it may still grant leases; below zero: so long ago it could.
+	// Grants is the time for which it may still grant leases. It is negative if that time has passed.
 	Grants time.Duration
 }
 
-// Over takes in that a predecessor grants nothing more.
+// Over records that a predecessor grants no more leases.
 func (s *Seat) Over(holder string) {
 	if s.over == nil {
 		s.over = map[string]bool{}
@@ -35,7 +35,7 @@
 	s.over[holder] = true
 }
 
-// predecessors are the leaders that the own row names.
+// predecessors returns the earlier leaders that this leader's row names.
 func (s *Seat) predecessors(now time.Time) []Predecessor {
 	list := make([]Predecessor, 0, len(s.row.GetEarlier()))
 	for _, e := range s.row.GetEarlier() {
@@ -45,7 +45,7 @@
 	return list
 }
 
-// notOver leaves out the leaders that are known to be over.
+// notOver returns the entries whose leaders are not known to have ended.
 func (s *Seat) notOver(list []*wire.EarlierLeader) []*wire.EarlierLeader {
 	if s.settled {
 		return nil
@@ -53,7 +53,8 @@
 	return slices.DeleteFunc(slices.Clone(list), func(e *wire.EarlierLeader) bool { return e.GetHolder() != "" && s.over[e.GetHolder()] })
 }
 
-// earlierLeaders are the leaders before a successor of a row's that are not known to be over.
+// earlierLeaders returns the predecessors that a successor of the row's holder has to name. They are the row's own
+// entries until earlierKept after their tenure, and the holder unless it released the seat. store is the table's clock.
 func earlierLeaders(row *wire.CellLead, store time.Duration) []*wire.EarlierLeader {
 	if row == nil {
 		return nil
@@ -72,7 +73,8 @@
 	return merged(list)
 }
 
-// merged bounds a list by making one entry of the oldest ones, which then can't be asked any more.
+// merged bounds the list to mostEarlier by merging the oldest entries into one without names. A successor can't
+// ask the leaders of that entry and waits for their time to pass.
 func merged(list []*wire.EarlierLeader) []*wire.EarlierLeader {
 	if len(list) <= mostEarlier {
 		return list
@@ -82,7 +84,8 @@
 	return append([]*wire.EarlierLeader{one}, list[len(oldest):]...)
 }
 
-// lastUntil is when the last of some leaders may grant; 0: there are none.
+// lastUntil returns the latest time at which any of the leaders may grant a lease, in milliseconds of the table's
+// clock, or 0 for an empty list.
 func lastUntil(list []*wire.EarlierLeader) int64 {
 	last := int64(0)
 	for _, e := range list {
--- a/pkg/process/interference/guard.go
+++ b/pkg/process/interference/guard.go
@@ -6,22 +6,22 @@
 
 // ---------------------------------------------------------------- actions
 
-// Verb is what a Guard asks for.
+// Verb is the kind of an Action.
 type Verb int
 
 // The verbs, mildest first.
 const (
-	// Nothing is to be done.
+	// Nothing means that no action is needed.
 	Nothing Verb = iota
-	// Throttle holds the offender to a share of its reservation.
+	// Throttle limits the task to a share of its reservation.
 	Throttle
-	// Evict takes the offender off the worker, with a checkpoint.
+	// Evict removes the task from the worker, with a checkpoint.
 	Evict
 	// Restore lifts a throttle.
 	Restore
 )
 
-// Action is what to do to which attempt, and the evidence for it.
+// Action is an action on one task. Service and Ratio name the sample that led to it.
 type Action struct {
 	Verb    Verb
 	Task    string
@@ -29,18 +29,18 @@
 	Ratio   float64
 }
 
-// Candidate is a task beside the service, as the Guard weighs it.
+// Candidate is a batch task on the service's worker that the Guard may act on.
 type Candidate struct {
 	Task      string
 	Kind      string
 	Priority  int
 	Throttled bool
-	// Cost is what an eviction would throw away or redo: larger is worse.
+	// Cost is the cost of an eviction: the work that would be lost or redone. Larger is worse.
 	Cost float64
 }
 
-// Sample is one late reading: the latency as a share of the target, and when
-// it was taken (not when it arrived).
+// Sample is one reading of a service's latency, which arrives late. Ratio is the latency as a share of the target.
+// TakenAt is the time of the reading, not of its arrival.
 type Sample struct {
 	Service string
 	Ratio   float64
@@ -48,29 +48,28 @@
 }
 
 const (
-	// missRatio is the level at which a target counts as missed.
+	// missRatio is the latency ratio above which a target counts as missed.
 	missRatio = 1.0
-	// calmRatio is the level below which a throttle is lifted. The gap between
-	// the two is the hysteresis.
+	// calmRatio is the latency ratio up to which a throttle is lifted. The gap to missRatio is the
+	// hysteresis.
 	calmRatio = 0.7
-	// settle is how long an action takes to show in a sample taken afterwards.
+	// settle is the time until an action takes effect on the latency.
 	settle = 2 * time.Second
 )
 
-// Guard watches the services of one worker. A sample that was taken before the
-// last action, or within settle of it, speaks of a cause that has been dealt
-// with and leads to no second action.
+// Guard decides on actions for the services of one worker. A sample taken before the last action, or within
+// settle after it, shows the latency without the effect of that action and leads to no second one.
 type Guard struct {
 	actedAt time.Time
 	model   *Model
 }
 
-// NewGuard returns the guard of one worker; the model is shared by all.
+// NewGuard returns the guard of one worker. All guards share the model.
 func NewGuard(model *Model) *Guard {
 	return &Guard{model: model}
 }
 
-// Decide weighs one sample against the tasks present.
+// Decide returns the action for one sample, given the batch tasks on the worker. The zero Action is none.
 func (g *Guard) Decide(now time.Time, s Sample, tasks []Candidate) Action {
 	if !g.actedAt.IsZero() && s.TakenAt.Before(g.actedAt.Add(settle)) {
 		return Action{}
@@ -109,8 +108,8 @@
 	return Action{}
 }
 
-// offender picks the task with the most harm. Among equals a lower priority
-// goes first, then the one that is cheaper to resume.
+// offender returns the task that harms the service most. Ties go to the lower priority, then to the lower
+// cost of an eviction.
 func (g *Guard) offender(service string, tasks []Candidate) (Candidate, bool) {
 	var worst Candidate
 	found := false
--- a/pkg/process/interference/model.go
+++ b/pkg/process/interference/model.go
@@ -1,46 +1,47 @@
-// Package interference learns which kinds of batch work harm which services, and says what to
-// do when a service misses its target. The only evidence is a service's tail latency on a
-// worker, which arrives late.
+// Package interference learns which kinds of batch work slow which services down, and chooses the action
+// when a service misses its target. Its only input is a service's tail latency on a worker, which
+// arrives late.
 //
 // Package hall uses Model (one harm per pair, by normalised least mean squares) and Guard (at
 // most one action for a missed target: first a throttle, later an eviction); package cell uses
-// Press and OwnLoad, filters over the levels of queues.
+// PressureModel and OwnLoad, Kalman filters over the levels of tail latencies.
 //
-// It makes no calls and reads no clock, and acts on nothing itself.
+// The package does no I/O, reads no clock and carries out no action itself.
 package interference
 
 // Present counts the running tasks of each kind on one worker.
 type Present map[string]int
 
-// pair names one learned harm.
+// pair identifies one learned harm: that of a kind of task on a service.
 type pair struct {
 	service string
 	kind    string
 }
 
 const (
-	// learningRate is how far one sample moves the harms it speaks of.
+	// learningRate is the step size by which one sample changes the baseline and the harms of
+	// the kinds that were present.
 	learningRate = 0.3
-	// unknownHarm is what a kind that was never seen beside a service is taken
-	// to do: a little, so that known-harmless kinds go first.
+	// unknownHarm is the assumed harm of a kind that has not run beside the service. It is above 0, so that
+	// kinds known to be harmless are preferred.
 	unknownHarm = 0.05
-	// baselineRate is how fast a service's level without batch work is learnt.
+	// baselineRate is the step size for a service's latency ratio without batch work.
 	baselineRate = 0.1
 )
 
-// Model holds what has been learnt. It belongs to the control thread.
+// Model holds the learned harms and baselines. It is not safe for concurrent use: only the control loop uses it.
 type Model struct {
 	harms     map[pair]float64
 	baselines map[string]float64
 }
 
-// NewModel returns a model that knows nothing.
+// NewModel returns a model without samples.
 func NewModel() *Model {
 	return &Model{harms: map[pair]float64{}, baselines: map[string]float64{}}
 }
 
-// Harm is how much one task of the kind adds to the service's latency, as a
-// share of the service's target (0.2: a fifth of the target).
+// Harm returns the latency that one task of the kind adds to the service, as a share of the service's target
+// (0.2: a fifth of the target).
 func (m *Model) Harm(service, kind string) float64 {
 	if h, ok := m.harms[pair{service, kind}]; ok {
 		return h
@@ -48,8 +49,7 @@
 	return unknownHarm
 }
 
-// Predict is the latency expected of a service beside the given work, as a
-// share of its target.
+// Predict returns the latency expected of a service beside the given batch work, as a share of its target.
 func (m *Model) Predict(service string, present Present) float64 {
 	level := m.baselines[service]
 	for kind, n := range present {
@@ -58,8 +58,8 @@
 	return level
 }
 
-// Learn takes in one sample: the service's latency as a share of its target,
-// with the work that was present when the sample was taken.
+// Learn updates the model by one sample. ratio is the service's latency as a share of its target, present the batch
+// work on the worker when the sample was taken.
 func (m *Model) Learn(service string, ratio float64, present Present) {
 	miss := ratio - m.Predict(service, present)
 	if len(present) == 0 {
--- a/pkg/process/interference/own.go
+++ b/pkg/process/interference/own.go
@@ -5,13 +5,12 @@
 	"time"
 )
 
-// OwnLoad is what is believed of one serving task's own load: how far its level is
-// from what its image and its neighbours explain, and how fast that changes. Loads
-// swing over ten to twenty seconds, so that the last second tells where the next
-// one goes; a miss that the swing explains is not blamed on neighbours.
+// OwnLoad estimates the part of one serving task's level that comes from the task's own load: the difference from
+// the level explained by its image and its neighbours, and the rate at which that difference changes. Loads
+// swing with periods of ten to twenty seconds, so the last second predicts the next one. A change that the
+// swing explains is not attributed to neighbours.
 //
-// It is a Kalman filter over load and trend, whose motion is that of a spring:
-// what is far from the mean turns back.
+// It is a Kalman filter over load and trend. Its motion model is a spring: a load far from the mean returns to it.
 type OwnLoad struct {
 	load, trend                  float64
 	loadVar, trendVar, covariant float64
@@ -19,27 +18,26 @@
 }
 
 const (
-	// swing is the angular speed of a wave of 15 s, a second.
+	// swing is the angular speed of a load wave with a period of 15 s, in radians per second.
 	swing = 2 * math.Pi / 15
-	// ownSD is the deviation of a load that nothing is known of, trendSD that of
-	// its trend, a second.
+	// ownSD is the standard deviation of the load before the first reading, trendSD that of its trend, per
+	// second.
 	ownSD   = 1.0
 	trendSD = 0.6
-	// jerkSD is how much the trend strays from the spring's, per square root of a
-	// second.
+	// jerkSD is the standard deviation by which the trend departs from the spring's motion, per square root of
+	// a second.
 	jerkSD = 0.25
-	// forgetAfter is the gap between readings after which nothing is known any
-	// more: a quarter of a wave.
+	// forgetAfter is the gap between readings after which the estimate starts anew: about a quarter of a wave.
 	forgetAfter = 3 * time.Second
 )
 
-// Expect is the load to expect some time after the last reading.
+// Expect returns the load expected at the given time after the last reading.
 func (o *OwnLoad) Expect(after time.Duration) float64 {
 	angle := swing * after.Seconds()
 	return o.load*math.Cos(angle) + o.trend/swing*math.Sin(angle)
 }
 
-// drift moves the belief on to now.
+// drift advances the estimate to now: the prediction step of the filter.
 func (o *OwnLoad) drift(now time.Time) {
 	gap := now.Sub(o.at)
 	if o.at.IsZero() || gap > forgetAfter {
@@ -50,7 +48,7 @@
 	if gap <= 0 {
 		return
 	}
-	// The motion of a spring is a rotation: load and trend / swing turn.
+	// The motion of a spring rotates the vector (load, trend / swing).
 	angle := swing * gap.Seconds()
 	c, s := math.Cos(angle), math.Sin(angle)
 	load, trend := o.load, o.trend
@@ -62,7 +60,7 @@
 	o.trendVar = s*s*swing*swing*p - 2*c*s*swing*q + c*c*r + jerkSD*jerkSD*gap.Seconds()
 }
 
-// update takes in a miss of the level that has the given variance in all.
+// update is the filter's update step. miss is the measured level less the expected one, variance its total variance.
 func (o *OwnLoad) update(miss, variance float64) {
 	load, trend := o.loadVar/variance, o.covariant/variance
 	o.load += load * miss
--- a/pkg/process/interference/press.go
+++ b/pkg/process/interference/press.go
@@ -10,86 +10,84 @@
 	"time"
 )
 
-// PressureModel learns how much fillers of one image keep serving tasks of another from
-// their users: one coefficient a pair, beside what the task's own load does.
+// PressureModel learns how much fillers of one image slow serving tasks of another down: one coefficient per pair of
+// images, apart from the effect of the serving task's own load.
 //
-// A serving task is a queue: the tail of its answers grows as
+// A serving task is modelled as a queue, whose tail latency grows as
 //
 //	tail = unloaded / (1 - busy)
 //
-// so that 1/tail, and not the tail or its logarithm, is linear in what keeps it
-// busy. A reading's Level is therefore 1 - target/tail: 0 at the target, below 0
-// while there is room, 1 for a tail without bound; the unloaded tail need not be
-// known. It is explained as
+// so 1/tail, and not the tail or its logarithm, is linear in the sources of load. A reading's Level is
+// therefore 1 - target/tail: 0 at the target, below 0 for a tail below the target, 1 for an unbounded tail. The
+// unloaded tail need not be known. The level is modelled as
 //
 //	level = alone + own + sum over fillers of coefficient x pressure
 //
-// where a filler's pressure is the share of the worker's processors that it
-// uses, and own the task's own load, which swings over some seconds. Most pairs
-// don't meet at all, a few press hard, and several fillers run side by side: so
-// each serving image has a Kalman filter over its coefficients, which knows how
-// sure it is of each, and gives a miss to those that it is least sure of. What
-// is not seen for a while becomes less sure again.
+// where alone is the image's level without fillers, a filler's pressure is the share of the worker's processors
+// that it uses, and own is the effect of the task's own load (OwnLoad), which swings over some seconds. Most
+// pairs never share a worker, a few slow the serving task down a lot, and several fillers run side by side. So
+// each serving image has a Kalman filter over its coefficients. The filter tracks the variance of each
+// coefficient and attributes a residual mostly to the least certain ones. The variance of all coefficients
+// grows again with time.
 //
-// Readings teach a filter of one process and cell alone. What leaders of other cells,
-// and earlier ones of the same, say of theirs is heard and merged with it, each
-// weighed by how sure it is (share.go).
+// Readings update only the filters of one process and cell. The filters' estimates from leaders of other cells, and
+// from earlier leaders of the same cell, are merged with them, weighted by inverse variance (share.go).
 type PressureModel struct {
 	images map[string]*filter
 	heard  map[string]Beliefs
 	merged map[string]belief
-	// mergedAt is when merged was made.
+	// mergedAt is the time at which merged was computed.
 	mergedAt time.Time
 }
 
 const (
-	// firstAlone is the level of a task that is half busy, at a target of six times the
-	// unloaded tail.
+	// firstAlone is the initial level of an image without fillers: that of a task that is half busy, with a
+	// target of six times its unloaded tail.
 	firstAlone   = -2.1
 	firstAloneSD = 0.5
-	// firstPress lies between fillers that hardly press and those that do.
+	// firstPress is the initial coefficient. It lies between those of harmless and of harmful fillers.
 	firstPress   = 3.0
 	firstPressSD = 6.0
 	readingSD    = 0.3
 	aloneDriftSD = 0.02 // per square root of a second
-	pressDriftSD = 0.1  // likewise
+	pressDriftSD = 0.1  // per square root of a second
 	longestDrift = 5 * time.Second
-	// missMost bounds what one reading can say.
+	// missMost bounds the residual of one reading.
 	missMost = 2.5
-	// saturated is the level (five times the target) from which readings only
-	// say that it is at least so high.
+	// saturated is the level (a tail of five times the target) above which a reading only gives a lower bound.
 	saturated = 0.8
-	// surePress is the deviation below which a coefficient counts as known, and
-	// leastKnown how many must be, of both, to compare two images.
+	// surePress is the standard deviation up to which a coefficient counts as known. leastKnown is the number
+	// of fillers whose coefficients must be known for both of two images to compare them.
 	surePress  = 2.0
 	leastKnown = 3
-	// rounding is the deviation of a tail that is told in whole milliseconds.
+	// rounding is the standard deviation of the rounding error of a tail reported in whole milliseconds, in
+	// milliseconds.
 	rounding = 0.29
 )
 
-// Reading is one reading of a serving task: how high, and how rough.
+// Reading is one reading of a serving task's tail latency: its level, and the standard deviation of that.
 type Reading struct {
 	Level, SD float64
 }
 
-// NewReading makes a reading of a tail and its target, both above 0.
+// NewReading returns the reading for a tail latency and its target, both above 0.
 func NewReading(tail, target time.Duration) Reading {
 	headroom := float64(target) / float64(tail)
 	rough := headroom * rounding * float64(time.Millisecond) / float64(tail)
 	return Reading{Level: 1 - headroom, SD: math.Hypot(readingSD, rough)}
 }
 
-// filter is what is believed of one serving image. Index 0 is alone, the others
-// are fillers.
+// filter is the Kalman filter of one serving image. State 0 is its level alone; the others are the coefficients of
+// fillers.
 type filter struct {
 	index map[string]int
 	mean  []float64
-	// cov is the covariance, row by row.
+	// cov is the covariance matrix, by rows.
 	cov [][]float64
 	at  time.Time
 }
 
-// NewPressureModel returns a model that knows nothing.
+// NewPressureModel returns a model without readings.
 func NewPressureModel() *PressureModel {
 	return &PressureModel{images: map[string]*filter{}, heard: map[string]Beliefs{}, merged: map[string]belief{}}
 }
@@ -104,7 +102,7 @@
 	return f
 }
 
-// grow adds a state with a first belief.
+// grow adds a state with an initial mean and standard deviation and returns its index.
 func (f *filter) grow(mean, sd float64) int {
 	n := len(f.mean)
 	f.mean = append(f.mean, mean)
@@ -125,13 +123,13 @@
 	return i
 }
 
-// Coefficient is how much the filler's whole use of a worker's processors
-// would add to the serving image's level.
+// Coefficient returns the level that the filler would add to the serving image if it used all of a worker's
+// processors.
 func (p *PressureModel) Coefficient(serving, filler string) float64 {
 	return p.merged[serving].coefficient(filler).Mean
 }
 
-// Alone is the level of a serving image without fillers.
+// Alone returns the level of a serving image without fillers.
 func (p *PressureModel) Alone(serving string) float64 {
 	if b, ok := p.merged[serving]; ok {
 		return b.alone.Mean
@@ -139,18 +137,18 @@
 	return firstAlone
 }
 
-// unknownAlike stands in for how alike two images are while little is known of one.
+// unknownAlike is the similarity assumed for two images while too few of their coefficients are known.
 const unknownAlike = 0.3
 
-// Alike says how alike two serving images are in what presses on them: 1 for the
-// same, 0 for two that share nothing.
+// Alike returns the similarity of two serving images by their known coefficients: 1 for equal ones, 0 if no filler
+// slows both down. It is the sum of the smaller coefficients divided by that of the larger.
 func (p *PressureModel) Alike(one, other string) float64 {
 	if one == other {
 		return 1
 	}
 	f, g := p.merged[one], p.merged[other]
 	least, most, known := 0.0, 0.0, 0
-	for _, filler := range slices.Sorted(maps.Keys(f.fillers)) { // in order: sums of floats depend on it
+	for _, filler := range slices.Sorted(maps.Keys(f.fillers)) { // sorted, since sums of floats depend on the order
 		in := f.fillers[filler]
 		like, ok := g.fillers[filler]
 		if !ok || in.Variance > surePress*surePress || like.Variance > surePress*surePress {
@@ -166,7 +164,8 @@
 	return least / most
 }
 
-// Predict is the level to expect beside the given pressures.
+// Predict returns the level expected of a serving image beside the given pressures by filler, without the task's own
+// load.
 func (p *PressureModel) Predict(serving string, pressures map[string]float64) float64 {
 	level := p.Alone(serving)
 	for _, filler := range slices.Sorted(maps.Keys(pressures)) {
@@ -175,8 +174,8 @@
 	return level
 }
 
-// Learn takes in one reading of a task, and the pressures that were there during
-// it.
+// Learn updates the filters by one reading of a serving task. pressures holds the pressures on its worker during
+// the reading by filler, own the estimate of the task's own load.
 func (p *PressureModel) Learn(now time.Time, serving string, reading Reading, pressures map[string]float64, own *OwnLoad) {
 	own.drift(now)
 	f := p.image(serving)
@@ -193,7 +192,7 @@
 	f.update(reading, weights, own)
 }
 
-// drift lets time make the beliefs less sure.
+// drift advances the filter to now: the variances grow with time, up to their initial values.
 func (f *filter) drift(now time.Time) {
 	span := min(now.Sub(f.at), longestDrift).Seconds()
 	if f.at.IsZero() {
@@ -212,7 +211,7 @@
 	}
 }
 
-// update is the filter's step for one reading.
+// update is the filter's update step for one reading. weights holds the factor of each state in the expected level.
 func (f *filter) update(reading Reading, weights []float64, own *OwnLoad) {
 	n := len(f.mean)
 	gain := make([]float64, n)
@@ -233,7 +232,7 @@
 	for i := range n {
 		f.mean[i] += gain[i] * miss / variance
 		if i > 0 {
-			f.mean[i] = math.Max(0, f.mean[i]) // nothing makes a neighbour faster
+			f.mean[i] = math.Max(0, f.mean[i]) // no filler speeds a serving task up
 		}
 	}
 	for i := range n {
@@ -244,7 +243,7 @@
 	own.update(miss, variance)
 }
 
-// Fillers lists the filler images that were seen beside any serving image.
+// Fillers returns the filler images that have run beside any serving image, sorted.
 func (p *PressureModel) Fillers() []string {
 	seen := map[string]bool{}
 	for _, b := range p.merged {
@@ -255,7 +254,7 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// Words tells what is believed of each serving image, for the log.
+// Words returns one line per serving image with this process's own estimates, for the log.
 func (p *PressureModel) Words() []string {
 	list := make([]string, 0, len(p.images))
 	for serving, f := range p.images {
--- a/pkg/process/interference/press_test.go
+++ b/pkg/process/interference/press_test.go
@@ -13,14 +13,14 @@
 	"github.com/wrenferry/wrenferry/pkg/process/interference"
 )
 
-// queueTail is the tail of a queue whose unloaded tail is a sixth of its target.
+// queueTail returns the tail latency of a queue whose unloaded tail is a sixth of its target.
 func queueTail(target time.Duration, busy float64) time.Duration {
 	return time.Duration(float64(target) / 6 / (1 - min(busy, 0.99)))
 }
 
-// readings plays a serving task for a minute: its own load swings by half in 20 s,
-// the fillers in busyBy press on it by so much at full use. Each filler comes and
-// goes at times that a seed draws.
+// readings simulates a serving task for a minute. Its own load swings by half with a period of 20 s. busyBy holds
+// the utilization that each filler adds when it uses all processors. A seeded generator decides when each filler
+// runs. rough is the relative standard deviation of the tail.
 func readings(press *interference.PressureModel, image string, busyBy map[string]float64, rough float64) {
 	const target = 150 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
@@ -47,7 +47,8 @@
 	}
 }
 
-// A pair has one coefficient at all loads of the serving task.
+// The coefficient of a pair doesn't depend on the load of the serving task, so harmful fillers are told from harmless
+// ones while the load swings.
 func TestWhatPressesIsToldFromWhatDoesNot(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
@@ -71,7 +72,7 @@
 	must.Between(t, 0.1, press.Alike("rates", "unseen"), 0.5)
 }
 
-// The own load's next second is told from its last ones.
+// The forecast of the own load for the next second follows a load wave with a period of 20 s.
 func TestAnOwnLoadIsFollowed(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
@@ -110,8 +111,8 @@
 	must.Greater(t, 0.8, before+own.Expect(0))
 }
 
-// A new leader, and one whose cell has seen little, decide by what others have seen;
-// what is heard back of one's own words adds nothing.
+// A leader with few readings of its own uses the beliefs received from other leaders, and doesn't pass them on as its
+// own. Beliefs that know less don't replace them.
 func TestWhatOthersHaveLearnedCounts(t *testing.T) {
 	t.Parallel()
 	learned := interference.NewPressureModel()
@@ -120,8 +121,8 @@
 	fresh.Hear("a", learned.Own())
 	fresh.Merge(time.Unix(100, 0))
 	must.Eq(t, learned.Coefficient("quotes", "hard"), fresh.Coefficient("quotes", "hard"))
-	must.Eq(t, 0, len(fresh.Own()), must.Sprint("it has learned nothing itself"))
-	fresh.Hear("a", interference.Beliefs{}) // its next leader knows nothing yet
+	must.Eq(t, 0, len(fresh.Own()), must.Sprint("received beliefs are not its own"))
+	fresh.Hear("a", interference.Beliefs{}) // from the cell's next leader, which has no readings yet
 	fresh.Merge(time.Unix(200, 0))
 	must.Eq(t, learned.Coefficient("quotes", "hard"), fresh.Coefficient("quotes", "hard"))
 }
--- a/pkg/process/interference/share.go
+++ b/pkg/process/interference/share.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Beliefs that are shared. A process says what its own filters have learned, and
-// nothing that it has heard: so no word comes back to who said it and counts twice.
-// Images behave alike in all cells.
+// Sharing of beliefs between leaders. A process sends only the estimates of its own filters and none that it has
+// received, so that no estimate returns to its sender and counts twice. Sharing works since images behave alike in all
+// cells.
 
-// Estimate is a figure and how sure it is.
+// Estimate is the mean and variance of an estimated level or coefficient.
 type Estimate struct{ Mean, Variance float64 }
 
-// Beliefs are what one filter has learned: by serving image.
+// Beliefs holds the estimates of one process's filters by serving image.
 type Beliefs map[string]ImageBelief
 
-// ImageBelief is what is believed of a serving image.
+// ImageBelief holds the estimates for one serving image.
 type ImageBelief struct {
-	// Alone is its level without fillers, Fillers the coefficient of each.
+	// Alone is the level without fillers. Fillers holds the coefficient of each filler.
 	Alone   Estimate
 	Fillers map[string]Estimate
 }
 
-// belief is a merged one.
+// belief holds the merged estimates for one serving image.
 type belief struct {
 	alone   Estimate
 	fillers map[string]Estimate
@@ -36,10 +36,10 @@
 	return Estimate{firstPress, firstPressSD * firstPressSD}
 }
 
-// mergeEvery is how old merged beliefs may be: readings come every half second.
+// mergeEvery bounds the age of merged beliefs. It is less than the interval of readings, half a second.
 const mergeEvery = 250 * time.Millisecond
 
-// Own returns what this process's filters have learned.
+// Own returns the estimates of this process's filters, without those received.
 func (p *PressureModel) Own() Beliefs {
 	own := Beliefs{}
 	for image, f := range p.images {
@@ -52,15 +52,15 @@
 	return own
 }
 
-// Hear takes in what another process says that it has learned in a cell. A newer word
-// of the same cell takes the place of an older one, unless it knows less.
+// Hear stores the beliefs that another process has learned in a cell. They replace older ones of the same
+// cell unless fewer of their coefficients are known.
 func (p *PressureModel) Hear(cell string, b Beliefs) {
 	if sureness(b) >= sureness(p.heard[cell]) {
 		p.heard[cell] = b
 	}
 }
 
-// sureness is how many pairs a belief is sure of.
+// sureness returns the number of coefficients that count as known (surePress).
 func sureness(b Beliefs) int {
 	n := 0
 	for _, image := range b {
@@ -73,7 +73,8 @@
 	return n
 }
 
-// Merge brings what is used for decisions up to date with what was learned and heard.
+// Merge recomputes the merged beliefs, which predictions use, from own and received ones. It does so at most once per
+// mergeEvery.
 func (p *PressureModel) Merge(now time.Time) {
 	if age := now.Sub(p.mergedAt); !p.mergedAt.IsZero() && age >= 0 && age < mergeEvery {
 		return
@@ -89,7 +90,7 @@
 func (p *PressureModel) mergeIn(b Beliefs) {
 	for image, in := range b {
 		if in.Alone.Variance <= 0 {
-			continue // nobody is that sure: a word that can't be right
+			continue // invalid: the variance of an estimate is positive
 		}
 		have, ok := p.merged[image]
 		if !ok {
@@ -99,7 +100,7 @@
 		}
 		for filler, e := range in.Fillers {
 			if e.Variance <= 0 {
-				continue // likewise
+				continue // invalid, too
 			}
 			if known, ok := have.fillers[filler]; ok {
 				e = both(known, e)
@@ -110,7 +111,7 @@
 	}
 }
 
-// both weighs two estimates of one figure by how sure each is.
+// both combines two estimates of one quantity, weighted by inverse variance.
 func both(a, b Estimate) Estimate {
 	sum := a.Variance + b.Variance
 	return Estimate{Mean: (a.Mean*b.Variance + b.Mean*a.Variance) / sum, Variance: a.Variance * b.Variance / sum}
--- a/pkg/process/leadership/leadership.go
+++ b/pkg/process/leadership/leadership.go
@@ -1,10 +1,10 @@
-// Package leadership decides who leads a hall, and for how long a leader may grant leases.
+// Package leadership elects the leader of a hall and bounds the time for which it may grant leases.
 //
-// Package hall asks it at each step. One row of the platform's table holds a hall's
-// leadership; the spans of time that matter are settings, told where they are used. This is
-// the model's process Leader (model/lease.pml): claim, renew, step down.
+// Package hall calls it at each step. One row of the platform's table holds a hall's
+// leadership. The durations are settings; the parameters that take them describe them. The package
+// implements process Leader of the model (model/lease.pml): claim, renew, step down.
 //
-// It does no I/O and reads no clock; values are immutable.
+// The package does no I/O and reads no clock; values are immutable.
 package leadership
 
 import (
@@ -17,45 +17,46 @@
 
 // ----------------------------------------------------------------- role
 
-// Role is what an entry host is to a hall.
+// Role is the role of an entry host in the election of a hall's leader.
 type Role int
 
 // The roles.
 const (
-	// Follower: somebody else leads, or nobody does yet.
+	// Follower means that another process leads or that there is no leader yet.
 	Follower Role = iota
-	// Claiming: a claim has been sent and not yet answered for sure.
+	// Claiming means that a claim has been sent and its outcome is not yet certain.
 	Claiming
-	// Leader: this process holds the epoch.
+	// Leader means that this process holds the epoch.
 	Leader
 )
 
-// String names the role for logs and pages.
+// String returns the role's name for logs and status pages.
 func (r Role) String() string {
 	return [...]string{"follower", "claiming", "leader"}[r]
 }
 
-// marginShare is the part of any awaited span that is added for clock speed
-// differences between hosts: a twentieth, far above what quartz clocks do.
+// marginShare is the divisor of the safety margin for clock speed differences between hosts. The margin is a
+// twentieth of the awaited duration, far above the drift of quartz clocks.
 const marginShare = 20
 
-// WithMargin lengthens a span that belongs to another host's clock.
+// WithMargin returns a duration that another host measures by its own clock, lengthened by the safety margin for
+// differences in clock speed.
 func WithMargin(span time.Duration) time.Duration {
 	return span + span/marginShare
 }
 
 // Leadership is one entry host's view of one hall's leadership. Values are
-// immutable: each With method returns the next one.
+// immutable: each With method returns a changed copy.
 //
-// Three spans of time matter, all of them settings:
+// Three durations matter, all of them settings:
 //
-//   - takeover: how long the row must stand still, by an observer's own
+//   - takeover: the time for which the row must stay unchanged, by an observer's own
 //     monotonic clock, before the observer may claim it with a higher epoch;
-//   - tenure: how long after its last renewal a leader that can't reach the
-//     table may go on granting. It is counted from before the renewal was sent,
-//     so that a lost or late answer can only make it shorter;
-//   - margin: what is added when waiting for somebody else's time to pass,
-//     for clocks that run at slightly different speeds.
+//   - tenure: the time after its last renewal for which a leader that can't reach the
+//     table may keep granting leases. It is counted from before the renewal was sent,
+//     so a lost or late answer can only make it shorter;
+//   - margin: the time added when one host waits for a duration that another host measures,
+//     since clocks run at slightly different speeds.
 type Leadership struct {
 	hall    string
 	holder  string
@@ -69,32 +70,32 @@
 	renewedAt     time.Time
 	accededAt     time.Time
 	predecessorMS int64
-	// boundMS is the shortest tenure that the table may hold for this leader:
-	// the one surely written, or a shorter one on its way.
+	// boundMS is the shortest tenure, in milliseconds, that the table may hold for this leader: the one
+	// surely written, or a shorter one whose write is pending.
 	boundMS int64
 }
 
-// New returns the view of a process that knows nothing yet.
+// New returns the view of a process that has not read the row yet.
 func New(hall, holder, address string) Leadership {
 	return Leadership{hall: hall, holder: holder, address: address, row: &wire.LeaderRow{Hall: hall}}
 }
 
-// Role returns what this process is now.
+// Role returns the present role of this process.
 func (l Leadership) Role() Role { return l.role }
 
-// Epoch returns the epoch last seen, or held.
+// Epoch returns the epoch of the row last read or written.
 func (l Leadership) Epoch() int64 { return l.row.GetEpoch() }
 
-// Row returns the row last seen or written. It must not be changed.
+// Row returns the row last read or written. The caller must not change it.
 func (l Leadership) Row() *wire.LeaderRow { return l.row }
 
-// Revision returns the row's revision in the table.
+// Revision returns the last known revision of the row in the table; 0 means that there is no row.
 func (l Leadership) Revision() int64 { return l.revision }
 
 // ------------------------------------------------------------ following
 
-// WithObserved takes in a reading of the row. The clock of the takeover starts
-// anew whenever the row has moved.
+// WithObserved handles a reading of the row. The takeover time starts anew whenever the row's revision
+// has changed. A leader ignores readings, and so does a follower those of older revisions.
 func (l Leadership) WithObserved(now time.Time, row *wire.LeaderRow, revision int64) Leadership {
 	if l.role == Leader || revision < l.revision {
 		return l
@@ -109,8 +110,8 @@
 	return l
 }
 
-// MayClaim says whether the row has stood still for long enough, was given up
-// by its holder, or never existed.
+// MayClaim returns whether a follower may claim the row: the row has stayed unchanged for takeover plus the
+// margin, its holder has released it, or it doesn't exist.
 func (l Leadership) MayClaim(now time.Time, takeover time.Duration) bool {
 	if l.role != Follower || l.seenAt.IsZero() {
 		return false
@@ -121,8 +122,8 @@
 	return now.Sub(l.seenAt) > WithMargin(takeover)
 }
 
-// Claim returns the row to write, on condition that the row still has the
-// revision last seen.
+// Claim returns the row that claims the leadership. The caller writes it on condition that the stored row
+// still has the revision last read.
 func (l Leadership) Claim(tenure time.Duration) *wire.LeaderRow {
 	return &wire.LeaderRow{
 		Hall:     l.hall,
@@ -134,16 +135,15 @@
 	}
 }
 
-// WithClaiming remembers that a claim is under way.
+// WithClaiming records that a claim is pending.
 func (l Leadership) WithClaiming() Leadership {
 	l.role = Claiming
 	return l
 }
 
-// WithWon makes this process the leader. sentAt is when the claim was first
-// sent: the tenure is counted from there. now is when the answer came: the wait
-// for the predecessor's tenure is counted from there, which is later than any
-// renewal of a predecessor.
+// WithWon makes this process the leader. sentAt is the time at which the claim was first sent; the tenure is
+// counted from then. now is the time of the answer, which is later than any renewal of a predecessor; the
+// wait for the predecessor's tenure is counted from then.
 func (l Leadership) WithWon(sentAt, now time.Time, row *wire.LeaderRow, revision int64) Leadership {
 	l.predecessorMS = l.row.GetTenureMs()
 	l.role = Leader
@@ -155,8 +155,8 @@
 	return l
 }
 
-// WithLost makes this process a follower again that has yet to read the row: what it
-// knew of it is old, and may be that there is none.
+// WithLost makes this process a follower that has to read the row before it may claim again. Its last known row
+// is outdated; it may even be that no row existed.
 func (l Leadership) WithLost() Leadership {
 	l.role = Follower
 	l.seenAt = time.Time{}
@@ -165,13 +165,11 @@
 
 // -------------------------------------------------------------- leading
 
-// Renewal returns the row that renews the leadership. Each carries the next
-// number, so that a reading of the row tells which of several writes with lost
-// answers took effect.
+// Renewal returns the row that renews the leadership. Each renewal has the next number, so that a
+// reading of the row shows which of several writes with lost answers took effect.
 //
-// A new tenure may be shorter than the one before, but not shorter than the
-// longest lease that was granted: a successor that reads the shorter tenure must
-// still wait out that lease.
+// A new tenure may be shorter than the one before, but not shorter than the longest lease granted: a
+// successor that reads the shorter tenure must still wait until that lease has expired.
 func (l Leadership) Renewal(tenure, longestLease time.Duration) *wire.LeaderRow {
 	row := proto.CloneOf(l.row)
 	row.Renewals++
@@ -180,14 +178,14 @@
 	return row
 }
 
-// WithRenewing remembers that a renewal is on its way. From now on a shorter
-// tenure binds, since the table may hold it at any moment.
+// WithRenewing records that a renewal is pending. A shorter tenure binds the leader from now on, since the
+// table may hold it at any moment.
 func (l Leadership) WithRenewing(row *wire.LeaderRow) Leadership {
 	l.boundMS = min(l.boundMS, row.GetTenureMs())
 	return l
 }
 
-// Release returns the row that gives the leadership up, for a planned stop.
+// Release returns the row that releases the leadership, for a planned stop.
 func (l Leadership) Release() *wire.LeaderRow {
 	row := proto.CloneOf(l.row)
 	row.Renewals++
@@ -195,8 +193,8 @@
 	return row
 }
 
-// WithRenewed takes in a renewal that surely took effect. sentAt is when it was
-// last sent before the answer: the table may have applied it right then.
+// WithRenewed records a renewal that surely took effect. sentAt is the time at which it was last sent before
+// the answer; the table may have applied it at that time.
 func (l Leadership) WithRenewed(sentAt time.Time, row *wire.LeaderRow, revision int64) Leadership {
 	l.row = row
 	l.revision = revision
@@ -207,19 +205,18 @@
 	return l
 }
 
-// TenureEnd is the moment past which this leader grants nothing. No lease may
-// reach past it.
+// TenureEnd returns the time after which this leader grants no lease. No lease may end later than that.
 func (l Leadership) TenureEnd() time.Time {
 	return l.renewedAt.Add(time.Duration(l.boundMS) * time.Millisecond)
 }
 
-// MayGrant says whether the leader is within its tenure.
+// MayGrant returns whether this process is the leader and within its tenure.
 func (l Leadership) MayGrant(now time.Time) bool {
 	return l.role == Leader && now.Before(l.TenureEnd())
 }
 
-// PredecessorsOver is the moment after which no lease of any earlier leader can
-// be alive, on workers that this leader has not reached.
+// PredecessorsOver returns the time by which all leases of earlier leaders have expired, also on workers that
+// this leader has not reached.
 func (l Leadership) PredecessorsOver() time.Time {
 	return l.accededAt.Add(WithMargin(time.Duration(l.predecessorMS) * time.Millisecond))
 }
--- a/pkg/process/leadership/leadership_test.go
+++ b/pkg/process/leadership/leadership_test.go
@@ -10,7 +10,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A host that claims over a row that it has not read loses each claim.
+// A claim over a row that the host has not read anew loses, since the condition names an old revision.
 func TestALostClaimReadsTheRowBeforeTheNext(t *testing.T) {
 	t.Parallel()
 	const takeover = 3 * time.Second
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -1,12 +1,11 @@
-// Package table says what wrenferry asks of a transactional table service, in
-// wrenferry's own words. An adapter (platform/) speaks the service's protocol.
+// Package table defines the interface to a transactional table service, independent of the service's protocol. An
+// adapter (platform/) implements the protocol.
 //
-// Rows live in tables, and within a table in parts. A transaction stays within
-// one part. Every row has a version, drawn from one counter that rises with
-// each transaction. Errors say what is known:
+// Rows are in tables, and within a table in parts. A transaction stays within one part. Every row has a version
+// from one counter, which rises with each transaction. Errors tell the outcome of a request:
 //
-//	fault.NotRun       the service surely did nothing
-//	fault.Unknown      it may have done it, or may still do it later
+//	fault.NotRun       the service has surely done nothing
+//	fault.Unknown      the service may have carried out the request, or may do so later
 //	fault.Unavailable  a reading got no answer
 package table
 
@@ -17,58 +16,57 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// Key names one row.
+// Key identifies one row.
 type Key struct {
 	Table, Part, Key string
 }
 
-// Row is a row as it was read, or as it is to be written.
+// Row is a row that was read, or a row to write.
 type Row struct {
 	Key
 	Value []byte
-	// Version is that of the row's last change. As a condition, 0 means
-	// "not there".
+	// Version is the version of the row's last change. In a condition, 0 means that the row doesn't exist.
 	Version int64
-	// Gone marks, in a list of changes, a row that was removed.
+	// Gone marks a removed row in a list of changes.
 	Gone bool
 }
 
-// Condition demands that a row still has a version.
+// Condition requires that a row has the given version; 0 requires that the row doesn't exist.
 type Condition struct {
 	Key
 	Version int64
 }
 
-// Transaction is done whole or not at all.
+// Transaction is applied atomically if all its conditions hold.
 type Transaction struct {
 	Conditions []Condition
 	Puts       []Row
 	Removes    []Key
 }
 
-// Entries counts what the service counts against its limit.
+// Entries returns the number of entries that count toward the service's limit for one transaction.
 func (t Transaction) Entries() int { return len(t.Conditions) + len(t.Puts) + len(t.Removes) }
 
 // Committed is the answer to a transaction.
 type Committed struct {
-	// Conflict says that nothing was done, since a condition did not hold.
+	// Conflict means that nothing was written, since a condition did not hold.
 	Conflict bool
-	// Found are the rows of the conditions as they are, after a conflict.
+	// Found holds the current rows of the conditions after a conflict.
 	Found []Row
-	// Version is that of all rows that were put.
+	// Version is the new version of all rows that were put.
 	Version int64
-	// StoreTime is the service's own steady clock.
+	// StoreTime is the time by the service's monotonic clock.
 	StoreTime time.Duration
 }
 
-// Range asks for rows of one part, keys rising, from From on and before To.
-// Empty bounds are open.
+// Range selects rows of one part in ascending order of keys, from From (inclusive) to To (exclusive). An empty bound
+// is open.
 type Range struct {
 	Table, Part, From, To string
 	Limit                 int
 }
 
-// Page is a part of a range as of one moment.
+// Page is a consistent reading of a range's first rows. More means that the range has further rows.
 type Page struct {
 	Rows      []Row
 	More      bool
@@ -76,17 +74,17 @@
 	StoreTime time.Duration
 }
 
-// ErrForgotten answers a reading of changes that starts before what the service
-// remembers: read the table anew.
-var ErrForgotten = fault.New(fault.NotFound, "changes", "the history is gone", "read the table anew")
+// ErrForgotten is returned for a reading of changes from a version that is older than the service's history of
+// changes. The caller has to read the whole table.
+var ErrForgotten = fault.New(fault.NotFound, "changes", "the service no longer keeps these changes", "read the whole table")
 
-// Reader reads ranges.
+// Reader reads ranges of rows.
 type Reader interface {
 	Read(ctx context.Context, r Range) (Page, error)
 }
 
-// ReadAll reads a whole part of a table, page by page. The version is that of
-// the first page, so that reading the changes from it on misses nothing.
+// ReadAll reads a whole part of a table, page by page. The version returned is that of the first page, so that a
+// reading of the changes since that version misses none.
 func ReadAll(ctx context.Context, from Reader, tableName, part string) (Page, error) {
 	whole := Page{}
 	next := Range{Table: tableName, Part: part}
