--- a/pkg/clock/boottime_linux.go
+++ b/pkg/clock/boottime_linux.go
@@ -18,8 +18,8 @@
 
 // first is the reading from which suspensions are counted, last the newest one.
 var (
-	first = &reading{at: time.Now(), boot: boottime()}
-	last  atomic.Pointer[reading]
+	firstReading = &reading{at: time.Now(), boot: boottime()}
+	lastReading  atomic.Pointer[reading]
 )
 
 // Now returns the current time, including the time for which the host was suspended since the process started. It
@@ -31,22 +31,22 @@
 // day shown to callers still use.
 func Now() time.Time {
 	now := time.Now()
-	r := last.Load()
-	if r == nil || !holds(now.Sub(r.at), time.Duration(now.UnixNano()-r.at.UnixNano())) {
-		r = read(now, r)
+	r := lastReading.Load()
+	if r == nil || !readingIsValid(now.Sub(r.at), time.Duration(now.UnixNano()-r.at.UnixNano())) {
+		r = takeReading(now, r)
 	}
 	return now.Add(r.suspended)
 }
 
-// read makes a new reading and stores it. Its suspension is at least that of the previous reading, so the clock doesn't
+// takeReading makes a new reading and stores it. Its suspension is at least that of the previous reading, so the clock doesn't
 // go back when several goroutines read at the same time.
-func read(now time.Time, before *reading) *reading {
+func takeReading(now time.Time, previous *reading) *reading {
 	r := &reading{at: now, boot: boottime()}
-	if before == nil {
-		before = first
+	if previous == nil {
+		previous = firstReading
 	}
-	r.suspended = max(before.suspended, Slept(r.boot-first.boot, now.Sub(first.at)))
-	last.Store(r)
+	r.suspended = max(previous.suspended, Slept(r.boot-firstReading.boot, now.Sub(firstReading.at)))
+	lastReading.Store(r)
 	return r
 }
 
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -10,16 +10,16 @@
 import "time"
 
 const (
-	// readEvery is the age by the monotonic clock up to which a reading of CLOCK_BOOTTIME is valid. A
+	// maxReadingAge is the age by the monotonic clock up to which a reading of CLOCK_BOOTTIME is valid. A
 	// suspension that leaves no jump in the time of day is noticed after that.
-	readEvery = 250 * time.Millisecond
-	// moved is the difference between the advance of the time of day and that of the monotonic clock that makes a
+	maxReadingAge = 250 * time.Millisecond
+	// timeOfDayJump is the difference between the advance of the time of day and that of the monotonic clock that makes a
 	// reading invalid at once. Suspensions last for seconds; slewing moves the time of day by less.
-	moved = 50 * time.Millisecond
+	timeOfDayJump = 50 * time.Millisecond
 )
 
-// holds returns whether a reading is still valid. steady and ofDay are the time since the reading by the monotonic
+// readingIsValid returns whether a reading is still valid. steady and ofDay are the time since the reading by the monotonic
 // clock and by the time of day.
-func holds(steady, ofDay time.Duration) bool {
-	return steady >= 0 && steady < readEvery && (ofDay-steady).Abs() < moved
+func readingIsValid(steady, ofDay time.Duration) bool {
+	return steady >= 0 && steady < maxReadingAge && (ofDay-steady).Abs() < timeOfDayJump
 }
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -13,7 +13,7 @@
 	"github.com/wrenferry/wrenferry/pkg/clock"
 )
 
-func TestNowGoesOnAsTheSteadyClockDoes(t *testing.T) {
+func TestNowAdvancesWithMonotonicClock(t *testing.T) {
 	t.Parallel()
 	began, steady := clock.Now(), time.Now()
 	time.Sleep(50 * time.Millisecond)
@@ -22,14 +22,14 @@
 	must.False(t, clock.Now().Before(began))
 }
 
-func TestOnlyTimeThatTheSteadyClockLeftOutCountsAsASuspension(t *testing.T) {
+func TestSleptIsTimeNotCountedByMonotonicClock(t *testing.T) {
 	t.Parallel()
 	must.Eq(t, 0, clock.Slept(10*time.Second, 10*time.Second-20*time.Millisecond))
 	must.Eq(t, 5*time.Second, clock.Slept(5250*time.Millisecond, 250*time.Millisecond))
 }
 
 // Packages that make decisions must take the time from this package, not from package time.
-func TestNoOtherClockDecides(t *testing.T) {
+func TestDecidingPackagesDoNotCallTimeNow(t *testing.T) {
 	t.Parallel()
 	allowed := map[string]string{
 		"pkg/process/fleet/control.go": "wall: time.Now,", // the time of day, for jobs with due times
--- a/pkg/clock/watch.go
+++ b/pkg/clock/watch.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// watchEvery is the interval at which Watch checks for a suspension.
-	watchEvery = 500 * time.Millisecond
-	// sleptLeast is the shortest suspension that counts. Two clocks are not read at the same moment, and a slow
+	// watchInterval is the interval at which Watch checks for a suspension.
+	watchInterval = 500 * time.Millisecond
+	// minSuspension is the shortest suspension that counts. Two clocks are not read at the same moment, and a slow
 	// processor causes pauses as long as a shorter suspension, too.
-	sleptLeast = 50 * time.Millisecond
+	minSuspension = 50 * time.Millisecond
 )
 
-// Slept returns the time for which the host was suspended between two moments, or 0 if it is less than sleptLeast.
+// Slept returns the time for which the host was suspended between two moments, or 0 if it is less than minSuspension.
 // passed is the time between them by a clock that counts suspensions, steady by one that doesn't.
 func Slept(passed, steady time.Duration) time.Duration {
-	if passed-steady < sleptLeast {
+	if passed-steady < minSuspension {
 		return 0
 	}
 	return passed - steady
@@ -25,7 +25,7 @@
 // Watch calls woke with the length of each suspension of the host, soon after the host wakes. It returns when the
 // context ends.
 func Watch(ctx context.Context, woke func(slept time.Duration)) {
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	last, steady := Now(), time.Now()
 	for {
--- a/pkg/process/election/election.go
+++ b/pkg/process/election/election.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// renewEvery is the time between two renewals of the leader's row.
-	renewEvery = 400 * time.Millisecond
+	// renewInterval is the time between two renewals of the leader's row.
+	renewInterval = 400 * time.Millisecond
 	// overdueAfter is the age of a renewal at which a host of the same hall takes over. It is
 	// three renewal intervals, so that one lost answer doesn't depose the leader.
 	overdueAfter = 1200 * time.Millisecond
-	// elsewhereAfter is the age of a renewal at which a host of another hall takes over. It is
+	// otherHallOverdueAfter is the age of a renewal at which a host of another hall takes over. It is
 	// longer than a network cut of a hall usually lasts, since hosts of other halls can't reach the hall's
 	// workers during the cut either.
-	elsewhereAfter = 9 * time.Second
-	// newcomerWait is the time for which a host of another hall leaves a vacant seat to
+	otherHallOverdueAfter = 9 * time.Second
+	// otherHallVacancyWait is the time for which a host of another hall leaves a vacant seat to
 	// hosts of the seat's own hall.
-	newcomerWait = 3 * time.Second
+	otherHallVacancyWait = 3 * time.Second
 	// Tenure is the time for which a leader keeps leading without a renewal. It is longer than
 	// the table's outages on the platform's sites (up to 9 s).
 	Tenure = 12 * time.Second
-	// yieldWait is the time since its start after which a host asks a leader of another hall to hand over
+	// handoverRequestWait is the time since its start after which a host asks a leader of another hall to hand over
 	// a seat of the host's own hall.
-	yieldWait = 2 * time.Second
-	// perSeat is a candidate's extra delay for each seat that it holds already.
-	perSeat = 300 * time.Millisecond
+	handoverRequestWait = 2 * time.Second
+	// delayPerHeldSeat is a candidate's extra delay for each seat that it holds already.
+	delayPerHeldSeat = 300 * time.Millisecond
 )
 
 // Role is the role of a process in the election of one seat.
@@ -71,29 +71,29 @@
 	row     *wire.CellLead
 	version int64
 	readAt  time.Time
-	// storeAt is the table's clock at readAt.
-	storeAt time.Duration
+	// storeTimeAtRead is the table's clock at readAt.
+	storeTimeAtRead time.Duration
 
 	role Role
 	// renewedAt is the time at which the last renewal that took effect was sent.
-	renewedAt time.Time
-	sending   bool
-	sentAt    time.Time
-	sent      *wire.CellLead
+	renewedAt    time.Time
+	writePending bool
+	sentAt       time.Time
+	sentRow      *wire.CellLead
 	// sentRoster is the roster written together with sent, or nil.
-	sentRoster *wire.CellRoster
-	release    bool
-	wanted     bool
-	// settled means that all predecessors have surely ended; see Settled.
-	settled bool
-	// over holds the predecessors that are known to have ended, by holder.
-	over map[string]bool
-	// roster is the roster that this process wrote last while leading, or nil.
-	roster []*wire.RosterEntry
-	// stale means that the last write failed or has an unknown outcome, so the row has to be read before
+	sentRoster       *wire.CellRoster
+	releaseRequested bool
+	handoverOffered  bool
+	// predecessorsSettled means that all predecessors have surely ended; see Settled.
+	predecessorsSettled bool
+	// endedPredecessors holds the predecessors that are known to have ended, by holder.
+	endedPredecessors map[string]bool
+	// writtenRoster is the roster that this process wrote last while leading, or nil.
+	writtenRoster []*wire.RosterEntry
+	// mustReadRow means that the last write failed or has an unknown outcome, so the row has to be read before
 	// the next write. Otherwise a losing candidate would keep writing over the version it knows, and each
 	// write would make the readings under way too old to be used.
-	stale bool
+	mustReadRow bool
 }
 
 // New returns this process's view of the seat of a cell that belongs to the given hall.
@@ -132,39 +132,39 @@
 // Row returns the row as last read or written, or nil.
 func (s *Seat) Row() *wire.CellLead { return s.row }
 
-// Age returns the time since the row's last renewal by the table's clock, or 0 without a row.
-func (s *Seat) Age(now time.Time) time.Duration {
+// RenewalAge returns the time since the row's last renewal by the table's clock, or 0 without a row.
+func (s *Seat) RenewalAge(now time.Time) time.Duration {
 	if s.row == nil {
 		return 0
 	}
-	return s.storeNow(now) - time.Duration(s.row.GetRenewedStoreMs())*time.Millisecond
+	return s.storeTime(now) - time.Duration(s.row.GetRenewedStoreMs())*time.Millisecond
 }
 
-func (s *Seat) storeNow(now time.Time) time.Duration { return s.storeAt + now.Sub(s.readAt) }
+func (s *Seat) storeTime(now time.Time) time.Duration { return s.storeTimeAtRead + now.Sub(s.readAt) }
 
 // Fresh returns whether the last known row names a leader that has renewed recently and has not released the seat.
 func (s *Seat) Fresh(now time.Time) bool {
-	return s.row != nil && !s.row.GetReleased() && s.Age(now) < overdueAfter
+	return s.row != nil && !s.row.GetReleased() && s.RenewalAge(now) < overdueAfter
 }
 
 // TakeRead handles a reading of the row; a nil row means that the table has none. store is the table's
 // clock. A reading is ignored if a write is pending, if it was requested before the last write was sent,
 // or if its version is older than the known one.
 func (s *Seat) TakeRead(now, askedAt time.Time, row *wire.CellLead, version int64, store time.Duration) Change {
-	if s.sending || askedAt.Before(s.sentAt) || version < s.version {
+	if s.writePending || askedAt.Before(s.sentAt) || version < s.version {
 		return Change{}
 	}
-	s.stale = false
+	s.mustReadRow = false
 	before := s.row
-	s.row, s.version, s.readAt, s.storeAt = row, version, now, store
+	s.row, s.version, s.readAt, s.storeTimeAtRead = row, version, now, store
 	mine := row != nil && row.GetHolder() == s.self.Life && !row.GetReleased()
 	switch {
 	case s.role == Leader && !mine:
 		s.role = Follower
 		return Change{Lost: true, Why: "the leadership row names another leader"}
-	case s.role == Candidate && mine && row.GetEpoch() == s.sent.GetEpoch():
-		return s.won(now, s.sentAt, before)
-	case s.role == Leader && mine && s.sent != nil && row.GetRenewedStoreMs() == s.sent.GetRenewedStoreMs():
+	case s.role == Candidate && mine && row.GetEpoch() == s.sentRow.GetEpoch():
+		return s.becomeLeader(now, s.sentAt, before)
+	case s.role == Leader && mine && s.sentRow != nil && row.GetRenewedStoreMs() == s.sentRow.GetRenewedStoreMs():
 		s.renewedAt = s.sentAt // the renewal took effect but its answer was lost
 	case s.role == Candidate:
 		s.role = Follower
@@ -172,15 +172,15 @@
 	return Change{}
 }
 
-func (s *Seat) won(now, at time.Time, before *wire.CellLead) Change {
-	s.role, s.renewedAt, s.wanted, s.release = Leader, at, false, false
-	s.roster, s.settled, s.over = nil, false, nil
+func (s *Seat) becomeLeader(now, at time.Time, before *wire.CellLead) Change {
+	s.role, s.renewedAt, s.handoverOffered, s.releaseRequested = Leader, at, false, false
+	s.writtenRoster, s.predecessorsSettled, s.endedPredecessors = nil, false, nil
 	return Change{Led: true, Before: before, Predecessors: s.predecessors(now)}
 }
 
 // Settled records that all runs started by predecessors are known or have surely ended. Later renewals name no
 // predecessors.
-func (s *Seat) Settled() { s.settled = true }
+func (s *Seat) Settled() { s.predecessorsSettled = true }
 
 // Expire ends the leadership if the last renewal is older than Tenure.
 func (s *Seat) Expire(now time.Time) Change {
@@ -193,71 +193,71 @@
 
 // Want records that the present leader has asked this process to take the seat that it is releasing. A
 // released seat is then claimed at once.
-func (s *Seat) Want() { s.wanted = true }
+func (s *Seat) Want() { s.handoverOffered = true }
 
 // Release makes the next write give the seat up.
-func (s *Seat) Release() { s.release = true }
+func (s *Seat) Release() { s.releaseRequested = true }
 
 // Next returns the write that is due, or nil. roster lists the workers that may hold runs, or is nil while
 // they are not known. held is the number of other seats that this process holds. A process that is leaving
 // claims no seat.
 func (s *Seat) Next(now time.Time, roster []*wire.RosterEntry, held int, leaving bool) *Write {
-	if s.sending || s.stale || s.readAt.IsZero() {
+	if s.writePending || s.mustReadRow || s.readAt.IsZero() {
 		return nil
 	}
 	if s.role == Leader {
 		return s.renewal(now, roster)
 	}
-	if leaving || !s.due(now, held) {
+	if leaving || !s.claimDue(now, held) {
 		return nil
 	}
 	row := &wire.CellLead{
 		Cell: s.cell, Epoch: s.row.GetEpoch() + 1, Holder: s.self.Life, Host: s.self.Host, Hall: s.self.Hall,
-		Address: s.self.Address, RenewedStoreMs: s.storeNow(now).Milliseconds(), Earlier: earlierLeaders(s.row, s.storeNow(now)),
+		Address: s.self.Address, RenewedStoreMs: s.storeTime(now).Milliseconds(), Earlier: predecessorsOfSuccessor(s.row, s.storeTime(now)),
 	}
-	row.EarlierStoreMs = lastUntil(row.GetEarlier())
+	row.EarlierStoreMs = latestUntil(row.GetEarlier())
 	s.role = Candidate
-	return s.send(now, row, nil)
+	return s.startWrite(now, row, nil)
 }
 
 func (s *Seat) renewal(now time.Time, roster []*wire.RosterEntry) *Write {
-	changed := roster != nil && (s.roster == nil || !sameRoster(s.roster, roster))
-	if !s.release && !changed && now.Sub(s.sentAt) < renewEvery {
+	changed := roster != nil && (s.writtenRoster == nil || !noUrgentChange(s.writtenRoster, roster))
+	if !s.releaseRequested && !changed && now.Sub(s.sentAt) < renewInterval {
 		return nil
 	}
-	changed = changed || (roster != nil && tellsMoreRuns(s.roster, roster))
+	changed = changed || (roster != nil && runsBetterKnown(s.writtenRoster, roster))
 	row, ok := proto.Clone(s.row).(*wire.CellLead)
 	if !ok {
 		return nil // unreachable: Clone returns the type of its argument
 	}
-	row.RenewedStoreMs = s.storeNow(now).Milliseconds()
-	row.Released = s.release
-	row.Earlier = s.notOver(row.GetEarlier())
-	row.EarlierStoreMs = lastUntil(row.GetEarlier())
+	row.RenewedStoreMs = s.storeTime(now).Milliseconds()
+	row.Released = s.releaseRequested
+	row.Earlier = s.withoutEnded(row.GetEarlier())
+	row.EarlierStoreMs = latestUntil(row.GetEarlier())
 	if !changed {
-		return s.send(now, row, nil)
+		return s.startWrite(now, row, nil)
 	}
-	return s.send(now, row, &wire.CellRoster{Cell: s.cell, Entries: roster})
+	return s.startWrite(now, row, &wire.CellRoster{Cell: s.cell, Entries: roster})
 }
 
-func sameRoster(a, b []*wire.RosterEntry) bool {
-	if len(a) != len(b) {
+func noUrgentChange(written, roster []*wire.RosterEntry) bool {
+	if len(written) != len(roster) {
 		return false
 	}
-	for i := range a {
-		if a[i].GetId() != b[i].GetId() || a[i].GetBorn() != b[i].GetBorn() || a[i].GetLeaving() != b[i].GetLeaving() {
+	for i := range written {
+		if written[i].GetId() != roster[i].GetId() || written[i].GetBorn() != roster[i].GetBorn() || written[i].GetLeaving() != roster[i].GetLeaving() {
 			return false
 		}
-		if a[i].GetRunsKnown() && !b[i].GetRunsKnown() {
+		if written[i].GetRunsKnown() && !roster[i].GetRunsKnown() {
 			return false // the worker gets no work until the table no longer lists its runs as known
 		}
 	}
 	return true
 }
 
-// tellsMoreRuns returns whether the runs at some worker are newly known, or at most half of the tasks last written may
+// runsBetterKnown returns whether the runs at some worker are newly known, or at most half of the tasks last written may
 // still run there. Such a roster is written with the next renewal. Both lists have the same workers.
-func tellsMoreRuns(written, roster []*wire.RosterEntry) bool {
+func runsBetterKnown(written, roster []*wire.RosterEntry) bool {
 	for i, e := range roster {
 		if e.GetRunsKnown() && (!written[i].GetRunsKnown() || 2*len(e.GetMayRun()) <= len(written[i].GetMayRun()) && len(written[i].GetMayRun()) > 0) {
 			return true
@@ -266,63 +266,63 @@
 	return false
 }
 
-// due returns whether this process should claim the seat now.
-func (s *Seat) due(now time.Time, held int) bool {
-	wait := s.self.Delay + time.Duration(held)*perSeat
+// claimDue returns whether this process should claim the seat now.
+func (s *Seat) claimDue(now time.Time, held int) bool {
+	wait := s.self.Delay + time.Duration(held)*delayPerHeldSeat
 	own := s.self.Hall == s.hall
 	free := s.row == nil || s.row.GetReleased()
 	switch {
 	case !free && s.row.GetHost() == s.self.Host:
 		return true // an earlier incarnation on this host, or this process after its tenure
-	case s.wanted && free:
+	case s.handoverOffered && free:
 		return true
 	case free && own:
-		return now.Sub(s.self.Since) >= wait && (s.row == nil || s.Age(now) >= wait)
+		return now.Sub(s.self.Since) >= wait && (s.row == nil || s.RenewalAge(now) >= wait)
 	case free:
-		return now.Sub(s.self.Since) >= newcomerWait+wait && (s.row == nil || s.Age(now) >= overdueAfter+wait)
+		return now.Sub(s.self.Since) >= otherHallVacancyWait+wait && (s.row == nil || s.RenewalAge(now) >= overdueAfter+wait)
 	case own:
-		return s.Age(now) >= overdueAfter+wait
+		return s.RenewalAge(now) >= overdueAfter+wait
 	default:
-		return s.Age(now) >= elsewhereAfter+wait
+		return s.RenewalAge(now) >= otherHallOverdueAfter+wait
 	}
 }
 
 // AskYield returns whether to ask the present leader to hand the seat over: the leader is in another hall,
-// and this host is in the seat's own hall and has been up for longer than yieldWait.
+// and this host is in the seat's own hall and has been up for longer than handoverRequestWait.
 func (s *Seat) AskYield(now time.Time) bool {
 	return s.role == Follower && s.self.Hall == s.hall && s.row != nil && s.row.GetHall() != s.hall &&
-		s.Fresh(now) && now.Sub(s.self.Since) > yieldWait
+		s.Fresh(now) && now.Sub(s.self.Since) > handoverRequestWait
 }
 
-func (s *Seat) send(now time.Time, row *wire.CellLead, roster *wire.CellRoster) *Write {
-	s.sending, s.sentAt, s.sent, s.sentRoster = true, now, row, roster
+func (s *Seat) startWrite(now time.Time, row *wire.CellLead, roster *wire.CellRoster) *Write {
+	s.writePending, s.sentAt, s.sentRow, s.sentRoster = true, now, row, roster
 	return &Write{Row: row, Version: s.version, Roster: roster}
 }
 
 // TakeWritten handles the outcome of a write: the row's new version, or 0 if the write failed or its outcome
 // is unknown. After 0, the next reading of the row shows the outcome.
 func (s *Seat) TakeWritten(now time.Time, version int64) Change {
-	s.sending = false
+	s.writePending = false
 	if version == 0 {
-		s.stale = true
+		s.mustReadRow = true
 		if s.sentRoster != nil {
-			s.roster = nil // the table may hold either the old or the new roster
+			s.writtenRoster = nil // the table may hold either the old or the new roster
 		}
 		return Change{}
 	}
 	before := s.row
-	s.row, s.version = s.sent, version
-	s.storeAt, s.readAt = s.storeNow(now), now
+	s.row, s.version = s.sentRow, version
+	s.storeTimeAtRead, s.readAt = s.storeTime(now), now
 	switch {
-	case s.sent.GetReleased():
-		s.role, s.release = Follower, false
+	case s.sentRow.GetReleased():
+		s.role, s.releaseRequested = Follower, false
 		return Change{Lost: true, Why: "released"}
 	case s.role == Candidate:
-		return s.won(now, s.sentAt, before)
+		return s.becomeLeader(now, s.sentAt, before)
 	default:
 		s.renewedAt = s.sentAt
 		if s.sentRoster != nil {
-			s.roster = s.sentRoster.GetEntries()
+			s.writtenRoster = s.sentRoster.GetEntries()
 		}
 		return Change{}
 	}
--- a/pkg/process/election/election_test.go
+++ b/pkg/process/election/election_test.go
@@ -32,7 +32,7 @@
 }
 
 // Without a new reading, a candidate that lost would write over the version it knows and lose each time.
-func TestACandidateThatLostReadsTheRowBeforeItTriesAgain(t *testing.T) {
+func TestLosingCandidateReadsRowBeforeNextClaim(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
 	s.TakeRead(at(0), at(0), nil, 0, storeAt(0))
@@ -46,7 +46,7 @@
 	must.NotNil(t, s.Next(at(1500), nil, 0, false))
 }
 
-func TestAWonSeatWhoseAnswerWasLostIsSeenInTheRow(t *testing.T) {
+func TestReadingConfirmsClaimWhoseAnswerWasLost(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
 	s.TakeRead(at(0), at(0), nil, 0, storeAt(0))
@@ -57,7 +57,7 @@
 	must.True(t, change.Led)
 }
 
-func TestALeaderGoesOnForItsTenureAndNoLonger(t *testing.T) {
+func TestLeadershipExpiresAfterTenure(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
 	lead(t, s)
@@ -65,7 +65,7 @@
 	must.True(t, s.Expire(t0.Add(election.Tenure+time.Millisecond)).Lost)
 }
 
-func TestAnotherHostTakesOverWhenRenewalsAreOverdue(t *testing.T) {
+func TestOtherHostClaimsSeatWhenRenewalIsOverdue(t *testing.T) {
 	t.Parallel()
 	s := newSeat("b")
 	row := &wire.CellLead{Cell: "cell", Epoch: 4, Holder: "a/1", Host: "a", Hall: "hall", RenewedStoreMs: storeAt(0).Milliseconds()}
@@ -77,7 +77,7 @@
 	must.Eq(t, 9, w.Version)
 }
 
-func TestAnEarlierLifeOfTheSameHostIsOver(t *testing.T) {
+func TestHostClaimsSeatOfItsEarlierIncarnationAtOnce(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
 	row := &wire.CellLead{Cell: "cell", Epoch: 4, Holder: "a/0", Host: "a", Hall: "hall", RenewedStoreMs: storeAt(0).Milliseconds()}
@@ -85,7 +85,7 @@
 	must.NotNil(t, s.Next(at(11), nil, 0, false))
 }
 
-func TestAReleasedSeatIsTakenAtOnceByWhoWasAsked(t *testing.T) {
+func TestHostOfferedTheSeatClaimsItOnRelease(t *testing.T) {
 	t.Parallel()
 	s := newSeat("b")
 	row := &wire.CellLead{Cell: "cell", Epoch: 4, Holder: "a/1", Host: "a", Hall: "elsewhere", Released: true, RenewedStoreMs: storeAt(0).Milliseconds()}
@@ -97,7 +97,7 @@
 // The roster is written with the first renewal after it is known, and again when it changes. Until the leader has
 // read its predecessors' roster, the stored one stays. The table refuses empty values, so an empty roster still
 // encodes to some bytes.
-func TestTheRosterIsWrittenWhenItIsKnownAndChanges(t *testing.T) {
+func TestRosterIsWrittenWhenKnownAndWhenChanged(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
 	lead(t, s)
@@ -123,7 +123,7 @@
 
 // Leaders change so fast that the first, which is suspended, may still be within its tenure when the third wins. That
 // the second has ended says nothing about the first, so the row names both.
-func TestASuccessorKnowsOfLeadersBeforeItsForerunner(t *testing.T) {
+func TestRowNamesAllPredecessorsWithinTheirTenure(t *testing.T) {
 	t.Parallel()
 	first := &wire.CellLead{Cell: "cell", Epoch: 1, Holder: "a/1", Host: "a", Hall: "hall", RenewedStoreMs: storeAt(0).Milliseconds()}
 	b := newSeat("b")
@@ -155,7 +155,7 @@
 }
 
 // The row drops a predecessor that is known to have ended, but still names earlier ones.
-func TestARowNamesThePredecessorsThatAreNotKnownToBeOver(t *testing.T) {
+func TestRowDropsPredecessorKnownToHaveEnded(t *testing.T) {
 	t.Parallel()
 	row := &wire.CellLead{
 		Cell: "cell", Epoch: 2, Holder: "b/1", Host: "b", Hall: "hall", RenewedStoreMs: storeAt(0).Milliseconds(),
@@ -173,7 +173,7 @@
 }
 
 // A leader that released the cell has ended. Its predecessor that did not answer is still named.
-func TestAReleasedRowStillNamesEarlierLeaders(t *testing.T) {
+func TestReleasedRowStillNamesEarlierPredecessors(t *testing.T) {
 	t.Parallel()
 	row := &wire.CellLead{
 		Cell: "cell", Epoch: 2, Holder: "b/1", Host: "b", Hall: "hall", Released: true, RenewedStoreMs: storeAt(0).Milliseconds(),
@@ -188,7 +188,7 @@
 }
 
 // A row may hold only the time until which earlier leaders may grant, without naming them. That time is kept.
-func TestARowWithoutNamesOfEarlierLeadersKeepsTheirTime(t *testing.T) {
+func TestUnnamedPredecessorsKeepTheirEndTime(t *testing.T) {
 	t.Parallel()
 	row := &wire.CellLead{
 		Cell: "cell", Epoch: 2, Holder: "b/1", Host: "b", Hall: "hall", Released: true, RenewedStoreMs: storeAt(0).Milliseconds(),
@@ -204,7 +204,7 @@
 
 // A pending release ends with the leadership: a leader that was replaced before it released the cell must not release
 // it when it wins again.
-func TestALeaderThatWinsAgainDoesNotReleaseForAnEarlierReason(t *testing.T) {
+func TestWinningAgainClearsPendingRelease(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
 	lead(t, s)
@@ -217,7 +217,7 @@
 }
 
 // A membership write whose answer was lost may have taken effect, so the next write includes the membership again.
-func TestAMembershipWhoseWriteWasNotAnsweredIsWrittenAgain(t *testing.T) {
+func TestMembershipIsWrittenAgainAfterUnknownOutcome(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
 	lead(t, s)
@@ -236,7 +236,7 @@
 
 // A claim may take effect late, even after a successor has found its row overdue. Until the outcome is known, the host
 // must not answer the successor that it doesn't lead.
-func TestAHostThatMayStillWinASeatIsNotOver(t *testing.T) {
+func TestClaimIsPendingUntilItsOutcomeIsKnown(t *testing.T) {
 	t.Parallel()
 	for name, answer := range map[string]func(*election.Seat, *election.Write) election.Change{
 		"the write's answer": func(s *election.Seat, _ *election.Write) election.Change { return s.TakeWritten(at(2500), 3) },
@@ -267,7 +267,7 @@
 }
 
 // A process that led twice is named once, with the later of its two times.
-func TestARowNamesAProcessThatLedTwiceOnce(t *testing.T) {
+func TestRowNamesProcessThatLedTwiceOnce(t *testing.T) {
 	t.Parallel()
 	row := &wire.CellLead{
 		Cell: "cell", Epoch: 3, Holder: "b/1", Host: "b", Hall: "hall", RenewedStoreMs: storeAt(0).Milliseconds(),
@@ -284,7 +284,7 @@
 
 // A worker gets work again only after the table no longer lists its runs as known, so this change is written at once.
 // Newly known runs wait for the next renewal. A list that has become shorter waits until it is half as long.
-func TestTheMembershipIsWrittenAtOnceWhereAWorkersRunsAreNotKnownAnyMore(t *testing.T) {
+func TestMembershipIsWrittenAtOnceWhenRunsBecomeUnknown(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
 	lead(t, s)
--- a/pkg/process/election/predecessors.go
+++ b/pkg/process/election/predecessors.go
@@ -12,10 +12,10 @@
 // successor can ask each one even when several leaders changed within one tenure.
 
 const (
-	// mostEarlier bounds the number of predecessors that a row names.
-	mostEarlier = 8
-	// earlierKept is the time for which a row names a predecessor after its tenure. It is longer than any lease.
-	earlierKept = 12 * time.Second
+	// maxPredecessors bounds the number of predecessors that a row names.
+	maxPredecessors = 8
+	// predecessorRetention is the time for which a row names a predecessor after its tenure. It is longer than any lease.
+	predecessorRetention = 12 * time.Second
 )
 
 // Predecessor is an earlier leader that may not know that it was replaced.
@@ -29,10 +29,10 @@
 
 // Over records that a predecessor grants no more leases.
 func (s *Seat) Over(holder string) {
-	if s.over == nil {
-		s.over = map[string]bool{}
+	if s.endedPredecessors == nil {
+		s.endedPredecessors = map[string]bool{}
 	}
-	s.over[holder] = true
+	s.endedPredecessors[holder] = true
 }
 
 // predecessors returns the earlier leaders that this leader's row names.
@@ -40,27 +40,27 @@
 	list := make([]Predecessor, 0, len(s.row.GetEarlier()))
 	for _, e := range s.row.GetEarlier() {
 		until := time.Duration(e.GetUntilStoreMs()) * time.Millisecond
-		list = append(list, Predecessor{Holder: e.GetHolder(), Host: e.GetHost(), Address: e.GetAddress(), Grants: until - s.storeNow(now)})
+		list = append(list, Predecessor{Holder: e.GetHolder(), Host: e.GetHost(), Address: e.GetAddress(), Grants: until - s.storeTime(now)})
 	}
 	return list
 }
 
-// notOver returns the entries whose leaders are not known to have ended.
-func (s *Seat) notOver(list []*wire.EarlierLeader) []*wire.EarlierLeader {
-	if s.settled {
+// withoutEnded returns the entries whose leaders are not known to have ended.
+func (s *Seat) withoutEnded(list []*wire.EarlierLeader) []*wire.EarlierLeader {
+	if s.predecessorsSettled {
 		return nil
 	}
-	return slices.DeleteFunc(slices.Clone(list), func(e *wire.EarlierLeader) bool { return e.GetHolder() != "" && s.over[e.GetHolder()] })
+	return slices.DeleteFunc(slices.Clone(list), func(e *wire.EarlierLeader) bool { return e.GetHolder() != "" && s.endedPredecessors[e.GetHolder()] })
 }
 
-// earlierLeaders returns the predecessors that a successor of the row's holder has to name. They are the row's own
-// entries until earlierKept after their tenure, and the holder unless it released the seat. store is the table's clock.
-func earlierLeaders(row *wire.CellLead, store time.Duration) []*wire.EarlierLeader {
+// predecessorsOfSuccessor returns the predecessors that a successor of the row's holder has to name. They are the row's own
+// entries until predecessorRetention after their tenure, and the holder unless it released the seat. store is the table's clock.
+func predecessorsOfSuccessor(row *wire.CellLead, store time.Duration) []*wire.EarlierLeader {
 	if row == nil {
 		return nil
 	}
 	list := slices.DeleteFunc(slices.Clone(row.GetEarlier()), func(e *wire.EarlierLeader) bool {
-		return e.GetUntilStoreMs() < (store-earlierKept).Milliseconds() || (e.GetHolder() != "" && e.GetHolder() == row.GetHolder())
+		return e.GetUntilStoreMs() < (store-predecessorRetention).Milliseconds() || (e.GetHolder() != "" && e.GetHolder() == row.GetHolder())
 	})
 	if len(row.GetEarlier()) == 0 && row.GetEarlierStoreMs() > 0 {
 		list = append(list, &wire.EarlierLeader{UntilStoreMs: row.GetEarlierStoreMs()})
@@ -70,23 +70,23 @@
 			Holder: row.GetHolder(), Host: row.GetHost(), Address: row.GetAddress(), UntilStoreMs: row.GetRenewedStoreMs() + Tenure.Milliseconds(),
 		})
 	}
-	return merged(list)
+	return mergeOldest(list)
 }
 
-// merged bounds the list to mostEarlier by merging the oldest entries into one without names. A successor can't
+// mergeOldest bounds the list to maxPredecessors by merging the oldest entries into one without names. A successor can't
 // ask the leaders of that entry and waits for their time to pass.
-func merged(list []*wire.EarlierLeader) []*wire.EarlierLeader {
-	if len(list) <= mostEarlier {
+func mergeOldest(list []*wire.EarlierLeader) []*wire.EarlierLeader {
+	if len(list) <= maxPredecessors {
 		return list
 	}
-	oldest := list[:len(list)-mostEarlier+1]
-	one := &wire.EarlierLeader{UntilStoreMs: lastUntil(oldest)}
-	return append([]*wire.EarlierLeader{one}, list[len(oldest):]...)
+	oldest := list[:len(list)-maxPredecessors+1]
+	combined := &wire.EarlierLeader{UntilStoreMs: latestUntil(oldest)}
+	return append([]*wire.EarlierLeader{combined}, list[len(oldest):]...)
 }
 
-// lastUntil returns the latest time at which any of the leaders may grant a lease, in milliseconds of the table's
+// latestUntil returns the latest time at which any of the leaders may grant a lease, in milliseconds of the table's
 // clock, or 0 for an empty list.
-func lastUntil(list []*wire.EarlierLeader) int64 {
+func latestUntil(list []*wire.EarlierLeader) int64 {
 	last := int64(0)
 	for _, e := range list {
 		last = max(last, e.GetUntilStoreMs())
--- a/pkg/process/interference/guard.go
+++ b/pkg/process/interference/guard.go
@@ -50,15 +50,15 @@
 const (
 	// missRatio is the latency ratio above which a target counts as missed.
 	missRatio = 1.0
-	// calmRatio is the latency ratio up to which a throttle is lifted. The gap to missRatio is the
+	// restoreRatio is the latency ratio up to which a throttle is lifted. The gap to missRatio is the
 	// hysteresis.
-	calmRatio = 0.7
-	// settle is the time until an action takes effect on the latency.
-	settle = 2 * time.Second
+	restoreRatio = 0.7
+	// settleTime is the time until an action takes effect on the latency.
+	settleTime = 2 * time.Second
 )
 
 // Guard decides on actions for the services of one worker. A sample taken before the last action, or within
-// settle after it, shows the latency without the effect of that action and leads to no second one.
+// settleTime after it, shows the latency without the effect of that action and leads to no second one.
 type Guard struct {
 	actedAt time.Time
 	model   *Model
@@ -71,19 +71,19 @@
 
 // Decide returns the action for one sample, given the batch tasks on the worker. The zero Action is none.
 func (g *Guard) Decide(now time.Time, s Sample, tasks []Candidate) Action {
-	if !g.actedAt.IsZero() && s.TakenAt.Before(g.actedAt.Add(settle)) {
+	if !g.actedAt.IsZero() && s.TakenAt.Before(g.actedAt.Add(settleTime)) {
 		return Action{}
 	}
-	action := g.weigh(s, tasks)
+	action := g.choose(s, tasks)
 	if action.Verb != Nothing {
 		g.actedAt = now
 	}
 	return action
 }
 
-func (g *Guard) weigh(s Sample, tasks []Candidate) Action {
-	if s.Ratio <= calmRatio {
-		return restore(s, tasks)
+func (g *Guard) choose(s Sample, tasks []Candidate) Action {
+	if s.Ratio <= restoreRatio {
+		return restoreFirstThrottled(s, tasks)
 	}
 	if s.Ratio <= missRatio {
 		return Action{}
@@ -99,7 +99,7 @@
 	return Action{Verb: verb, Task: offender.Task, Service: s.Service, Ratio: s.Ratio}
 }
 
-func restore(s Sample, tasks []Candidate) Action {
+func restoreFirstThrottled(s Sample, tasks []Candidate) Action {
 	for _, t := range tasks {
 		if t.Throttled {
 			return Action{Verb: Restore, Task: t.Task, Service: s.Service, Ratio: s.Ratio}
@@ -114,7 +114,7 @@
 	var worst Candidate
 	found := false
 	for _, t := range tasks {
-		if !found || g.worse(service, t, worst) {
+		if !found || g.actOnBefore(service, t, worst) {
 			worst = t
 			found = true
 		}
@@ -122,10 +122,10 @@
 	return worst, found
 }
 
-func (g *Guard) worse(service string, a, b Candidate) bool {
-	ha, hb := g.model.Harm(service, a.Kind), g.model.Harm(service, b.Kind)
-	if ha != hb {
-		return ha > hb
+func (g *Guard) actOnBefore(service string, a, b Candidate) bool {
+	harmA, harmB := g.model.Harm(service, a.Kind), g.model.Harm(service, b.Kind)
+	if harmA != harmB {
+		return harmA > harmB
 	}
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
--- a/pkg/process/interference/model.go
+++ b/pkg/process/interference/model.go
@@ -61,9 +61,9 @@
 // Learn updates the model by one sample. ratio is the service's latency as a share of its target, present the batch
 // work on the worker when the sample was taken.
 func (m *Model) Learn(service string, ratio float64, present Present) {
-	miss := ratio - m.Predict(service, present)
+	residual := ratio - m.Predict(service, present)
 	if len(present) == 0 {
-		m.baselines[service] += baselineRate * miss
+		m.baselines[service] += baselineRate * residual
 		return
 	}
 	norm := 1.0
@@ -72,7 +72,7 @@
 	}
 	for kind, n := range present {
 		p := pair{service, kind}
-		m.harms[p] = max(0, m.Harm(service, kind)+learningRate*miss*float64(n)/norm)
+		m.harms[p] = max(0, m.Harm(service, kind)+learningRate*residual*float64(n)/norm)
 	}
-	m.baselines[service] = max(0, m.baselines[service]+learningRate*miss/norm)
+	m.baselines[service] = max(0, m.baselines[service]+learningRate*residual/norm)
 }
--- a/pkg/process/interference/press.go
+++ b/pkg/process/interference/press.go
@@ -33,36 +33,36 @@
 // Readings update only the filters of one process and cell. The filters' estimates from leaders of other cells, and
 // from earlier leaders of the same cell, are merged with them, weighted by inverse variance (share.go).
 type PressureModel struct {
-	images map[string]*filter
-	heard  map[string]Beliefs
-	merged map[string]belief
+	filters     map[string]*filter
+	peerBeliefs map[string]Beliefs
+	merged      map[string]mergedBelief
 	// mergedAt is the time at which merged was computed.
 	mergedAt time.Time
 }
 
 const (
-	// firstAlone is the initial level of an image without fillers: that of a task that is half busy, with a
+	// initialAlone is the initial level of an image without fillers: that of a task that is half busy, with a
 	// target of six times its unloaded tail.
-	firstAlone   = -2.1
-	firstAloneSD = 0.5
-	// firstPress is the initial coefficient. It lies between those of harmless and of harmful fillers.
-	firstPress   = 3.0
-	firstPressSD = 6.0
-	readingSD    = 0.3
-	aloneDriftSD = 0.02 // per square root of a second
-	pressDriftSD = 0.1  // per square root of a second
-	longestDrift = 5 * time.Second
-	// missMost bounds the residual of one reading.
-	missMost = 2.5
-	// saturated is the level (a tail of five times the target) above which a reading only gives a lower bound.
-	saturated = 0.8
-	// surePress is the standard deviation up to which a coefficient counts as known. leastKnown is the number
+	initialAlone   = -2.1
+	initialAloneSD = 0.5
+	// initialCoefficient is the initial coefficient. It lies between those of harmless and of harmful fillers.
+	initialCoefficient   = 3.0
+	initialCoefficientSD = 6.0
+	readingSD            = 0.3
+	aloneDriftSD         = 0.02 // per square root of a second
+	coefficientDriftSD   = 0.1  // per square root of a second
+	maxDriftTime         = 5 * time.Second
+	// maxResidual bounds the residual of one reading.
+	maxResidual = 2.5
+	// saturatedLevel is the level (a tail of five times the target) above which a reading only gives a lower bound.
+	saturatedLevel = 0.8
+	// knownCoefficientSD is the standard deviation up to which a coefficient counts as known. minKnownCoefficients is the number
 	// of fillers whose coefficients must be known for both of two images to compare them.
-	surePress  = 2.0
-	leastKnown = 3
-	// rounding is the standard deviation of the rounding error of a tail reported in whole milliseconds, in
+	knownCoefficientSD   = 2.0
+	minKnownCoefficients = 3
+	// roundingSD is the standard deviation of the rounding error of a tail reported in whole milliseconds, in
 	// milliseconds.
-	rounding = 0.29
+	roundingSD = 0.29
 )
 
 // Reading is one reading of a serving task's tail latency: its level, and the standard deviation of that.
@@ -72,9 +72,9 @@
 
 // NewReading returns the reading for a tail latency and its target, both above 0.
 func NewReading(tail, target time.Duration) Reading {
-	headroom := float64(target) / float64(tail)
-	rough := headroom * rounding * float64(time.Millisecond) / float64(tail)
-	return Reading{Level: 1 - headroom, SD: math.Hypot(readingSD, rough)}
+	targetRatio := float64(target) / float64(tail)
+	roundedSD := targetRatio * roundingSD * float64(time.Millisecond) / float64(tail)
+	return Reading{Level: 1 - targetRatio, SD: math.Hypot(readingSD, roundedSD)}
 }
 
 // filter is the Kalman filter of one serving image. State 0 is its level alone; the others are the coefficients of
@@ -89,21 +89,21 @@
 
 // NewPressureModel returns a model without readings.
 func NewPressureModel() *PressureModel {
-	return &PressureModel{images: map[string]*filter{}, heard: map[string]Beliefs{}, merged: map[string]belief{}}
+	return &PressureModel{filters: map[string]*filter{}, peerBeliefs: map[string]Beliefs{}, merged: map[string]mergedBelief{}}
 }
 
-func (p *PressureModel) image(serving string) *filter {
-	f := p.images[serving]
+func (p *PressureModel) filterOf(serving string) *filter {
+	f := p.filters[serving]
 	if f == nil {
 		f = &filter{index: map[string]int{}}
-		f.grow(firstAlone, firstAloneSD)
-		p.images[serving] = f
+		f.addState(initialAlone, initialAloneSD)
+		p.filters[serving] = f
 	}
 	return f
 }
 
-// grow adds a state with an initial mean and standard deviation and returns its index.
-func (f *filter) grow(mean, sd float64) int {
+// addState adds a state with an initial mean and standard deviation and returns its index.
+func (f *filter) addState(mean, sd float64) int {
 	n := len(f.mean)
 	f.mean = append(f.mean, mean)
 	for i := range f.cov {
@@ -114,10 +114,10 @@
 	return n
 }
 
-func (f *filter) filler(name string) int {
+func (f *filter) fillerState(name string) int {
 	i, ok := f.index[name]
 	if !ok {
-		i = f.grow(firstPress, firstPressSD)
+		i = f.addState(initialCoefficient, initialCoefficientSD)
 		f.index[name] = i
 	}
 	return i
@@ -134,11 +134,11 @@
 	if b, ok := p.merged[serving]; ok {
 		return b.alone.Mean
 	}
-	return firstAlone
+	return initialAlone
 }
 
-// unknownAlike is the similarity assumed for two images while too few of their coefficients are known.
-const unknownAlike = 0.3
+// defaultSimilarity is the similarity assumed for two images while too few of their coefficients are known.
+const defaultSimilarity = 0.3
 
 // Alike returns the similarity of two serving images by their known coefficients: 1 for equal ones, 0 if no filler
 // slows both down. It is the sum of the smaller coefficients divided by that of the larger.
@@ -147,21 +147,21 @@
 		return 1
 	}
 	f, g := p.merged[one], p.merged[other]
-	least, most, known := 0.0, 0.0, 0
+	sumOfSmaller, sumOfLarger, known := 0.0, 0.0, 0
 	for _, filler := range slices.Sorted(maps.Keys(f.fillers)) { // sorted, since sums of floats depend on the order
-		in := f.fillers[filler]
-		like, ok := g.fillers[filler]
-		if !ok || in.Variance > surePress*surePress || like.Variance > surePress*surePress {
+		a := f.fillers[filler]
+		b, ok := g.fillers[filler]
+		if !ok || a.Variance > knownCoefficientSD*knownCoefficientSD || b.Variance > knownCoefficientSD*knownCoefficientSD {
 			continue
 		}
 		known++
-		least += math.Min(in.Mean, like.Mean)
-		most += math.Max(in.Mean, like.Mean)
+		sumOfSmaller += math.Min(a.Mean, b.Mean)
+		sumOfLarger += math.Max(a.Mean, b.Mean)
 	}
-	if known < leastKnown || most == 0 {
-		return unknownAlike
+	if known < minKnownCoefficients || sumOfLarger == 0 {
+		return defaultSimilarity
 	}
-	return least / most
+	return sumOfSmaller / sumOfLarger
 }
 
 // Predict returns the level expected of a serving image beside the given pressures by filler, without the task's own
@@ -177,13 +177,13 @@
 // Learn updates the filters by one reading of a serving task. pressures holds the pressures on its worker during
 // the reading by filler, own the estimate of the task's own load.
 func (p *PressureModel) Learn(now time.Time, serving string, reading Reading, pressures map[string]float64, own *OwnLoad) {
-	own.drift(now)
-	f := p.image(serving)
-	f.drift(now)
+	own.advance(now)
+	f := p.filterOf(serving)
+	f.advance(now)
 	weights := make([]float64, len(f.mean), len(f.mean)+len(pressures))
 	weights[0] = 1
 	for _, filler := range slices.Sorted(maps.Keys(pressures)) {
-		i := f.filler(filler)
+		i := f.fillerState(filler)
 		for len(weights) < len(f.mean) {
 			weights = append(weights, 0)
 		}
@@ -192,22 +192,22 @@
 	f.update(reading, weights, own)
 }
 
-// drift advances the filter to now: the variances grow with time, up to their initial values.
-func (f *filter) drift(now time.Time) {
-	span := min(now.Sub(f.at), longestDrift).Seconds()
+// advance advances the filter to now: the variances grow with time, up to their initial values.
+func (f *filter) advance(now time.Time) {
+	seconds := min(now.Sub(f.at), maxDriftTime).Seconds()
 	if f.at.IsZero() {
-		span = 0
+		seconds = 0
 	}
 	f.at = now
-	if span <= 0 {
+	if seconds <= 0 {
 		return
 	}
 	for i := range f.mean {
-		sd, most := pressDriftSD, firstPressSD
+		sd, maxSD := coefficientDriftSD, initialCoefficientSD
 		if i == 0 {
-			sd, most = aloneDriftSD, firstAloneSD
+			sd, maxSD = aloneDriftSD, initialAloneSD
 		}
-		f.cov[i][i] = min(most*most, f.cov[i][i]+sd*sd*span)
+		f.cov[i][i] = min(maxSD*maxSD, f.cov[i][i]+sd*sd*seconds)
 	}
 }
 
@@ -225,12 +225,12 @@
 	for i := range n {
 		variance += weights[i] * gain[i]
 	}
-	if reading.Level > saturated && expected > reading.Level {
+	if reading.Level > saturatedLevel && expected > reading.Level {
 		return
 	}
-	miss := math.Min(missMost, math.Max(-missMost, reading.Level-expected))
+	residual := math.Min(maxResidual, math.Max(-maxResidual, reading.Level-expected))
 	for i := range n {
-		f.mean[i] += gain[i] * miss / variance
+		f.mean[i] += gain[i] * residual / variance
 		if i > 0 {
 			f.mean[i] = math.Max(0, f.mean[i]) // no filler speeds a serving task up
 		}
@@ -240,14 +240,14 @@
 			f.cov[i][j] -= gain[i] * gain[j] / variance
 		}
 	}
-	own.update(miss, variance)
+	own.update(residual, variance)
 }
 
 // Fillers returns the filler images that have run beside any serving image, sorted.
 func (p *PressureModel) Fillers() []string {
 	seen := map[string]bool{}
-	for _, b := range p.merged {
-		for name := range b.fillers {
+	for _, merged := range p.merged {
+		for name := range merged.fillers {
 			seen[name] = true
 		}
 	}
@@ -256,8 +256,8 @@
 
 // Words returns one line per serving image with this process's own estimates, for the log.
 func (p *PressureModel) Words() []string {
-	list := make([]string, 0, len(p.images))
-	for serving, f := range p.images {
+	list := make([]string, 0, len(p.filters))
+	for serving, f := range p.filters {
 		fillers := make([]string, 0, len(f.index))
 		for name, i := range f.index {
 			fillers = append(fillers, fmt.Sprintf("%s %.1f±%.1f", name, f.mean[i], math.Sqrt(f.cov[i][i])))
--- a/pkg/process/interference/press_test.go
+++ b/pkg/process/interference/press_test.go
@@ -18,10 +18,10 @@
 	return time.Duration(float64(target) / 6 / (1 - min(busy, 0.99)))
 }
 
-// readings simulates a serving task for a minute. Its own load swings by half with a period of 20 s. busyBy holds
+// simulateReadings simulates a serving task for a minute. Its own load swings by half with a period of 20 s. utilizationBy holds
 // the utilization that each filler adds when it uses all processors. A seeded generator decides when each filler
-// runs. rough is the relative standard deviation of the tail.
-func readings(press *interference.PressureModel, image string, busyBy map[string]float64, rough float64) {
+// runs. roughness is the relative standard deviation of the tail.
+func simulateReadings(press *interference.PressureModel, image string, utilizationBy map[string]float64, roughness float64) {
 	const target = 150 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
 	begin := time.Unix(0, 0)
@@ -31,7 +31,7 @@
 		now := begin.Add(time.Duration(i) * 500 * time.Millisecond)
 		if i%4 == 0 {
 			clear(used)
-			for _, filler := range slices.Sorted(maps.Keys(busyBy)) {
+			for _, filler := range slices.Sorted(maps.Keys(utilizationBy)) {
 				if random.IntN(2) == 0 {
 					used[filler] = 0.1
 				}
@@ -39,9 +39,9 @@
 		}
 		busy := 0.48 * (1 + 0.5*math.Sin(2*math.Pi*float64(i)/40))
 		for filler, share := range used {
-			busy += busyBy[filler] * share
+			busy += utilizationBy[filler] * share
 		}
-		tail := time.Duration(float64(queueTail(target, busy)) * (1 + rough*random.NormFloat64()))
+		tail := time.Duration(float64(queueTail(target, busy)) * (1 + roughness*random.NormFloat64()))
 		press.Learn(now, image, interference.NewReading(tail, target), used, &own)
 		press.Merge(now)
 	}
@@ -49,10 +49,10 @@
 
 // The coefficient of a pair doesn't depend on the load of the serving task, so harmful fillers are told from harmless
 // ones while the load swings.
-func TestWhatPressesIsToldFromWhatDoesNot(t *testing.T) {
+func TestCoefficientsSeparateHarmfulFromHarmlessFillers(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
-	readings(press, "quotes", map[string]float64{"hard": 2, "harder": 3, "mild": 0.15, "none": 0}, 0.04)
+	simulateReadings(press, "quotes", map[string]float64{"hard": 2, "harder": 3, "mild": 0.15, "none": 0}, 0.04)
 	must.Between(t, 8.0, press.Coefficient("quotes", "hard"), 16.0, must.Sprint("6 x 2"))
 	must.Between(t, 12.0, press.Coefficient("quotes", "harder"), 24.0, must.Sprint("6 x 3"))
 	must.Between(t, 0.0, press.Coefficient("quotes", "mild"), 4.0, must.Sprint("6 x 0.15"))
@@ -60,12 +60,12 @@
 	must.Between(t, -2.6, press.Alone("quotes"), -1.6, must.Sprint("1 - 6 x 0.52"))
 }
 
-func TestImagesThatTheSameFillersPressOnAreAlike(t *testing.T) {
+func TestImagesSlowedByTheSameFillersAreSimilar(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
-	readings(press, "quotes", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
-	readings(press, "sheets", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
-	readings(press, "rates", map[string]float64{"a": 0.1, "b": 2, "c": 2, "d": 0.1}, 0.04)
+	simulateReadings(press, "quotes", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
+	simulateReadings(press, "sheets", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
+	simulateReadings(press, "rates", map[string]float64{"a": 0.1, "b": 2, "c": 2, "d": 0.1}, 0.04)
 	must.Greater(t, 0.6, press.Alike("quotes", "sheets"))
 	must.Less(t, 0.25, press.Alike("quotes", "rates"))
 	must.Eq(t, 1, press.Alike("rates", "rates"))
@@ -73,7 +73,7 @@
 }
 
 // The forecast of the own load for the next second follows a load wave with a period of 20 s.
-func TestAnOwnLoadIsFollowed(t *testing.T) {
+func TestForecastFollowsOwnLoad(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
 	const target = 150 * time.Millisecond
@@ -96,7 +96,7 @@
 	must.Less(t, 0.5, worst, must.Sprint("a second ahead; the wave is 1.4 high"))
 }
 
-func TestAReadingFarOverItsTargetOnlySaysAtLeast(t *testing.T) {
+func TestSaturatedReadingIsALowerBound(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
 	const target = 150 * time.Millisecond
@@ -113,10 +113,10 @@
 
 // A leader with few readings of its own uses the beliefs received from other leaders, and doesn't pass them on as its
 // own. Beliefs that know less don't replace them.
-func TestWhatOthersHaveLearnedCounts(t *testing.T) {
+func TestReceivedBeliefsAreUsedButNotPassedOn(t *testing.T) {
 	t.Parallel()
 	learned := interference.NewPressureModel()
-	readings(learned, "quotes", map[string]float64{"hard": 2, "mild": 0.1}, 0.04)
+	simulateReadings(learned, "quotes", map[string]float64{"hard": 2, "mild": 0.1}, 0.04)
 	fresh := interference.NewPressureModel()
 	fresh.Hear("a", learned.Own())
 	fresh.Merge(time.Unix(100, 0))
--- a/pkg/process/interference/share.go
+++ b/pkg/process/interference/share.go
@@ -23,26 +23,26 @@
 	Fillers map[string]Estimate
 }
 
-// belief holds the merged estimates for one serving image.
-type belief struct {
+// mergedBelief holds the merged estimates for one serving image.
+type mergedBelief struct {
 	alone   Estimate
 	fillers map[string]Estimate
 }
 
-func (b belief) coefficient(filler string) Estimate {
+func (b mergedBelief) coefficient(filler string) Estimate {
 	if e, ok := b.fillers[filler]; ok {
 		return e
 	}
-	return Estimate{firstPress, firstPressSD * firstPressSD}
+	return Estimate{initialCoefficient, initialCoefficientSD * initialCoefficientSD}
 }
 
-// mergeEvery bounds the age of merged beliefs. It is less than the interval of readings, half a second.
-const mergeEvery = 250 * time.Millisecond
+// mergeInterval bounds the age of merged beliefs. It is less than the interval of readings, half a second.
+const mergeInterval = 250 * time.Millisecond
 
 // Own returns the estimates of this process's filters, without those received.
 func (p *PressureModel) Own() Beliefs {
 	own := Beliefs{}
-	for image, f := range p.images {
+	for image, f := range p.filters {
 		b := ImageBelief{Alone: Estimate{f.mean[0], f.cov[0][0]}, Fillers: map[string]Estimate{}}
 		for filler, i := range f.index {
 			b.Fillers[filler] = Estimate{f.mean[i], f.cov[i][i]}
@@ -55,17 +55,17 @@
 // Hear stores the beliefs that another process has learned in a cell. They replace older ones of the same
 // cell unless fewer of their coefficients are known.
 func (p *PressureModel) Hear(cell string, b Beliefs) {
-	if sureness(b) >= sureness(p.heard[cell]) {
-		p.heard[cell] = b
+	if knownCoefficients(b) >= knownCoefficients(p.peerBeliefs[cell]) {
+		p.peerBeliefs[cell] = b
 	}
 }
 
-// sureness returns the number of coefficients that count as known (surePress).
-func sureness(b Beliefs) int {
+// knownCoefficients returns the number of coefficients that count as known (knownCoefficientSD).
+func knownCoefficients(b Beliefs) int {
 	n := 0
 	for _, image := range b {
 		for _, e := range image.Fillers {
-			if e.Variance <= surePress*surePress {
+			if e.Variance <= knownCoefficientSD*knownCoefficientSD {
 				n++
 			}
 		}
@@ -74,45 +74,45 @@
 }
 
 // Merge recomputes the merged beliefs, which predictions use, from own and received ones. It does so at most once per
-// mergeEvery.
+// mergeInterval.
 func (p *PressureModel) Merge(now time.Time) {
-	if age := now.Sub(p.mergedAt); !p.mergedAt.IsZero() && age >= 0 && age < mergeEvery {
+	if age := now.Sub(p.mergedAt); !p.mergedAt.IsZero() && age >= 0 && age < mergeInterval {
 		return
 	}
 	p.mergedAt = now
-	p.merged = map[string]belief{}
-	p.mergeIn(p.Own())
-	for _, cell := range slices.Sorted(maps.Keys(p.heard)) {
-		p.mergeIn(p.heard[cell])
+	p.merged = map[string]mergedBelief{}
+	p.addToMerged(p.Own())
+	for _, cell := range slices.Sorted(maps.Keys(p.peerBeliefs)) {
+		p.addToMerged(p.peerBeliefs[cell])
 	}
 }
 
-func (p *PressureModel) mergeIn(b Beliefs) {
+func (p *PressureModel) addToMerged(b Beliefs) {
 	for image, in := range b {
 		if in.Alone.Variance <= 0 {
 			continue // invalid: the variance of an estimate is positive
 		}
-		have, ok := p.merged[image]
+		merged, ok := p.merged[image]
 		if !ok {
-			have = belief{alone: in.Alone, fillers: map[string]Estimate{}}
+			merged = mergedBelief{alone: in.Alone, fillers: map[string]Estimate{}}
 		} else {
-			have.alone = both(have.alone, in.Alone)
+			merged.alone = combineEstimates(merged.alone, in.Alone)
 		}
 		for filler, e := range in.Fillers {
 			if e.Variance <= 0 {
 				continue // invalid, too
 			}
-			if known, ok := have.fillers[filler]; ok {
-				e = both(known, e)
+			if known, ok := merged.fillers[filler]; ok {
+				e = combineEstimates(known, e)
 			}
-			have.fillers[filler] = e
+			merged.fillers[filler] = e
 		}
-		p.merged[image] = have
+		p.merged[image] = merged
 	}
 }
 
-// both combines two estimates of one quantity, weighted by inverse variance.
-func both(a, b Estimate) Estimate {
+// combineEstimates combines two estimates of one quantity, weighted by inverse variance.
+func combineEstimates(a, b Estimate) Estimate {
 	sum := a.Variance + b.Variance
 	return Estimate{Mean: (a.Mean*b.Variance + b.Mean*a.Variance) / sum, Variance: a.Variance * b.Variance / sum}
 }
--- a/pkg/process/leadership/leadership.go
+++ b/pkg/process/leadership/leadership.go
@@ -35,14 +35,14 @@
 	return [...]string{"follower", "claiming", "leader"}[r]
 }
 
-// marginShare is the divisor of the safety margin for clock speed differences between hosts. The margin is a
+// marginDivisor is the divisor of the safety margin for clock speed differences between hosts. The margin is a
 // twentieth of the awaited duration, far above the drift of quartz clocks.
-const marginShare = 20
+const marginDivisor = 20
 
 // WithMargin returns a duration that another host measures by its own clock, lengthened by the safety margin for
 // differences in clock speed.
-func WithMargin(span time.Duration) time.Duration {
-	return span + span/marginShare
+func WithMargin(duration time.Duration) time.Duration {
+	return duration + duration/marginDivisor
 }
 
 // Leadership is one entry host's view of one hall's leadership. Values are
@@ -62,17 +62,17 @@
 	holder  string
 	address string
 
-	role     Role
-	row      *wire.LeaderRow
-	revision int64
-	seenAt   time.Time
+	role           Role
+	row            *wire.LeaderRow
+	revision       int64
+	unchangedSince time.Time
 
-	renewedAt     time.Time
-	accededAt     time.Time
-	predecessorMS int64
-	// boundMS is the shortest tenure, in milliseconds, that the table may hold for this leader: the one
+	renewedAt           time.Time
+	wonAt               time.Time
+	predecessorTenureMS int64
+	// bindingTenureMS is the shortest tenure, in milliseconds, that the table may hold for this leader: the one
 	// surely written, or a shorter one whose write is pending.
-	boundMS int64
+	bindingTenureMS int64
 }
 
 // New returns the view of a process that has not read the row yet.
@@ -100,8 +100,8 @@
 	if l.role == Leader || revision < l.revision {
 		return l
 	}
-	if l.seenAt.IsZero() || revision != l.revision {
-		l.seenAt = now
+	if l.unchangedSince.IsZero() || revision != l.revision {
+		l.unchangedSince = now
 	}
 	l.revision = revision
 	if row != nil {
@@ -113,13 +113,13 @@
 // MayClaim returns whether a follower may claim the row: the row has stayed unchanged for takeover plus the
 // margin, its holder has released it, or it doesn't exist.
 func (l Leadership) MayClaim(now time.Time, takeover time.Duration) bool {
-	if l.role != Follower || l.seenAt.IsZero() {
+	if l.role != Follower || l.unchangedSince.IsZero() {
 		return false
 	}
 	if l.revision == 0 || l.row.GetReleased() {
 		return true
 	}
-	return now.Sub(l.seenAt) > WithMargin(takeover)
+	return now.Sub(l.unchangedSince) > WithMargin(takeover)
 }
 
 // Claim returns the row that claims the leadership. The caller writes it on condition that the stored row
@@ -145,13 +145,13 @@
 // counted from then. now is the time of the answer, which is later than any renewal of a predecessor; the
 // wait for the predecessor's tenure is counted from then.
 func (l Leadership) WithWon(sentAt, now time.Time, row *wire.LeaderRow, revision int64) Leadership {
-	l.predecessorMS = l.row.GetTenureMs()
+	l.predecessorTenureMS = l.row.GetTenureMs()
 	l.role = Leader
 	l.row = row
 	l.revision = revision
-	l.boundMS = row.GetTenureMs()
+	l.bindingTenureMS = row.GetTenureMs()
 	l.renewedAt = sentAt
-	l.accededAt = now
+	l.wonAt = now
 	return l
 }
 
@@ -159,7 +159,7 @@
 // is outdated; it may even be that no row existed.
 func (l Leadership) WithLost() Leadership {
 	l.role = Follower
-	l.seenAt = time.Time{}
+	l.unchangedSince = time.Time{}
 	return l
 }
 
@@ -181,7 +181,7 @@
 // WithRenewing records that a renewal is pending. A shorter tenure binds the leader from now on, since the
 // table may hold it at any moment.
 func (l Leadership) WithRenewing(row *wire.LeaderRow) Leadership {
-	l.boundMS = min(l.boundMS, row.GetTenureMs())
+	l.bindingTenureMS = min(l.bindingTenureMS, row.GetTenureMs())
 	return l
 }
 
@@ -198,7 +198,7 @@
 func (l Leadership) WithRenewed(sentAt time.Time, row *wire.LeaderRow, revision int64) Leadership {
 	l.row = row
 	l.revision = revision
-	l.boundMS = row.GetTenureMs()
+	l.bindingTenureMS = row.GetTenureMs()
 	if sentAt.After(l.renewedAt) {
 		l.renewedAt = sentAt
 	}
@@ -207,7 +207,7 @@
 
 // TenureEnd returns the time after which this leader grants no lease. No lease may end later than that.
 func (l Leadership) TenureEnd() time.Time {
-	return l.renewedAt.Add(time.Duration(l.boundMS) * time.Millisecond)
+	return l.renewedAt.Add(time.Duration(l.bindingTenureMS) * time.Millisecond)
 }
 
 // MayGrant returns whether this process is the leader and within its tenure.
@@ -218,5 +218,5 @@
 // PredecessorsOver returns the time by which all leases of earlier leaders have expired, also on workers that
 // this leader has not reached.
 func (l Leadership) PredecessorsOver() time.Time {
-	return l.accededAt.Add(WithMargin(time.Duration(l.predecessorMS) * time.Millisecond))
+	return l.wonAt.Add(WithMargin(time.Duration(l.predecessorTenureMS) * time.Millisecond))
 }
--- a/pkg/process/leadership/leadership_test.go
+++ b/pkg/process/leadership/leadership_test.go
@@ -11,7 +11,7 @@
 )
 
 // A claim over a row that the host has not read anew loses, since the condition names an old revision.
-func TestALostClaimReadsTheRowBeforeTheNext(t *testing.T) {
+func TestRowIsReadAgainAfterLostClaim(t *testing.T) {
 	t.Parallel()
 	const takeover = 3 * time.Second
 	now := time.Unix(1000, 0)
--- a/pkg/rows/fleet.go
+++ b/pkg/rows/fleet.go
@@ -28,12 +28,12 @@
 	specPrefix     = "spec."
 	progressPrefix = "progress."
 	cancelPrefix   = "cancel."
-	// returnMark separates job id and cell in the key of a return. No job id contains it: ids are 16 hex digits.
-	returnMark  = "."
-	FenceTable  = "fence"
-	LeadTable   = "lead"
-	RosterTable = "roster"
-	HostTable   = "host"
+	// returnSeparator separates job id and cell in the key of a return. No job id contains it: ids are 16 hex digits.
+	returnSeparator = "."
+	FenceTable      = "fence"
+	LeadTable       = "lead"
+	RosterTable     = "roster"
+	HostTable       = "host"
 )
 
 // JobParts is the number of parts over which jobs are spread. The table applies the writes of one part one after
@@ -83,11 +83,11 @@
 // ReturnKey returns the key of the row by which a target cell returns delegated tasks of a job to its home cell. The
 // row is in the table of cancels, whose changes the home cell's leader reads anyway.
 func ReturnKey(home, id, from string) table.Key {
-	return table.Key{Table: CancelTable(home), Part: JobPart(id), Key: id + returnMark + from}
+	return table.Key{Table: CancelTable(home), Part: JobPart(id), Key: id + returnSeparator + from}
 }
 
 // IsReturn returns whether a row in the table of cancels returns delegated tasks.
-func IsReturn(k table.Key) bool { return strings.Contains(k.Key, returnMark) }
+func IsReturn(k table.Key) bool { return strings.Contains(k.Key, returnSeparator) }
 
 // FenceKey returns the key of a cell's fence in one part.
 func FenceKey(cell, part string) table.Key {
