--- a/pkg/capacity/size.go
+++ b/pkg/capacity/size.go
@@ -52,6 +52,7 @@
 	return max(share(s.Millicores, total.Millicores), share(s.MemoryMB, total.MemoryMB), share(s.Accelerators, total.Accelerators))
 }
 
+// share returns part as a fraction of whole, or 0 if there is no whole.
 func share(part, whole int64) float64 {
 	if whole <= 0 {
 		return 0
--- a/pkg/clock/boottime_linux.go
+++ b/pkg/clock/boottime_linux.go
@@ -50,6 +50,7 @@
 	return r
 }
 
+// boottime returns the value of CLOCK_BOOTTIME, the time since the host booted, including suspensions.
 func boottime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/pkg/process/election/election.go
+++ b/pkg/process/election/election.go
@@ -52,7 +52,7 @@
 
 // Self describes this process.
 type Self struct {
-	// Life names this life of this process.
+	// Life identifies this incarnation of the process.
 	Life    string
 	Host    string
 	Hall    string
@@ -68,6 +68,8 @@
 	cell, hall string
 	self       Self
 
+	// row is the leadership row as last read or written, or nil. version is its version in the table, readAt the time at
+	// which this process got it.
 	row     *wire.CellLead
 	version int64
 	readAt  time.Time
@@ -76,15 +78,17 @@
 
 	role Role
 	// renewedAt is the time at which the last renewal that took effect was sent.
-	renewedAt    time.Time
+	renewedAt time.Time
+	// writePending means that the write of sentRow, sent at sentAt, has not been answered yet.
 	writePending bool
 	sentAt       time.Time
 	sentRow      *wire.CellLead
-	// sentRoster is the roster written together with sent, or nil.
-	sentRoster       *wire.CellRoster
+	// sentRoster is the roster written together with sentRow, or nil.
+	sentRoster *wire.CellRoster
+	// releaseRequested is set by Release, handoverOffered by Want.
 	releaseRequested bool
 	handoverOffered  bool
-	// predecessorsSettled means that all predecessors have surely ended; see Settled.
+	// predecessorsSettled means that all runs started by predecessors are known or have certainly ended (Settled).
 	predecessorsSettled bool
 	// endedPredecessors holds the predecessors that are known to have ended, by holder.
 	endedPredecessors map[string]bool
@@ -140,6 +144,7 @@
 	return s.storeTime(now) - time.Duration(s.row.GetRenewedStoreMs())*time.Millisecond
 }
 
+// storeTime returns the table's clock at now, extrapolated from the last reading.
 func (s *Seat) storeTime(now time.Time) time.Duration { return s.storeTimeAtRead + now.Sub(s.readAt) }
 
 // Fresh returns whether the last known row names a leader that has renewed recently and has not released the seat.
@@ -172,13 +177,15 @@
 	return Change{}
 }
 
-func (s *Seat) becomeLeader(now, at time.Time, before *wire.CellLead) Change {
-	s.role, s.renewedAt, s.handoverOffered, s.releaseRequested = Leader, at, false, false
+// becomeLeader makes this process the leader. claimSentAt is the time at which its claim was sent, replaced the row that
+// the claim replaced.
+func (s *Seat) becomeLeader(now, claimSentAt time.Time, replaced *wire.CellLead) Change {
+	s.role, s.renewedAt, s.handoverOffered, s.releaseRequested = Leader, claimSentAt, false, false
 	s.writtenRoster, s.predecessorsSettled, s.endedPredecessors = nil, false, nil
-	return Change{Led: true, Before: before, Predecessors: s.predecessors(now)}
+	return Change{Led: true, Before: replaced, Predecessors: s.predecessors(now)}
 }
 
-// Settled records that all runs started by predecessors are known or have surely ended. Later renewals name no
+// Settled records that all runs started by predecessors are known or have certainly ended. Later renewals name no
 // predecessors.
 func (s *Seat) Settled() { s.predecessorsSettled = true }
 
@@ -220,6 +227,8 @@
 	return s.startWrite(now, row, nil)
 }
 
+// renewal returns the leader's next write, or nil while none is due. A release, the first roster and an urgent change
+// of the roster are written at once, all else once per renewInterval.
 func (s *Seat) renewal(now time.Time, roster []*wire.RosterEntry) *Write {
 	changed := roster != nil && (s.writtenRoster == nil || !noUrgentChange(s.writtenRoster, roster))
 	if !s.releaseRequested && !changed && now.Sub(s.sentAt) < renewInterval {
@@ -240,6 +249,8 @@
 	return s.startWrite(now, row, &wire.CellRoster{Cell: s.cell, Entries: roster})
 }
 
+// noUrgentChange returns whether the roster has no change that must be written before the next renewal. Urgent changes
+// are other members or incarnations, another leaving state, and runs at a worker that are no longer known.
 func noUrgentChange(written, roster []*wire.RosterEntry) bool {
 	if len(written) != len(roster) {
 		return false
@@ -294,6 +305,7 @@
 		s.Fresh(now) && now.Sub(s.self.Since) > handoverRequestWait
 }
 
+// startWrite records a pending write and returns it.
 func (s *Seat) startWrite(now time.Time, row *wire.CellLead, roster *wire.CellRoster) *Write {
 	s.writePending, s.sentAt, s.sentRow, s.sentRoster = true, now, row, roster
 	return &Write{Row: row, Version: s.version, Roster: roster}
--- a/pkg/process/interference/guard.go
+++ b/pkg/process/interference/guard.go
@@ -31,7 +31,8 @@
 
 // Candidate is a batch task on the service's worker that the Guard may act on.
 type Candidate struct {
-	Task      string
+	Task string
+	// Kind is the kind of batch work, as in Present.
 	Kind      string
 	Priority  int
 	Throttled bool
@@ -81,6 +82,8 @@
 	return action
 }
 
+// choose returns the action for a sample: it restores a task at a calm ratio, throttles the worst offender at a missed
+// target, and evicts an offender that is throttled already.
 func (g *Guard) choose(s Sample, tasks []Candidate) Action {
 	if s.Ratio <= restoreRatio {
 		return restoreFirstThrottled(s, tasks)
@@ -99,6 +102,7 @@
 	return Action{Verb: verb, Task: offender.Task, Service: s.Service, Ratio: s.Ratio}
 }
 
+// restoreFirstThrottled returns the action that lifts the throttle of the first throttled task, if there is one.
 func restoreFirstThrottled(s Sample, tasks []Candidate) Action {
 	for _, t := range tasks {
 		if t.Throttled {
@@ -122,6 +126,7 @@
 	return worst, found
 }
 
+// actOnBefore returns whether to act on task a rather than on b.
 func (g *Guard) actOnBefore(service string, a, b Candidate) bool {
 	harmA, harmB := g.model.Harm(service, a.Kind), g.model.Harm(service, b.Kind)
 	if harmA != harmB {
--- a/pkg/process/interference/press.go
+++ b/pkg/process/interference/press.go
@@ -36,7 +36,8 @@
 	filters     map[string]*filter
 	peerBeliefs map[string]Beliefs
 	merged      map[string]mergedBelief
-	// mergedAt is the time at which merged was computed.
+	// mergedAt is the time at which merged was computed. merged holds the estimates by serving image that predictions
+	// use.
 	mergedAt time.Time
 }
 
@@ -92,6 +93,7 @@
 	return &PressureModel{filters: map[string]*filter{}, peerBeliefs: map[string]Beliefs{}, merged: map[string]mergedBelief{}}
 }
 
+// filterOf returns the filter of a serving image, which it creates if there is none.
 func (p *PressureModel) filterOf(serving string) *filter {
 	f := p.filters[serving]
 	if f == nil {
@@ -114,6 +116,7 @@
 	return n
 }
 
+// fillerState returns the state index of a filler, which it adds if there is none.
 func (f *filter) fillerState(name string) int {
 	i, ok := f.index[name]
 	if !ok {
--- a/pkg/process/interference/press_test.go
+++ b/pkg/process/interference/press_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// The coefficient of a pair doesn't depend on the load of the serving task, so harmful fillers are told from harmless
-// ones while the load swings.
+// The coefficient of a pair doesn't depend on the load of the serving task, so the estimates separate harmful
+// from harmless fillers while the load swings.
 func TestCoefficientsSeparateHarmfulFromHarmlessFillers(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
--- a/pkg/process/interference/share.go
+++ b/pkg/process/interference/share.go
@@ -29,6 +29,7 @@
 	fillers map[string]Estimate
 }
 
+// coefficient returns the estimate for a filler, or the initial one if the filler is unknown.
 func (b mergedBelief) coefficient(filler string) Estimate {
 	if e, ok := b.fillers[filler]; ok {
 		return e
@@ -87,6 +88,7 @@
 	}
 }
 
+// addToMerged combines one process's beliefs with the merged ones. It ignores estimates with an invalid variance.
 func (p *PressureModel) addToMerged(b Beliefs) {
 	for image, in := range b {
 		if in.Alone.Variance <= 0 {
--- a/pkg/process/leadership/leadership.go
+++ b/pkg/process/leadership/leadership.go
@@ -62,16 +62,21 @@
 	holder  string
 	address string
 
-	role           Role
-	row            *wire.LeaderRow
-	revision       int64
+	role     Role
+	row      *wire.LeaderRow
+	revision int64
+	// unchangedSince is the time at which this process first read the present revision. It is zero if the row has to
+	// be read first.
 	unchangedSince time.Time
 
-	renewedAt           time.Time
-	wonAt               time.Time
+	// renewedAt is the time from which the tenure is counted: that at which the last renewal that took effect was sent.
+	renewedAt time.Time
+	// wonAt is the time of the answer to the claim by which this process became the leader.
+	wonAt time.Time
+	// predecessorTenureMS is the tenure in the row that the claim replaced, in milliseconds.
 	predecessorTenureMS int64
 	// bindingTenureMS is the shortest tenure, in milliseconds, that the table may hold for this leader: the one
-	// surely written, or a shorter one whose write is pending.
+	// known to be written, or a shorter one whose write is pending.
 	bindingTenureMS int64
 }
 
@@ -95,7 +100,7 @@
 // ------------------------------------------------------------ following
 
 // WithObserved handles a reading of the row. The takeover time starts anew whenever the row's revision
-// has changed. A leader ignores readings, and so does a follower those of older revisions.
+// has changed. A leader ignores readings; a process in another role ignores those of older revisions.
 func (l Leadership) WithObserved(now time.Time, row *wire.LeaderRow, revision int64) Leadership {
 	if l.role == Leader || revision < l.revision {
 		return l
@@ -193,7 +198,7 @@
 	return row
 }
 
-// WithRenewed records a renewal that surely took effect. sentAt is the time at which it was last sent before
+// WithRenewed records a renewal that is known to have taken effect. sentAt is the time at which it was last sent before
 // the answer; the table may have applied it at that time.
 func (l Leadership) WithRenewed(sentAt time.Time, row *wire.LeaderRow, revision int64) Leadership {
 	l.row = row
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -4,7 +4,7 @@
 // Rows are in tables, and within a table in parts. A transaction stays within one part. Every row has a version
 // from one counter, which rises with each transaction. Errors tell the outcome of a request:
 //
-//	fault.NotRun       the service has surely done nothing
+//	fault.NotRun       the service has done nothing
 //	fault.Unknown      the service may have carried out the request, or may do so later
 //	fault.Unavailable  a reading got no answer
 package table
@@ -66,7 +66,8 @@
 	Limit                 int
 }
 
-// Page is a consistent reading of a range's first rows. More means that the range has further rows.
+// Page is a consistent reading of a range's first rows. More means that the range has further rows. Version is the
+// version as of which the rows were read, StoreTime the time by the service's monotonic clock.
 type Page struct {
 	Rows      []Row
 	More      bool
