--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -13,7 +13,7 @@
 	"github.com/wrenferry/wrenferry/pkg/clock"
 )
 
-func TestNowGoesOnAsTheSteadyClockDoes(t *testing.T) {
+func TestNowAdvancesWithMonotonicClock(t *testing.T) {
 	t.Parallel()
 	began, steady := clock.Now(), time.Now()
 	time.Sleep(50 * time.Millisecond)
@@ -22,17 +22,17 @@
 	must.False(t, clock.Now().Before(began))
 }
 
-func TestOnlyTimeThatTheSteadyClockLeftOutCountsAsASuspension(t *testing.T) {
+func TestSleptIsTimeNotCountedByMonotonicClock(t *testing.T) {
 	t.Parallel()
 	must.Eq(t, 0, clock.Slept(10*time.Second, 10*time.Second-20*time.Millisecond))
 	must.Eq(t, 5*time.Second, clock.Slept(5250*time.Millisecond, 250*time.Millisecond))
 }
 
-// Packages that decide get their time from this one.
-func TestNoOtherClockDecides(t *testing.T) {
+// Packages that make decisions must take the time from this package, not from package time.
+func TestDecidingPackagesDoNotCallTimeNow(t *testing.T) {
 	t.Parallel()
 	allowed := map[string]string{
-		"pkg/process/fleet/control.go": "wall: time.Now,", // the time of day, for jobs with times
+		"pkg/process/fleet/control.go": "wall: time.Now,", // the time of day, for jobs with due times
 		"platform/lives.go":            "c.SetDeadline(time.Now()",
 	}
 	other := regexp.MustCompile(`\btime\.(Now|Since|Until)\b`)
@@ -59,7 +59,7 @@
 	}
 }
 
-// BenchmarkNow and BenchmarkSteady together show what a reading costs against the language's own.
+// BenchmarkNow and BenchmarkSteady compare the cost of clock.Now with that of time.Now.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		clock.Now()
--- a/pkg/clock/holds_test.go
+++ b/pkg/clock/holds_test.go
@@ -7,12 +7,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// What is asked for right after a suspension is not answered from before it.
-func TestAReadingServesOnlyWhileNothingSpeaksForASuspension(t *testing.T) {
+// The first call of Now after a suspension must not use a reading from before the suspension.
+func TestReadingIsInvalidAfterSuspension(t *testing.T) {
 	t.Parallel()
-	must.True(t, holds(5*time.Millisecond, 5*time.Millisecond))
-	must.False(t, holds(5*time.Millisecond, 5005*time.Millisecond))
-	must.False(t, holds(5*time.Millisecond, -3*time.Second))
-	must.False(t, holds(readEvery, readEvery))
-	must.False(t, holds(-time.Millisecond, -time.Millisecond))
+	must.True(t, readingIsValid(5*time.Millisecond, 5*time.Millisecond))
+	must.False(t, readingIsValid(5*time.Millisecond, 5005*time.Millisecond))
+	must.False(t, readingIsValid(5*time.Millisecond, -3*time.Second))
+	must.False(t, readingIsValid(maxReadingAge, maxReadingAge))
+	must.False(t, readingIsValid(-time.Millisecond, -time.Millisecond))
 }
--- a/pkg/process/interference/press.go
+++ b/pkg/process/interference/press.go
@@ -10,102 +10,102 @@
 	"time"
 )
 
-// PressureModel learns how much fillers of one image keep serving tasks of another from
-// their users: one coefficient a pair, beside what the task's own load does.
+// PressureModel learns how much fillers of one image slow serving tasks of another down: one coefficient per pair of
+// images, apart from the effect of the serving task's own load.
 //
-// A serving task is a queue: the tail of its answers grows as
+// A serving task is modelled as a queue, whose tail latency grows as
 //
 //	tail = unloaded / (1 - busy)
 //
-// so that 1/tail, and not the tail or its logarithm, is linear in what keeps it
-// busy. A reading's Level is therefore 1 - target/tail: 0 at the target, below 0
-// while there is room, 1 for a tail without bound; the unloaded tail need not be
-// known. It is explained as
+// so 1/tail, and not the tail or its logarithm, is linear in the sources of load. A reading's Level is
+// therefore 1 - target/tail: 0 at the target, below 0 for a tail below the target, 1 for an unbounded tail. The
+// unloaded tail need not be known. The level is modelled as
 //
 //	level = alone + own + sum over fillers of coefficient x pressure
 //
-// where a filler's pressure is the share of the worker's processors that it
-// uses, and own the task's own load, which swings over some seconds. Most pairs
-// don't meet at all, a few press hard, and several fillers run side by side: so
-// each serving image has a Kalman filter over its coefficients, which knows how
-// sure it is of each, and gives a miss to those that it is least sure of. What
-// is not seen for a while becomes less sure again.
+// where alone is the image's level without fillers, a filler's pressure is the share of the worker's processors
+// that it uses, and own is the effect of the task's own load (OwnLoad), which swings over some seconds. Most
+// pairs never share a worker, a few slow the serving task down a lot, and several fillers run side by side. So
+// each serving image has a Kalman filter over its coefficients. The filter tracks the variance of each
+// coefficient and attributes a residual mostly to the least certain ones. The variance of all coefficients
+// grows again with time.
 //
-// Readings teach a filter of one process and cell alone. What leaders of other cells,
-// and earlier ones of the same, say of theirs is heard and merged with it, each
-// weighed by how sure it is (share.go).
+// Readings update only the filters of one process and cell. The filters' estimates from leaders of other cells, and
+// from earlier leaders of the same cell, are merged with them, weighted by inverse variance (share.go).
 type PressureModel struct {
-	images map[string]*filter
-	heard  map[string]Beliefs
-	merged map[string]belief
-	// mergedAt is when merged was made.
+	filters     map[string]*filter
+	peerBeliefs map[string]Beliefs
+	merged      map[string]mergedBelief
+	// mergedAt is the time at which merged was computed. merged holds the estimates by serving image that predictions
+	// use.
 	mergedAt time.Time
 }
 
 const (
-	// firstAlone is the level of a task that is half busy, at a target of six times the
-	// unloaded tail.
-	firstAlone   = -2.1
-	firstAloneSD = 0.5
-	// firstPress lies between fillers that hardly press and those that do.
-	firstPress   = 3.0
-	firstPressSD = 6.0
-	readingSD    = 0.3
-	aloneDriftSD = 0.02 // per square root of a second
-	pressDriftSD = 0.1  // likewise
-	longestDrift = 5 * time.Second
-	// missMost bounds what one reading can say.
-	missMost = 2.5
-	// saturated is the level (five times the target) from which readings only
-	// say that it is at least so high.
-	saturated = 0.8
-	// surePress is the deviation below which a coefficient counts as known, and
-	// leastKnown how many must be, of both, to compare two images.
-	surePress  = 2.0
-	leastKnown = 3
-	// rounding is the deviation of a tail that is told in whole milliseconds.
-	rounding = 0.29
+	// initialAlone is the initial level of an image without fillers: that of a task that is half busy, with a
+	// target of six times its unloaded tail.
+	initialAlone   = -2.1
+	initialAloneSD = 0.5
+	// initialCoefficient is the initial coefficient. It lies between those of harmless and of harmful fillers.
+	initialCoefficient   = 3.0
+	initialCoefficientSD = 6.0
+	readingSD            = 0.3
+	aloneDriftSD         = 0.02 // per square root of a second
+	coefficientDriftSD   = 0.1  // per square root of a second
+	maxDriftTime         = 5 * time.Second
+	// maxResidual bounds the residual of one reading.
+	maxResidual = 2.5
+	// saturatedLevel is the level (a tail of five times the target) above which a reading only gives a lower bound.
+	saturatedLevel = 0.8
+	// knownCoefficientSD is the standard deviation up to which a coefficient counts as known. minKnownCoefficients is the number
+	// of fillers whose coefficients must be known for both of two images to compare them.
+	knownCoefficientSD   = 2.0
+	minKnownCoefficients = 3
+	// roundingSD is the standard deviation of the rounding error of a tail reported in whole milliseconds, in
+	// milliseconds.
+	roundingSD = 0.29
 )
 
-// Reading is one reading of a serving task: how high, and how rough.
+// Reading is one reading of a serving task's tail latency: its level, and the standard deviation of that.
 type Reading struct {
 	Level, SD float64
 }
 
-// NewReading makes a reading of a tail and its target, both above 0.
+// NewReading returns the reading for a tail latency and its target, both above 0.
 func NewReading(tail, target time.Duration) Reading {
-	headroom := float64(target) / float64(tail)
-	rough := headroom * rounding * float64(time.Millisecond) / float64(tail)
-	return Reading{Level: 1 - headroom, SD: math.Hypot(readingSD, rough)}
+	targetRatio := float64(target) / float64(tail)
+	roundedSD := targetRatio * roundingSD * float64(time.Millisecond) / float64(tail)
+	return Reading{Level: 1 - targetRatio, SD: math.Hypot(readingSD, roundedSD)}
 }
 
-// filter is what is believed of one serving image. Index 0 is alone, the others
-// are fillers.
+// filter is the Kalman filter of one serving image. State 0 is its level alone; the others are the coefficients of
+// fillers.
 type filter struct {
 	index map[string]int
 	mean  []float64
-	// cov is the covariance, row by row.
+	// cov is the covariance matrix, by rows.
 	cov [][]float64
 	at  time.Time
 }
 
-// NewPressureModel returns a model that knows nothing.
+// NewPressureModel returns a model without readings.
 func NewPressureModel() *PressureModel {
-	return &PressureModel{images: map[string]*filter{}, heard: map[string]Beliefs{}, merged: map[string]belief{}}
+	return &PressureModel{filters: map[string]*filter{}, peerBeliefs: map[string]Beliefs{}, merged: map[string]mergedBelief{}}
 }
 
-func (p *PressureModel) image(serving string) *filter {
-	f := p.images[serving]
+// filterOf returns the filter of a serving image, which it creates if there is none.
+func (p *PressureModel) filterOf(serving string) *filter {
+	f := p.filters[serving]
 	if f == nil {
 		f = &filter{index: map[string]int{}}
-		f.grow(firstAlone, firstAloneSD)
-		p.images[serving] = f
+		f.addState(initialAlone, initialAloneSD)
+		p.filters[serving] = f
 	}
 	return f
 }
 
-// grow adds a state with a first belief.
-func (f *filter) grow(mean, sd float64) int {
+// addState adds a state with an initial mean and standard deviation and returns its index.
+func (f *filter) addState(mean, sd float64) int {
 	n := len(f.mean)
 	f.mean = append(f.mean, mean)
 	for i := range f.cov {
@@ -116,57 +116,59 @@
 	return n
 }
 
-func (f *filter) filler(name string) int {
+// fillerState returns the state index of a filler, which it adds if there is none.
+func (f *filter) fillerState(name string) int {
 	i, ok := f.index[name]
 	if !ok {
-		i = f.grow(firstPress, firstPressSD)
+		i = f.addState(initialCoefficient, initialCoefficientSD)
 		f.index[name] = i
 	}
 	return i
 }
 
-// Coefficient is how much the filler's whole use of a worker's processors
-// would add to the serving image's level.
+// Coefficient returns the level that the filler would add to the serving image if it used all of a worker's
+// processors.
 func (p *PressureModel) Coefficient(serving, filler string) float64 {
 	return p.merged[serving].coefficient(filler).Mean
 }
 
-// Alone is the level of a serving image without fillers.
+// Alone returns the level of a serving image without fillers.
 func (p *PressureModel) Alone(serving string) float64 {
 	if b, ok := p.merged[serving]; ok {
 		return b.alone.Mean
 	}
-	return firstAlone
+	return initialAlone
 }
 
-// unknownAlike stands in for how alike two images are while little is known of one.
-const unknownAlike = 0.3
+// defaultSimilarity is the similarity assumed for two images while too few of their coefficients are known.
+const defaultSimilarity = 0.3
 
-// Alike says how alike two serving images are in what presses on them: 1 for the
-// same, 0 for two that share nothing.
+// Alike returns the similarity of two serving images by their known coefficients: 1 for equal ones, 0 if no filler
+// slows both down. It is the sum of the smaller coefficients divided by that of the larger.
 func (p *PressureModel) Alike(one, other string) float64 {
 	if one == other {
 		return 1
 	}
 	f, g := p.merged[one], p.merged[other]
-	least, most, known := 0.0, 0.0, 0
-	for _, filler := range slices.Sorted(maps.Keys(f.fillers)) { // in order: sums of floats depend on it
-		in := f.fillers[filler]
-		like, ok := g.fillers[filler]
-		if !ok || in.Variance > surePress*surePress || like.Variance > surePress*surePress {
+	sumOfSmaller, sumOfLarger, known := 0.0, 0.0, 0
+	for _, filler := range slices.Sorted(maps.Keys(f.fillers)) { // sorted, since sums of floats depend on the order
+		a := f.fillers[filler]
+		b, ok := g.fillers[filler]
+		if !ok || a.Variance > knownCoefficientSD*knownCoefficientSD || b.Variance > knownCoefficientSD*knownCoefficientSD {
 			continue
 		}
 		known++
-		least += math.Min(in.Mean, like.Mean)
-		most += math.Max(in.Mean, like.Mean)
+		sumOfSmaller += math.Min(a.Mean, b.Mean)
+		sumOfLarger += math.Max(a.Mean, b.Mean)
 	}
-	if known < leastKnown || most == 0 {
-		return unknownAlike
+	if known < minKnownCoefficients || sumOfLarger == 0 {
+		return defaultSimilarity
 	}
-	return least / most
+	return sumOfSmaller / sumOfLarger
 }
 
-// Predict is the level to expect beside the given pressures.
+// Predict returns the level expected of a serving image beside the given pressures by filler, without the task's own
+// load.
 func (p *PressureModel) Predict(serving string, pressures map[string]float64) float64 {
 	level := p.Alone(serving)
 	for _, filler := range slices.Sorted(maps.Keys(pressures)) {
@@ -175,16 +177,16 @@
 	return level
 }
 
-// Learn takes in one reading of a task, and the pressures that were there during
-// it.
+// Learn updates the filters by one reading of a serving task. pressures holds the pressures on its worker during
+// the reading by filler, own the estimate of the task's own load.
 func (p *PressureModel) Learn(now time.Time, serving string, reading Reading, pressures map[string]float64, own *OwnLoad) {
-	own.drift(now)
-	f := p.image(serving)
-	f.drift(now)
+	own.advance(now)
+	f := p.filterOf(serving)
+	f.advance(now)
 	weights := make([]float64, len(f.mean), len(f.mean)+len(pressures))
 	weights[0] = 1
 	for _, filler := range slices.Sorted(maps.Keys(pressures)) {
-		i := f.filler(filler)
+		i := f.fillerState(filler)
 		for len(weights) < len(f.mean) {
 			weights = append(weights, 0)
 		}
@@ -193,26 +195,26 @@
 	f.update(reading, weights, own)
 }
 
-// drift lets time make the beliefs less sure.
-func (f *filter) drift(now time.Time) {
-	span := min(now.Sub(f.at), longestDrift).Seconds()
+// advance advances the filter to now: the variances grow with time, up to their initial values.
+func (f *filter) advance(now time.Time) {
+	seconds := min(now.Sub(f.at), maxDriftTime).Seconds()
 	if f.at.IsZero() {
-		span = 0
+		seconds = 0
 	}
 	f.at = now
-	if span <= 0 {
+	if seconds <= 0 {
 		return
 	}
 	for i := range f.mean {
-		sd, most := pressDriftSD, firstPressSD
+		sd, maxSD := coefficientDriftSD, initialCoefficientSD
 		if i == 0 {
-			sd, most = aloneDriftSD, firstAloneSD
+			sd, maxSD = aloneDriftSD, initialAloneSD
 		}
-		f.cov[i][i] = min(most*most, f.cov[i][i]+sd*sd*span)
+		f.cov[i][i] = min(maxSD*maxSD, f.cov[i][i]+sd*sd*seconds)
 	}
 }
 
-// update is the filter's step for one reading.
+// update is the filter's update step for one reading. weights holds the factor of each state in the expected level.
 func (f *filter) update(reading Reading, weights []float64, own *OwnLoad) {
 	n := len(f.mean)
 	gain := make([]float64, n)
@@ -226,14 +228,14 @@
 	for i := range n {
 		variance += weights[i] * gain[i]
 	}
-	if reading.Level > saturated && expected > reading.Level {
+	if reading.Level > saturatedLevel && expected > reading.Level {
 		return
 	}
-	miss := math.Min(missMost, math.Max(-missMost, reading.Level-expected))
+	residual := math.Min(maxResidual, math.Max(-maxResidual, reading.Level-expected))
 	for i := range n {
-		f.mean[i] += gain[i] * miss / variance
+		f.mean[i] += gain[i] * residual / variance
 		if i > 0 {
-			f.mean[i] = math.Max(0, f.mean[i]) // nothing makes a neighbour faster
+			f.mean[i] = math.Max(0, f.mean[i]) // no filler speeds a serving task up
 		}
 	}
 	for i := range n {
@@ -241,24 +243,24 @@
 			f.cov[i][j] -= gain[i] * gain[j] / variance
 		}
 	}
-	own.update(miss, variance)
+	own.update(residual, variance)
 }
 
-// Fillers lists the filler images that were seen beside any serving image.
+// Fillers returns the filler images that have run beside any serving image, sorted.
 func (p *PressureModel) Fillers() []string {
 	seen := map[string]bool{}
-	for _, b := range p.merged {
-		for name := range b.fillers {
+	for _, merged := range p.merged {
+		for name := range merged.fillers {
 			seen[name] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// Words tells what is believed of each serving image, for the log.
+// Words returns one line per serving image with this process's own estimates, for the log.
 func (p *PressureModel) Words() []string {
-	list := make([]string, 0, len(p.images))
-	for serving, f := range p.images {
+	list := make([]string, 0, len(p.filters))
+	for serving, f := range p.filters {
 		fillers := make([]string, 0, len(f.index))
 		for name, i := range f.index {
 			fillers = append(fillers, fmt.Sprintf("%s %.1f±%.1f", name, f.mean[i], math.Sqrt(f.cov[i][i])))
--- a/pkg/process/interference/press_test.go
+++ b/pkg/process/interference/press_test.go
@@ -13,15 +13,15 @@
 	"github.com/wrenferry/wrenferry/pkg/process/interference"
 )
 
-// queueTail is the tail of a queue whose unloaded tail is a sixth of its target.
+// queueTail returns the tail latency of a queue whose unloaded tail is a sixth of its target.
 func queueTail(target time.Duration, busy float64) time.Duration {
 	return time.Duration(float64(target) / 6 / (1 - min(busy, 0.99)))
 }
 
-// readings plays a serving task for a minute: its own load swings by half in 20 s,
-// the fillers in busyBy press on it by so much at full use. Each filler comes and
-// goes at times that a seed draws.
-func readings(press *interference.PressureModel, image string, busyBy map[string]float64, rough float64) {
+// simulateReadings simulates a serving task for a minute. Its own load swings by half with a period of 20 s. utilizationBy holds
+// the utilization that each filler adds when it uses all processors. A seeded generator decides when each filler
+// runs. roughness is the relative standard deviation of the tail.
+func simulateReadings(press *interference.PressureModel, image string, utilizationBy map[string]float64, roughness float64) {
 	const target = 150 * time.Millisecond
 	random := rand.New(rand.NewPCG(1, 2))
 	begin := time.Unix(0, 0)
@@ -31,7 +31,7 @@
 		now := begin.Add(time.Duration(i) * 500 * time.Millisecond)
 		if i%4 == 0 {
 			clear(used)
-			for _, filler := range slices.Sorted(maps.Keys(busyBy)) {
+			for _, filler := range slices.Sorted(maps.Keys(utilizationBy)) {
 				if random.IntN(2) == 0 {
 					used[filler] = 0.1
 				}
@@ -39,19 +39,20 @@
 		}
 		busy := 0.48 * (1 + 0.5*math.Sin(2*math.Pi*float64(i)/40))
 		for filler, share := range used {
-			busy += busyBy[filler] * share
+			busy += utilizationBy[filler] * share
 		}
-		tail := time.Duration(float64(queueTail(target, busy)) * (1 + rough*random.NormFloat64()))
+		tail := time.Duration(float64(queueTail(target, busy)) * (1 + roughness*random.NormFloat64()))
 		press.Learn(now, image, interference.NewReading(tail, target), used, &own)
 		press.Merge(now)
 	}
 }
 
-// A pair has one coefficient at all loads of the serving task.
-func TestWhatPressesIsToldFromWhatDoesNot(t *testing.T) {
+// The coefficient of a pair doesn't depend on the load of the serving task, so the estimates separate harmful
+// from harmless fillers while the load swings.
+func TestCoefficientsSeparateHarmfulFromHarmlessFillers(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
-	readings(press, "quotes", map[string]float64{"hard": 2, "harder": 3, "mild": 0.15, "none": 0}, 0.04)
+	simulateReadings(press, "quotes", map[string]float64{"hard": 2, "harder": 3, "mild": 0.15, "none": 0}, 0.04)
 	must.Between(t, 8.0, press.Coefficient("quotes", "hard"), 16.0, must.Sprint("6 x 2"))
 	must.Between(t, 12.0, press.Coefficient("quotes", "harder"), 24.0, must.Sprint("6 x 3"))
 	must.Between(t, 0.0, press.Coefficient("quotes", "mild"), 4.0, must.Sprint("6 x 0.15"))
@@ -59,20 +60,20 @@
 	must.Between(t, -2.6, press.Alone("quotes"), -1.6, must.Sprint("1 - 6 x 0.52"))
 }
 
-func TestImagesThatTheSameFillersPressOnAreAlike(t *testing.T) {
+func TestImagesSlowedByTheSameFillersAreSimilar(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
-	readings(press, "quotes", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
-	readings(press, "sheets", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
-	readings(press, "rates", map[string]float64{"a": 0.1, "b": 2, "c": 2, "d": 0.1}, 0.04)
+	simulateReadings(press, "quotes", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
+	simulateReadings(press, "sheets", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
+	simulateReadings(press, "rates", map[string]float64{"a": 0.1, "b": 2, "c": 2, "d": 0.1}, 0.04)
 	must.Greater(t, 0.6, press.Alike("quotes", "sheets"))
 	must.Less(t, 0.25, press.Alike("quotes", "rates"))
 	must.Eq(t, 1, press.Alike("rates", "rates"))
 	must.Between(t, 0.1, press.Alike("rates", "unseen"), 0.5)
 }
 
-// The own load's next second is told from its last ones.
-func TestAnOwnLoadIsFollowed(t *testing.T) {
+// The forecast of the own load for the next second follows a load wave with a period of 20 s.
+func TestForecastFollowsOwnLoad(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
 	const target = 150 * time.Millisecond
@@ -95,7 +96,7 @@
 	must.Less(t, 0.5, worst, must.Sprint("a second ahead; the wave is 1.4 high"))
 }
 
-func TestAReadingFarOverItsTargetOnlySaysAtLeast(t *testing.T) {
+func TestSaturatedReadingIsALowerBound(t *testing.T) {
 	t.Parallel()
 	press := interference.NewPressureModel()
 	const target = 150 * time.Millisecond
@@ -110,18 +111,18 @@
 	must.Greater(t, 0.8, before+own.Expect(0))
 }
 
-// A new leader, and one whose cell has seen little, decide by what others have seen;
-// what is heard back of one's own words adds nothing.
-func TestWhatOthersHaveLearnedCounts(t *testing.T) {
+// A leader with few readings of its own uses the beliefs received from other leaders, and doesn't pass them on as its
+// own. Beliefs that know less don't replace them.
+func TestReceivedBeliefsAreUsedButNotPassedOn(t *testing.T) {
 	t.Parallel()
 	learned := interference.NewPressureModel()
-	readings(learned, "quotes", map[string]float64{"hard": 2, "mild": 0.1}, 0.04)
+	simulateReadings(learned, "quotes", map[string]float64{"hard": 2, "mild": 0.1}, 0.04)
 	fresh := interference.NewPressureModel()
 	fresh.Hear("a", learned.Own())
 	fresh.Merge(time.Unix(100, 0))
 	must.Eq(t, learned.Coefficient("quotes", "hard"), fresh.Coefficient("quotes", "hard"))
-	must.Eq(t, 0, len(fresh.Own()), must.Sprint("it has learned nothing itself"))
-	fresh.Hear("a", interference.Beliefs{}) // its next leader knows nothing yet
+	must.Eq(t, 0, len(fresh.Own()), must.Sprint("received beliefs are not its own"))
+	fresh.Hear("a", interference.Beliefs{}) // from the cell's next leader, which has no readings yet
 	fresh.Merge(time.Unix(200, 0))
 	must.Eq(t, learned.Coefficient("quotes", "hard"), fresh.Coefficient("quotes", "hard"))
 }
--- a/pkg/process/interference/share.go
+++ b/pkg/process/interference/share.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// Beliefs that are shared. A process says what its own filters have learned, and
-// nothing that it has heard: so no word comes back to who said it and counts twice.
-// Images behave alike in all cells.
+// Sharing of beliefs between leaders. A process sends only the estimates of its own filters and none that it has
+// received, so that no estimate returns to its sender and counts twice. Sharing works since images behave alike in all
+// cells.
 
-// Estimate is a figure and how sure it is.
+// Estimate is the mean and variance of an estimated level or coefficient.
 type Estimate struct{ Mean, Variance float64 }
 
-// Beliefs are what one filter has learned: by serving image.
+// Beliefs holds the estimates of one process's filters by serving image.
 type Beliefs map[string]ImageBelief
 
-// ImageBelief is what is believed of a serving image.
+// ImageBelief holds the estimates for one serving image.
 type ImageBelief struct {
-	// Alone is its level without fillers, Fillers the coefficient of each.
+	// Alone is the level without fillers. Fillers holds the coefficient of each filler.
 	Alone   Estimate
 	Fillers map[string]Estimate
 }
 
-// belief is a merged one.
-type belief struct {
+// mergedBelief holds the merged estimates for one serving image.
+type mergedBelief struct {
 	alone   Estimate
 	fillers map[string]Estimate
 }
 
-func (b belief) coefficient(filler string) Estimate {
+// coefficient returns the estimate for a filler, or the initial one if the filler is unknown.
+func (b mergedBelief) coefficient(filler string) Estimate {
 	if e, ok := b.fillers[filler]; ok {
 		return e
 	}
-	return Estimate{firstPress, firstPressSD * firstPressSD}
+	return Estimate{initialCoefficient, initialCoefficientSD * initialCoefficientSD}
 }
 
-// mergeEvery is how old merged beliefs may be: readings come every half second.
-const mergeEvery = 250 * time.Millisecond
+// mergeInterval bounds the age of merged beliefs. It is less than the interval of readings, half a second.
+const mergeInterval = 250 * time.Millisecond
 
-// Own returns what this process's filters have learned.
+// Own returns the estimates of this process's filters, without those received.
 func (p *PressureModel) Own() Beliefs {
 	own := Beliefs{}
-	for image, f := range p.images {
+	for image, f := range p.filters {
 		b := ImageBelief{Alone: Estimate{f.mean[0], f.cov[0][0]}, Fillers: map[string]Estimate{}}
 		for filler, i := range f.index {
 			b.Fillers[filler] = Estimate{f.mean[i], f.cov[i][i]}
@@ -52,20 +53,20 @@
 	return own
 }
 
-// Hear takes in what another process says that it has learned in a cell. A newer word
-// of the same cell takes the place of an older one, unless it knows less.
+// Hear stores the beliefs that another process has learned in a cell. They replace older ones of the same
+// cell unless fewer of their coefficients are known.
 func (p *PressureModel) Hear(cell string, b Beliefs) {
-	if sureness(b) >= sureness(p.heard[cell]) {
-		p.heard[cell] = b
+	if knownCoefficients(b) >= knownCoefficients(p.peerBeliefs[cell]) {
+		p.peerBeliefs[cell] = b
 	}
 }
 
-// sureness is how many pairs a belief is sure of.
-func sureness(b Beliefs) int {
+// knownCoefficients returns the number of coefficients that count as known (knownCoefficientSD).
+func knownCoefficients(b Beliefs) int {
 	n := 0
 	for _, image := range b {
 		for _, e := range image.Fillers {
-			if e.Variance <= surePress*surePress {
+			if e.Variance <= knownCoefficientSD*knownCoefficientSD {
 				n++
 			}
 		}
@@ -73,45 +74,47 @@
 	return n
 }
 
-// Merge brings what is used for decisions up to date with what was learned and heard.
+// Merge recomputes the merged beliefs, which predictions use, from own and received ones. It does so at most once per
+// mergeInterval.
 func (p *PressureModel) Merge(now time.Time) {
-	if age := now.Sub(p.mergedAt); !p.mergedAt.IsZero() && age >= 0 && age < mergeEvery {
+	if age := now.Sub(p.mergedAt); !p.mergedAt.IsZero() && age >= 0 && age < mergeInterval {
 		return
 	}
 	p.mergedAt = now
-	p.merged = map[string]belief{}
-	p.mergeIn(p.Own())
-	for _, cell := range slices.Sorted(maps.Keys(p.heard)) {
-		p.mergeIn(p.heard[cell])
+	p.merged = map[string]mergedBelief{}
+	p.addToMerged(p.Own())
+	for _, cell := range slices.Sorted(maps.Keys(p.peerBeliefs)) {
+		p.addToMerged(p.peerBeliefs[cell])
 	}
 }
 
-func (p *PressureModel) mergeIn(b Beliefs) {
+// addToMerged combines one process's beliefs with the merged ones. It ignores estimates with an invalid variance.
+func (p *PressureModel) addToMerged(b Beliefs) {
 	for image, in := range b {
 		if in.Alone.Variance <= 0 {
-			continue // nobody is that sure: a word that can't be right
+			continue // invalid: the variance of an estimate is positive
 		}
-		have, ok := p.merged[image]
+		merged, ok := p.merged[image]
 		if !ok {
-			have = belief{alone: in.Alone, fillers: map[string]Estimate{}}
+			merged = mergedBelief{alone: in.Alone, fillers: map[string]Estimate{}}
 		} else {
-			have.alone = both(have.alone, in.Alone)
+			merged.alone = combineEstimates(merged.alone, in.Alone)
 		}
 		for filler, e := range in.Fillers {
 			if e.Variance <= 0 {
-				continue // likewise
+				continue // invalid, too
 			}
-			if known, ok := have.fillers[filler]; ok {
-				e = both(known, e)
+			if known, ok := merged.fillers[filler]; ok {
+				e = combineEstimates(known, e)
 			}
-			have.fillers[filler] = e
+			merged.fillers[filler] = e
 		}
-		p.merged[image] = have
+		p.merged[image] = merged
 	}
 }
 
-// both weighs two estimates of one figure by how sure each is.
-func both(a, b Estimate) Estimate {
+// combineEstimates combines two estimates of one quantity, weighted by inverse variance.
+func combineEstimates(a, b Estimate) Estimate {
 	sum := a.Variance + b.Variance
 	return Estimate{Mean: (a.Mean*b.Variance + b.Mean*a.Variance) / sum, Variance: a.Variance * b.Variance / sum}
 }
