--- a/pkg/process/cell/active_runs.go
+++ b/pkg/process/cell/active_runs.go
@@ -18,7 +18,7 @@
 	foreign := ledger.Size{}
 	w.NewOrphanedRuns = nil
 	for _, a := range e.Report.Active {
-		r := s.runOfLine(now, w, a)
+		r := s.matchOrAdopt(now, w, a)
 		if r == nil {
 			t := s.taskNamed(a.Task)
 			if t != nil {
@@ -61,9 +61,9 @@
 	}
 }
 
-// runOfLine returns the run that a line of a worker's list is about. It adopts a run of an earlier leader. It returns
+// matchOrAdopt returns the run that a line of a worker's list is about. It adopts a run of an earlier leader. It returns
 // nil if the task is unknown, or if the run must not go on.
-func (s *State) runOfLine(now time.Time, w *workers.Worker, a workers.Active) *jobs.Run {
+func (s *State) matchOrAdopt(now time.Time, w *workers.Worker, a workers.Active) *jobs.Run {
 	t := s.taskNamed(a.Task)
 	if t == nil {
 		return nil
--- a/pkg/process/cell/after_takeover_test.go
+++ b/pkg/process/cell/after_takeover_test.go
@@ -24,10 +24,10 @@
 	progress := &wire.JobProgress{Id: spec.GetId(), Phase: wire.JobPhase_JOB_PHASE_RUNNING, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{FailedRuns: []int64{1000001}}}}}}
 	v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec, Progress: progress, Recorded: 3})
 	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{
-		{ID: "heard", Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h", Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000}},
+		{ID: "reached", Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h", Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000}},
 		{ID: "second", Service: "quotes", Address: "z", Hall: "hall", Ready: true, Host: "z", Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000}},
 	}})
-	v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"heard", "dark", "second"}})
+	v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"reached", "cut-off", "second"}})
 	third := workers.Active{Task: "00000000000000aa.0.0.0", Run: 1000003, Percent: 10}
 	ended := []workers.End{{Number: 1, Task: third.Task, Run: third.Run, How: workers.EndedFailed}}
 	begin, starts, failed := v.now, 0, false
@@ -39,19 +39,19 @@
 		for _, e := range v.state.Decide(v.now, v.now) {
 			switch e := e.(type) {
 			case cell.SendPoll:
-				looked := cell.PollAnswered{Worker: e.To.ID, SentAt: v.now, Report: workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}}
+				answer := cell.PollAnswered{Worker: e.To.ID, SentAt: v.now, Report: workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}}
 				switch {
-				case e.To.ID == "heard" && since < 3*time.Second:
-					looked.Report.Active = []workers.Active{third}
-				case e.To.ID == "heard":
-					looked.Report.Ended = ended
+				case e.To.ID == "reached" && since < 3*time.Second:
+					answer.Report.Active = []workers.Active{third}
+				case e.To.ID == "reached":
+					answer.Report.Ended = ended
 				case e.To.ID == "second":
 				case since < 4*time.Second:
-					looked.Err = fault.New(fault.Unknown, e.To.ID, "no answer", "")
+					answer.Err = fault.New(fault.Unknown, e.To.ID, "no answer", "")
 				default: // answers while its lease goes on: its first list shows the second failure
-					looked.Report.Ended = []workers.End{{Number: 1, Task: third.Task, Run: 1000002, How: workers.EndedFailed}}
+					answer.Report.Ended = []workers.End{{Number: 1, Task: third.Task, Run: 1000002, How: workers.EndedFailed}}
 				}
-				v.state.Take(v.now, looked)
+				v.state.Take(v.now, answer)
 			case cell.SendStart:
 				starts++
 			case cell.Note:
@@ -89,7 +89,7 @@
 			}})
 			s.Take(now, cell.LeadershipGained{Epoch: 2, Predecessors: map[string]time.Time{"before/1": now.Add(15 * time.Second)}})
 			s.Take(now, cell.Loaded{
-				Epoch: 2, Wall: now, Fences: testFences(), Members: []*wire.RosterEntry{{Id: "w", Address: "x"}, {Id: "dark", Address: "y"}},
+				Epoch: 2, Wall: now, Fences: testFences(), Members: []*wire.RosterEntry{{Id: "w", Address: "x"}, {Id: "cut-off", Address: "y"}},
 				Jobs: []cell.LoadedJob{{Spec: &wire.JobSpec{Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000, EstimateMs: 500, Lasting: lasting}}}}},
 			})
 			begin := now
@@ -100,11 +100,11 @@
 				for _, e := range s.Decide(now, now) {
 					switch e := e.(type) {
 					case cell.SendPoll:
-						looked := cell.PollAnswered{Worker: e.To.ID, SentAt: now, Report: workers.Report{Clock: now.Sub(time.Unix(900, 0)), Active: []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 50}}}}
+						answer := cell.PollAnswered{Worker: e.To.ID, SentAt: now, Report: workers.Report{Clock: now.Sub(time.Unix(900, 0)), Active: []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 50}}}}
 						if e.To.ID != "w" {
-							looked.Err = fault.New(fault.Unknown, e.To.ID, "no answer", "")
+							answer.Err = fault.New(fault.Unknown, e.To.ID, "no answer", "")
 						}
-						s.Take(now, looked)
+						s.Take(now, answer)
 					case cell.SendStop:
 						t.Fatalf("stopped after %s, with 10 s left", now.Sub(begin))
 					}
@@ -155,17 +155,17 @@
 	b.register(15)
 	b.notes = nil
 	begin := b.now
-	lent := time.Duration(0)
+	delegatedAfter := time.Duration(0)
 	for range 120 {
 		b.state.Take(b.now, cell.PeerLoad{Load: loadWithCapacity("other").Load})
 		b.step(100 * time.Millisecond)
 		for _, n := range b.notes {
-			if n.Kind == cell.NoteLent && lent == 0 {
-				lent = b.now.Sub(begin)
+			if n.Kind == cell.NoteLent && delegatedAfter == 0 {
+				delegatedAfter = b.now.Sub(begin)
 			}
 		}
 	}
-	must.Between(t, time.Millisecond, lent, 6*time.Second)
+	must.Between(t, time.Millisecond, delegatedAfter, 6*time.Second)
 }
 
 // The ended incarnation was not leaving, the one in its place is. The entry of the ended one must not say that it leaves.
--- a/pkg/process/cell/beliefs_test.go
+++ b/pkg/process/cell/beliefs_test.go
@@ -19,11 +19,11 @@
 		b.step(600 * time.Millisecond)
 	}
 	must.SliceEmpty(t, b.state.Load(b.now, false).GetBeliefs())
-	told := b.state.Load(b.now, true)
-	must.Len(t, 5, told.GetBeliefs(), must.Sprint("the serving images of the busy cell"))
+	load := b.state.Load(b.now, true)
+	must.Len(t, 5, load.GetBeliefs(), must.Sprint("the serving images of the busy cell"))
 
 	next := cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	next.Take(b.now, cell.PeerLoad{Load: told})
+	next.Take(b.now, cell.PeerLoad{Load: load})
 	next.Take(b.now, cell.PeerLoad{Load: &wire.CellLoad{Leading: true, Cell: "hall"}})
 	must.SliceEmpty(t, next.Load(b.now, true).GetBeliefs())
 }
--- a/pkg/process/cell/capacity_test.go
+++ b/pkg/process/cell/capacity_test.go
@@ -67,8 +67,8 @@
 	t.Parallel()
 	v := newResizableWorker()
 	v.setCapacity(2000)
-	room := ledger.Size{Millicores: 500, MemoryMB: 128000}
-	v.capacity = &room
+	capacity := ledger.Size{Millicores: 500, MemoryMB: 128000}
+	v.capacity = &capacity
 	v.run(time.Second)
 	v.capacity = nil
 	task := v.accept(1)
--- a/pkg/process/cell/crash_fleet_test.go
+++ b/pkg/process/cell/crash_fleet_test.go
@@ -82,13 +82,13 @@
 	f.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
 	f.state.Take(f.now, cell.ManifestChanged{Manifest: testManifest})
 	f.listWorkers()
-	var roster []*wire.RosterEntry
+	var members []*wire.RosterEntry
 	var ids []string
 	for _, w := range f.sorted() {
-		roster = append(roster, &wire.RosterEntry{Id: w.id, Address: w.id, Host: w.id, Service: "quotes", Born: w.born})
+		members = append(members, &wire.RosterEntry{Id: w.id, Address: w.id, Host: w.id, Service: "quotes", Born: w.born})
 		ids = append(ids, w.id)
 	}
-	loaded := cell.Loaded{Epoch: f.epoch, Fences: testFences(), Wall: f.now, Members: roster}
+	loaded := cell.Loaded{Epoch: f.epoch, Fences: testFences(), Wall: f.now, Members: members}
 	for _, spec := range f.specs {
 		loaded.Jobs = append(loaded.Jobs, cell.LoadedJob{Spec: spec, Progress: f.rows[spec.GetId()], Recorded: f.version})
 	}
@@ -190,18 +190,18 @@
 
 func (f *crashFleet) answerLook(e cell.SendPoll) {
 	w := f.workers[e.To.ID]
-	looked := cell.PollAnswered{Worker: e.To.ID, SentAt: f.now}
+	answer := cell.PollAnswered{Worker: e.To.ID, SentAt: f.now}
 	if w.down {
-		looked.Err = fault.New(fault.Unknown, w.id, "EOF", "")
-		f.state.Take(f.now, looked)
+		answer.Err = fault.New(fault.Unknown, w.id, "EOF", "")
+		f.state.Take(f.now, answer)
 		return
 	}
 	w.unreadEnds = slices.DeleteFunc(w.unreadEnds, func(end workers.End) bool { return e.To.Born == w.born && end.Number <= e.Poll.Recorded })
-	looked.Report = workers.Report{Born: w.born, Clock: w.clockOffset + f.now.Sub(time.Unix(1000, 0)), Ended: slices.Clone(w.unreadEnds)}
+	answer.Report = workers.Report{Born: w.born, Clock: w.clockOffset + f.now.Sub(time.Unix(1000, 0)), Ended: slices.Clone(w.unreadEnds)}
 	for task, r := range w.runs {
-		looked.Report.Active = append(looked.Report.Active, workers.Active{Task: task, Run: r.number, Percent: int(f.now.Sub(r.beganAt) / crashStep)})
+		answer.Report.Active = append(answer.Report.Active, workers.Active{Task: task, Run: r.number, Percent: int(f.now.Sub(r.beganAt) / crashStep)})
 	}
-	f.state.Take(f.now, looked)
+	f.state.Take(f.now, answer)
 }
 
 func (f *crashFleet) answerStart(e cell.SendStart) {
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -151,8 +151,8 @@
 	if s.phase == following || len(w.Runs) == 0 || w.LeftOrderly() {
 		return
 	}
-	lives, isolated := s.simultaneousSilences(w, at)
-	ended := poisontask.EndedIncarnation{Worker: w.ID, Host: w.Host, Born: w.Born, Silent: silent, TimedOut: foundByTimeout(w), Lives: lives, OthersIsolated: isolated, Workers: len(s.workers), At: s.wall.Add(-now.Sub(at))}
+	simultaneous, isolated := s.simultaneousSilences(w, at)
+	ended := poisontask.EndedIncarnation{Worker: w.ID, Host: w.Host, Born: w.Born, Silent: silent, TimedOut: foundByTimeout(w), SimultaneousEnds: simultaneous, OthersIsolated: isolated, Workers: len(s.workers), At: s.wall.Add(-now.Sub(at))}
 	for _, r := range w.Runs {
 		ended.Runs = append(ended.Runs, poisontask.EndedRun{Run: r.Number, Began: !r.BeganAt.IsZero(), Age: minRunAge(w, r), HostCrashedWithout: s.hostCrashedWithout(now, w, r.Task), CrashesWithout: s.crashesWithout(now, r.Task), Gang: gangOf(r), Isolated: r.Isolated})
 	}
@@ -378,7 +378,7 @@
 	}
 	s.note(Note{
 		Kind: NoteWorkerCrashed, Worker: w.ID, AgeMs: now.Sub(at).Milliseconds(),
-		Detail: fmt.Sprintf("only silent: %v; %d of %d workers went silent at the same time; runs: %s", ended.Silent, ended.Lives, ended.Workers, strings.Join(runs, ", ")),
+		Detail: fmt.Sprintf("only silent: %v; %d of %d workers went silent at the same time; runs: %s", ended.Silent, ended.SimultaneousEnds, ended.Workers, strings.Join(runs, ", ")),
 	})
 }
 
--- a/pkg/process/cell/delegation_test.go
+++ b/pkg/process/cell/delegation_test.go
@@ -245,7 +245,7 @@
 }
 
 // The target cell runs only those tasks of the job that are delegated to it.
-func TestGuestJobRunsOnlyDelegatedTasks(t *testing.T) {
+func TestDelegatedJobRunsOnlyDelegatedTasks(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000ff", Steps: []*wire.StepSpec{{Count: 3, Lasting: true}}, Guest: []*wire.TaskRef{{Index: 1}}}
 	j := jobs.New(spec, time.Unix(0, 0))
--- a/pkg/process/cell/filler_cost.go
+++ b/pkg/process/cell/filler_cost.go
@@ -93,8 +93,8 @@
 	if !s.enabled(WeighedPlaces) {
 		return -valueRate(u)
 	}
-	if harm, ok := s.fillerNetCosts[fillerPlace{w, u}]; ok {
-		return harm
+	if cost, ok := s.fillerNetCosts[fillerPlace{w, u}]; ok {
+		return cost
 	}
 	n, ok := s.neighboursByWorker[w]
 	if !ok {
@@ -102,9 +102,9 @@
 		s.neighboursByWorker[w] = n
 	}
 	more := pressure(w, u) * fillerCPUFraction(w, u.Size.Millicores)
-	harm := overTargetCost*s.overTargetRise(n.serving, u.Image(), more, predictionSD) - valueRate(u)
-	s.fillerNetCosts[fillerPlace{w, u}] = harm
-	return harm
+	cost := overTargetCost*s.overTargetRise(n.serving, u.Image(), more, predictionSD) - valueRate(u)
+	s.fillerNetCosts[fillerPlace{w, u}] = cost
+	return cost
 }
 
 // typicalFillerMillicores is the size of the filler for which a cell counts its capacity. harmlessShare is the largest
--- a/pkg/process/cell/filler_pace.go
+++ b/pkg/process/cell/filler_pace.go
@@ -88,8 +88,8 @@
 func (s *State) paceFillers(now time.Time) {
 	if now.Sub(s.interferenceLoggedAt) >= interferenceNoteInterval {
 		s.interferenceLoggedAt = now
-		for _, words := range s.interference.Words() {
-			s.note(Note{Kind: NotePress, Detail: words, AgeMs: -1})
+		for _, line := range s.interference.Words() {
+			s.note(Note{Kind: NotePress, Detail: line, AgeMs: -1})
 		}
 	}
 	for _, w := range s.workersByID() {
--- a/pkg/process/cell/filler_places.go
+++ b/pkg/process/cell/filler_places.go
@@ -17,9 +17,9 @@
 	// is the share of CPU in use below which capacity counts as spare.
 	harmfulPlaceAfter = 1500 * time.Millisecond
 	mostlyFreeBelow   = 0.6
-	// harmPatience is the wait after which the net cost of a filler may be as high as fullEarns: the wait itself
+	// fullNetCostWait is the wait after which the net cost of a filler may be as high as fullEarns: the wait itself
 	// costs the filler's job more and more.
-	harmPatience = 8 * time.Second
+	fullNetCostWait = 8 * time.Second
 	// minUnusedShare is the least share of the CPU that a filler asks for which must be unused for it to
 	// start: a few fillers at full speed, one after the other, end sooner than many that share.
 	minUnusedShare = 0.7
@@ -35,7 +35,7 @@
 	if s.mostlyFree && waits >= harmfulPlaceAfter {
 		return math.Inf(1)
 	}
-	return fullValueRate(u) * waits.Seconds() / harmPatience.Seconds()
+	return fullValueRate(u) * waits.Seconds() / fullNetCostWait.Seconds()
 }
 
 // isMostlyFree reports whether there is spare capacity: in this cell, or in all cells together of which this
--- a/pkg/process/cell/incarnations_test.go
+++ b/pkg/process/cell/incarnations_test.go
@@ -100,19 +100,19 @@
 	case cell.Note:
 		v.notes = append(v.notes, e)
 	case cell.SendPoll:
-		looked := cell.PollAnswered{Worker: e.To.ID, SentAt: v.now}
+		answer := cell.PollAnswered{Worker: e.To.ID, SentAt: v.now}
 		if v.pollsLost {
-			looked.Err = fault.New(fault.Unknown, "w", "no answer", "")
+			answer.Err = fault.New(fault.Unknown, "w", "no answer", "")
 		} else {
 			v.recorded = max(v.recorded, e.Poll.Recorded)
-			looked.Report = workers.Report{Born: v.born, Clock: v.clock(), Active: v.active, Room: v.capacity}
+			answer.Report = workers.Report{Born: v.born, Clock: v.clock(), Active: v.active, Room: v.capacity}
 			for _, end := range v.ended {
 				if end.Number > v.recorded {
-					looked.Report.Ended = append(looked.Report.Ended, end)
+					answer.Report.Ended = append(answer.Report.Ended, end)
 				}
 			}
 		}
-		v.state.Take(v.now, looked)
+		v.state.Take(v.now, answer)
 	case cell.SendStart:
 		v.starts = append(v.starts, e)
 		started := cell.StartAnswered{Worker: "w", Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: v.clock()}}
--- a/pkg/process/cell/isolated_runs_test.go
+++ b/pkg/process/cell/isolated_runs_test.go
@@ -170,11 +170,11 @@
 	b := newBusyCell()
 	b.accept(delegatedJob, "watches", &wire.StepSpec{Count: 1, Millicores: 30000, Lasting: true, TailTargetMs: 100, Image: "s1"})
 	otherLoad := &wire.CellLoad{Leading: true, Cell: "other", LargestFreeMillicores: 32000, FreeMillicores: 64000, LastingFreeEach: []int64{32000, 32000}}
-	lent := false
+	delegated := false
 	for range 60 {
 		b.state.Take(b.now, cell.PeerLoad{Load: otherLoad})
 		b.step(50 * time.Millisecond)
 	}
-	b.eachPut(t, rows.SpecKey("other", delegatedJob), func(table.Row) { lent = true })
-	must.True(t, lent)
+	b.eachPut(t, rows.SpecKey("other", delegatedJob), func(table.Row) { delegated = true })
+	must.True(t, delegated)
 }
--- a/pkg/process/cell/leases_test.go
+++ b/pkg/process/cell/leases_test.go
@@ -17,8 +17,8 @@
 		over        cell.PredecessorEnded
 		least, most time.Duration
 	}{
-		"none":             {cell.PredecessorEnded{GrantsKnown: true, Grants: map[string]time.Duration{"heard": 4 * time.Second}}, 0, time.Second},
-		"two seconds":      {cell.PredecessorEnded{GrantsKnown: true, Grants: map[string]time.Duration{"dark": 2 * time.Second}}, 2 * time.Second, 2500 * time.Millisecond},
+		"none":             {cell.PredecessorEnded{GrantsKnown: true, Grants: map[string]time.Duration{"reached": 4 * time.Second}}, 0, time.Second},
+		"two seconds":      {cell.PredecessorEnded{GrantsKnown: true, Grants: map[string]time.Duration{"cut-off": 2 * time.Second}}, 2 * time.Second, 2500 * time.Millisecond},
 		"own, none":        {cell.PredecessorEnded{SameProcess: true}, 0, time.Second},
 		"a later process":  {cell.PredecessorEnded{EndedAt: time.Unix(1000, 0).Add(-3 * time.Second)}, 1500 * time.Millisecond, 2500 * time.Millisecond},
 		"nothing is known": {cell.PredecessorEnded{}, cell.LongestLease, 6 * time.Second},
@@ -95,7 +95,7 @@
 	v.state.Take(v.now, cell.LeadershipLost{Why: "another leads"})
 	grants, known := v.state.Grants(v.now)
 	must.True(t, known)
-	must.Between(t, 3*time.Second, grants["dark"], 4*time.Second)
+	must.Between(t, 3*time.Second, grants["cut-off"], 4*time.Second)
 }
 
 // A leader that was deposed before it had read the membership does not know at which workers leases may last. It must
@@ -120,5 +120,5 @@
 	v.runUntilStart(time.Second)
 	v.state.Take(v.now, cell.LeadershipLost{Why: "another leads"})
 	grants, _ := v.state.Grants(v.now)
-	must.MapNotContainsKey(t, grants, "dark")
+	must.MapNotContainsKey(t, grants, "cut-off")
 }
--- a/pkg/process/cell/orphans.go
+++ b/pkg/process/cell/orphans.go
@@ -64,17 +64,17 @@
 func (s *State) adoptOrphans(now time.Time, j *jobs.Job) {
 	for _, w := range s.workersByID() {
 		for _, task := range orphanedTasks(w, j) {
-			s.runOfLine(now, w, w.OrphanedRuns[task].Active)
+			s.matchOrAdopt(now, w, w.OrphanedRuns[task].Active)
 			delete(w.OrphanedRuns, task)
 		}
-		held := w.OrphanedEnds
+		ends := w.OrphanedEnds
 		w.OrphanedEnds = nil
-		for _, h := range held {
-			if s.taskNamed(h.Task) == nil {
-				w.OrphanedEnds = append(w.OrphanedEnds, h)
+		for _, end := range ends {
+			if s.taskNamed(end.Task) == nil {
+				w.OrphanedEnds = append(w.OrphanedEnds, end)
 				continue
 			}
-			s.applyEnd(now, w, h.End)
+			s.applyEnd(now, w, end.End)
 		}
 	}
 }
--- a/pkg/process/cell/placement_test.go
+++ b/pkg/process/cell/placement_test.go
@@ -91,15 +91,15 @@
 	for range 80 {
 		b.step(50 * time.Millisecond)
 	}
-	var told []cell.Note
+	var waitNotes []cell.Note
 	for _, n := range b.notes {
 		if n.Kind == cell.NoteWaits {
-			told = append(told, n)
+			waitNotes = append(waitNotes, n)
 		}
 	}
-	must.Len(t, 1, told, must.Sprint("one line after two seconds, not one for each decision"))
-	must.Eq(t, "00000000000000aa.0.0.0", told[0].Task)
-	must.StrContains(t, told[0].Detail, "16 usable workers lack: map[room:16]")
+	must.Len(t, 1, waitNotes, must.Sprint("one line after two seconds, not one for each decision"))
+	must.Eq(t, "00000000000000aa.0.0.0", waitNotes[0].Task)
+	must.StrContains(t, waitNotes[0].Detail, "16 usable workers lack: map[room:16]")
 }
 
 // Under load, fillers of jobs past their objectives were placed beside serving tasks at the same harm as
@@ -136,7 +136,7 @@
 	b := newEmptyCell()
 	b.accept("00000000000000f0", "offers", &wire.StepSpec{Count: 200, Millicores: 100, MemoryMb: 10})
 	var sent []cell.SendStart
-	held := 0
+	ordersHeld := 0
 	for range 10 {
 		b.now = b.now.Add(20 * time.Millisecond)
 		b.state.Take(b.now, cell.Tick{})
@@ -146,13 +146,13 @@
 				sent = append(sent, e)
 			case cell.Note:
 				if e.Kind == cell.NoteOrdersHeld {
-					held++
+					ordersHeld++
 				}
 			}
 		}
 	}
 	must.Between(t, 20, len(sent), 120)
-	must.Eq(t, 1, held)
+	must.Eq(t, 1, ordersHeld)
 	for _, e := range sent {
 		b.state.Take(b.now, cell.StartAnswered{
 			Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: b.clock}, RoundTrip: 5 * time.Millisecond, Bytes: e.Bytes,
--- a/pkg/process/cell/poll.go
+++ b/pkg/process/cell/poll.go
@@ -95,12 +95,12 @@
 	if r.Ready != w.Ready || r.Leaving != w.Leaving || !w.Listed {
 		s.placementDue = true
 	}
-	leaving, room := w.Leaving, w.Capacity
+	leaving, capacityBefore := w.Leaving, w.Capacity
 	if r.Version != 0 && r.Version == w.Version && w.Listed {
 		r.Capacity = w.Capacity // the same row as before: an answer may have reported a newer capacity since
 	}
 	w.Record = r
-	s.capacityChanged(w, room)
+	s.capacityChanged(w, capacityBefore)
 	w.RowGoneAt = time.Time{}
 	w.Leaving = leaving || r.Leaving // an incarnation that leaves never takes work again
 	w.Listed = true
@@ -177,9 +177,9 @@
 	s.takeIncarnation(now, w, e)
 	s.unreachedMemberAnswered(now, w)
 	s.workerAnswered(now, w, e.Report.Clock)
-	if room := e.Report.Room; room != nil {
+	if capacity := e.Report.Room; capacity != nil {
 		before := w.Capacity
-		w.Capacity = *room
+		w.Capacity = *capacity
 		s.capacityChanged(w, before)
 	}
 	s.resolveSilentRuns(now, false, func(r silentRun) bool { return r.worker == w.ID && r.born == w.Born })
--- a/pkg/process/cell/settle.go
+++ b/pkg/process/cell/settle.go
@@ -39,12 +39,12 @@
 			delete(s.awaitedMembers, id)
 		}
 	}
-	held, known := s.tasksHeldBack(now)
+	heldBack, known := s.tasksHeldBack(now)
 	if !known {
 		return
 	}
-	s.settled, s.unnamedSettled, s.heldBackTasks = s.allEarlierRunsOver(now), true, held
-	s.settleExcept(now, held)
+	s.settled, s.unnamedSettled, s.heldBackTasks = s.allEarlierRunsOver(now), true, heldBack
+	s.settleExcept(now, heldBack)
 }
 
 // allEarlierRunsOver says whether all runs at members that have not answered have surely ended.
@@ -59,14 +59,14 @@
 
 // settleExcept settles all tasks but those in held, which may run at members that have not answered. It records crash
 // evidence against tasks that may have run where a member's incarnation has ended.
-func (s *State) settleExcept(now time.Time, held map[string]bool) {
+func (s *State) settleExcept(now time.Time, heldBack map[string]bool) {
 	listedNowhere, settled := 0, 0
 	var mayHaveRun []*jobs.Task
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j, changed := s.jobs[id], false
 		for _, u := range j.Units {
 			for _, t := range u.Tasks {
-				if t.Settled || held[t.Name()] {
+				if t.Settled || heldBack[t.Name()] {
 					continue
 				}
 				t.Settled, changed = true, true
@@ -91,7 +91,7 @@
 	if !s.settled && settled == 0 {
 		return
 	}
-	s.note(Note{Kind: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", listedNowhere, len(s.awaitedMembers), len(held)), AgeMs: -1})
+	s.note(Note{Kind: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", listedNowhere, len(s.awaitedMembers), len(heldBack)), AgeMs: -1})
 }
 
 // mayHaveRunAtUnreached says whether a task may have run at a member that has not answered.
--- a/pkg/process/cell/settle_test.go
+++ b/pkg/process/cell/settle_test.go
@@ -18,8 +18,8 @@
 func TestTaskReturnedBeforeATakeoverMayRunAlready(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
-	lent := &wire.JobProgress{Id: spec.GetId(), Phase: wire.JobPhase_JOB_PHASE_RUNNING, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{LentTo: "other", Lending: 1}}}}}
-	v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec, Progress: lent, Recorded: 3},
+	progress := &wire.JobProgress{Id: spec.GetId(), Phase: wire.JobPhase_JOB_PHASE_RUNNING, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{LentTo: "other", Lending: 1}}}}}
+	v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec, Progress: progress, Recorded: 3},
 		&wire.ReturnedTasks{Id: spec.GetId(), From: "other", Home: "hall", Tasks: []*wire.TaskRef{{Lending: 1}}})
 	_, started := v.runUntilStart(14 * time.Second)
 	must.False(t, started)
@@ -72,7 +72,7 @@
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	v.state.Take(v.now, cell.Loaded{
 		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: testFences(),
-		Members: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
+		Members: []*wire.RosterEntry{{Id: "reached", Address: "x"}, {Id: "cut-off", Address: "y"}},
 	})
 	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "second/1"})
 	_, started := v.runUntilStart(11 * time.Second)
@@ -89,7 +89,7 @@
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	v.state.Take(v.now, cell.Loaded{
 		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: testFences(),
-		Members: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
+		Members: []*wire.RosterEntry{{Id: "reached", Address: "x"}, {Id: "cut-off", Address: "y"}},
 	})
 	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "second/1"})
 	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "first/1"})
@@ -137,8 +137,8 @@
 				Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
 			}
 		}
-		v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{record("heard", true), record("second", false)}})
-		v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"heard", "second", "dark"}})
+		v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{record("reached", true), record("second", false)}})
+		v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"reached", "second", "cut-off"}})
 		after, started := v.runUntilStart(5 * time.Second)
 		must.True(t, started, must.Sprintf("the worker leaves after %s", leavesAfter))
 		must.Less(t, 4*time.Second, after)
--- a/pkg/process/cell/takeover.go
+++ b/pkg/process/cell/takeover.go
@@ -61,8 +61,8 @@
 
 // addEarlierMembers adds the members that earlier leaders could have used, and awaits their answers. The recorded
 // membership names them, so they may get work.
-func (s *State) addEarlierMembers(now time.Time, roster []*wire.RosterEntry) {
-	for _, r := range roster {
+func (s *State) addEarlierMembers(now time.Time, members []*wire.RosterEntry) {
+	for _, r := range members {
 		if s.workers[r.GetId()] == nil {
 			w := workers.New(workers.Record{ID: r.GetId(), Address: r.GetAddress(), Host: r.GetHost(), Service: r.GetService()})
 			w.Listed, w.UnlistedAt = false, now
--- a/pkg/process/cell/takeover_test.go
+++ b/pkg/process/cell/takeover_test.go
@@ -13,20 +13,20 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// takeoverCell is a successor to a cell with two members: "heard" answers, "dark" does
-// not. The cell has one job, whose task may run at "dark".
+// takeoverCell is a successor to a cell with two members: "reached" answers, "cut-off" does
+// not. The cell has one job, whose task may run at "cut-off".
 type takeoverCell struct {
 	state  *cell.State
 	now    time.Time
 	starts []cell.SendStart
 	// polledAt is when the last poll was sent.
 	polledAt time.Time
-	// active and ended are the runs and ends that "heard" lists.
+	// active and ended are the runs and ends that "reached" lists.
 	active []workers.Active
 	ended  []workers.End
 	// unconfirmed stops renewals from taking effect.
 	unconfirmed bool
-	// silent stops "heard" from answering; answers names another worker that answers.
+	// silent stops "reached" from answering; answers names another worker that answers.
 	silent      bool
 	alsoAnswers string
 }
@@ -41,16 +41,16 @@
 func newTakeoverOf(until time.Duration, job cell.LoadedJob, returned ...*wire.ReturnedTasks) *takeoverCell {
 	v := &takeoverCell{now: time.Unix(1000, 0)}
 	v.state = cell.New("hall", cell.Bounds{MaxLease: 10 * time.Second, Retention: time.Minute})
-	heard := workers.Record{
-		ID: "heard", Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h",
+	reached := workers.Record{
+		ID: "reached", Service: "quotes", Address: "x", Hall: "hall", Ready: true, Host: "h",
 		Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
 	}
 	v.state.Take(v.now, cell.ManifestChanged{Manifest: testManifest})
-	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{heard}})
+	v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{reached}})
 	v.state.Take(v.now, cell.LeadershipGained{Epoch: 2, Predecessors: map[string]time.Time{"before/1": v.now.Add(until)}})
 	v.state.Take(v.now, cell.Loaded{
 		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{job}, Fences: testFences(), Returned: returned,
-		Members: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
+		Members: []*wire.RosterEntry{{Id: "reached", Address: "x"}, {Id: "cut-off", Address: "y"}},
 	})
 	return v
 }
@@ -68,9 +68,9 @@
 			switch e := e.(type) {
 			case cell.SendPoll:
 				v.polledAt = v.now
-				if (e.To.ID == "heard" && !v.silent) || e.To.ID == v.alsoAnswers {
+				if (e.To.ID == "reached" && !v.silent) || e.To.ID == v.alsoAnswers {
 					report := workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}
-					if e.To.ID == "heard" {
+					if e.To.ID == "reached" {
 						report.Active, report.Ended = v.active, v.ended
 					}
 					v.state.Take(v.now, cell.PollAnswered{Worker: e.To.ID, SentAt: v.now, Report: report})
@@ -156,7 +156,7 @@
 	_, started := v.runUntilStart(2 * time.Second)
 	must.True(t, started)
 	first := v.starts[0].Start
-	fail := cell.StartAnswered{Worker: "heard", Task: first.Task, Run: first.Run, Err: fault.New(fault.Unknown, "heard", "no answer", "")}
+	fail := cell.StartAnswered{Worker: "reached", Task: first.Task, Run: first.Run, Err: fault.New(fault.Unknown, "reached", "no answer", "")}
 	for range 3 {
 		v.state.Take(v.now, fail)
 	}
@@ -165,13 +165,13 @@
 	v.state.Take(v.now, cell.Tick{})
 	v.state.Decide(v.now, v.now) // sends a poll
 	v.now = v.now.Add(10 * time.Second)
-	v.state.Take(v.now, cell.PollAnswered{Worker: "heard", SentAt: v.polledAt, Report: workers.Report{Clock: given}})
+	v.state.Take(v.now, cell.PollAnswered{Worker: "reached", SentAt: v.polledAt, Report: workers.Report{Clock: given}})
 	v.state.Take(v.now, cell.Tick{})
 	for _, e := range v.state.Decide(v.now, v.now) {
 		_, start := e.(cell.SendStart)
 		must.False(t, start, must.Sprint("the list is older than the order's time limit"))
-		if look, ok := e.(cell.SendPoll); ok && look.To.ID == "heard" {
-			v.state.Take(v.now, cell.PollAnswered{Worker: "heard", SentAt: v.now, Report: workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}})
+		if poll, ok := e.(cell.SendPoll); ok && poll.To.ID == "reached" {
+			v.state.Take(v.now, cell.PollAnswered{Worker: "reached", SentAt: v.now, Report: workers.Report{Clock: v.now.Sub(time.Unix(0, 0))}})
 		}
 	}
 	v.starts = nil
@@ -247,15 +247,15 @@
 			l.startedAfter = l.now.Sub(begin)
 		}
 	case cell.SendPoll:
-		looked := cell.PollAnswered{Worker: e.To.ID, SentAt: l.now, Report: report}
+		answer := cell.PollAnswered{Worker: e.To.ID, SentAt: l.now, Report: report}
 		switch {
 		case e.To.ID != "w":
-			l.state.Take(l.now, looked)
+			l.state.Take(l.now, answer)
 		case l.silent:
 			l.state.Take(l.now, cell.PollAnswered{Worker: "w", SentAt: l.now, Err: fault.New(fault.Unknown, "w", "no answer", "")})
 		default:
-			looked.Report.Active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 10}}
-			l.delayedAnswer = &looked
+			answer.Report.Active = []workers.Active{{Task: "00000000000000aa.0.0.0", Run: 7, Percent: 10}}
+			l.delayedAnswer = &answer
 		}
 	}
 }
--- a/pkg/process/cell/testcell_test.go
+++ b/pkg/process/cell/testcell_test.go
@@ -23,7 +23,7 @@
 	clock time.Duration
 	// reports are what the workers answer to a poll, by id.
 	reports map[string]*workers.Report
-	looks   []cell.SendPoll
+	polls   []cell.SendPoll
 	// version is the row version of the last transaction.
 	version int64
 	records []cell.WriteProgress
@@ -113,16 +113,16 @@
 	if !b.tableDown {
 		b.state.Take(b.now, cell.LeadershipConfirmed{SentAt: b.now})
 	}
-	looks := b.looks
-	b.looks = nil
-	for _, l := range looks {
-		b.answerLook(l)
+	polls := b.polls
+	b.polls = nil
+	for _, l := range polls {
+		b.answerPoll(l)
 	}
 	for _, e := range b.state.Decide(b.now, b.now) {
 		switch e := e.(type) {
 		case cell.SendPoll:
-			b.looks = append(b.looks, e)
-			b.answerLook(e)
+			b.polls = append(b.polls, e)
+			b.answerPoll(e)
 		case cell.SendStart:
 			b.started[e.Start.Task] = true
 			b.workerOf[e.Start.Task] = e.To.ID
@@ -152,15 +152,15 @@
 	}
 }
 
-// answerLook answers a poll with the worker's report, or with an error if the worker is silent.
-func (b *testCell) answerLook(l cell.SendPoll) {
-	looked := cell.PollAnswered{Worker: l.To.ID, SentAt: b.now}
+// answerPoll answers a poll with the worker's report, or with an error if the worker is silent.
+func (b *testCell) answerPoll(l cell.SendPoll) {
+	answer := cell.PollAnswered{Worker: l.To.ID, SentAt: b.now}
 	if b.silent[l.To.ID] {
-		looked.Err = fault.New(fault.Unknown, l.To.ID, "no answer", "")
+		answer.Err = fault.New(fault.Unknown, l.To.ID, "no answer", "")
 	} else {
-		looked.Report = b.report(l.To.ID)
+		answer.Report = b.report(l.To.ID)
 	}
-	b.state.Take(b.now, looked)
+	b.state.Take(b.now, answer)
 }
 
 // report returns a worker's report as of now.
--- a/pkg/process/cell/unobserved_crashes.go
+++ b/pkg/process/cell/unobserved_crashes.go
@@ -64,18 +64,18 @@
 // isEndRecorded returns whether the job records hold the end of a worker's incarnation as evidence against every task
 // that it implicates. A predecessor may have written only some of these records. Records of ended jobs count, too.
 func (s *State) isEndRecorded(worker string) bool {
-	born, all, held := s.retainedMembers[worker].GetBorn(), 0, 0
+	born, all, recorded := s.retainedMembers[worker].GetBorn(), 0, 0
 	for _, j := range s.jobs {
 		for _, u := range j.Units {
 			for _, t := range u.Tasks {
 				if i := crashIndex(t, worker, born); i >= 0 {
-					held++
+					recorded++
 					all = max(all, t.Crashes[i].Accused)
 				}
 			}
 		}
 	}
-	return held > 0 && held >= all
+	return recorded > 0 && recorded >= all
 }
 
 // crashIndex returns the index of the end of a worker's incarnation in the evidence against a task, or -1.
@@ -87,14 +87,14 @@
 // gets at most one: that of the first ended incarnation where it may have run and which is not part of its evidence yet.
 // Tasks that were to start only as isolated runs are left out: such a run is recorded before it starts, and
 // trialNowhere handles the tasks that have such a record.
-func (s *State) addUnobservedEvidence(now time.Time, nowhere []*jobs.Task) {
+func (s *State) addUnobservedEvidence(now time.Time, withoutRun []*jobs.Task) {
 	ended := s.unobservedEndsToRecord()
 	if len(ended) == 0 || s.unsafe.NoBlame || s.unsafe.NoUnseen {
 		return
 	}
-	nowhere = slices.DeleteFunc(nowhere, func(t *jobs.Task) bool { return t.IsolatedBefore })
+	withoutRun = slices.DeleteFunc(withoutRun, func(t *jobs.Task) bool { return t.IsolatedBefore })
 	mayHaveRun := map[string][]*jobs.Task{}
-	for _, t := range nowhere {
+	for _, t := range withoutRun {
 		first := slices.IndexFunc(ended, func(id string) bool {
 			return crashIndex(t, id, s.retainedMembers[id].GetBorn()) < 0 && mayHaveRunAt(s.retainedMembers[id], t)
 		})
@@ -119,13 +119,13 @@
 
 // keepUnreachedMembers keeps the unreached members, except leaving ones, until the leader learns whether they have crashed.
 // nowhere are the tasks without a known run.
-func (s *State) keepUnreachedMembers(nowhere []*jobs.Task) {
+func (s *State) keepUnreachedMembers(withoutRun []*jobs.Task) {
 	for id := range s.awaitedMembers {
 		e := s.retainedMembers[id]
 		if w := s.workers[id]; e.GetLeaving() || (w != nil && w.Leaving) {
 			continue
 		}
-		s.unreachedMembers[id] = unreachedMember{e, slices.DeleteFunc(slices.Clone(nowhere), func(t *jobs.Task) bool { return t.IsolatedBefore || !mayHaveRunAt(e, t) })}
+		s.unreachedMembers[id] = unreachedMember{e, slices.DeleteFunc(slices.Clone(withoutRun), func(t *jobs.Task) bool { return t.IsolatedBefore || !mayHaveRunAt(e, t) })}
 	}
 }
 
--- a/pkg/process/cell/unobserved_crashes_test.go
+++ b/pkg/process/cell/unobserved_crashes_test.go
@@ -147,8 +147,8 @@
 	return f, first, second, waiting
 }
 
-// takeOver makes another process lead and runs until the cell has settled.
-func (f *crashFleet) takeOver() {
+// replaceLeader makes another process lead and runs until the cell has settled.
+func (f *crashFleet) replaceLeader() {
 	f.newLeader()
 	f.runUntilSettled()
 }
@@ -176,7 +176,7 @@
 	t.Parallel()
 	f, first, second, _ := crashUnderTwoTasks(t, rows.JobPart("0000000000000002"))
 	must.Nil(t, f.rows[second])
-	f.takeOver()
+	f.replaceLeader()
 	must.Len(t, 1, f.evidence(first))
 	must.False(t, f.evidence(first)[0].Unseen)
 	must.Len(t, 1, f.evidence(second))
@@ -189,7 +189,7 @@
 func TestCrashRecordedForAllTasksIsAddedToNoOther(t *testing.T) {
 	t.Parallel()
 	f, first, second, waiting := crashUnderTwoTasks(t, "")
-	f.takeOver()
+	f.replaceLeader()
 	for _, id := range []string{first, second} {
 		must.False(t, f.evidence(id)[0].Unseen)
 	}
--- a/pkg/process/cell/write_progress.go
+++ b/pkg/process/cell/write_progress.go
@@ -387,8 +387,8 @@
 	} else {
 		delete(s.pendingDelegations, j)
 	}
-	for _, word := range sent.notifications {
-		s.emit(word)
+	for _, notification := range sent.notifications {
+		s.emit(notification)
 	}
 	for _, t := range sent.isolated {
 		if t.Isolation == jobs.IsolationWanted {
--- a/pkg/process/cell/write_progress_test.go
+++ b/pkg/process/cell/write_progress_test.go
@@ -62,7 +62,7 @@
 				recorded = recorded || put.Key.Key == last
 			}
 		}
-		for _, l := range b.looks {
+		for _, l := range b.polls {
 			if l.To.ID == worker && l.Poll.Recorded >= end {
 				must.True(t, recorded, must.Sprint("acknowledged before its record"))
 			}
--- a/pkg/process/poisontask/evidence.go
+++ b/pkg/process/poisontask/evidence.go
@@ -11,9 +11,9 @@
 	// TimedOut says that only a timeout showed the end. A process that crashes breaks its connections; a loss of
 	// power or a network cut does not.
 	TimedOut bool
-	// Lives is how many workers went silent at the same time, this one included, Workers how many there are, and
+	// SimultaneousEnds is how many workers went silent at the same time, this one included, Workers how many there are, and
 	// Tried how many of the other silent ones had an isolated run.
-	Lives, Workers, OthersIsolated int
+	SimultaneousEnds, Workers, OthersIsolated int
 	// At is the wall-clock time of the end.
 	At   time.Time
 	Runs []EndedRun
@@ -86,10 +86,10 @@
 // Evidence returns the evidence that the end of the incarnation gives against the task of each run, in the order of
 // Runs; nil stands for none.
 func (l EndedIncarnation) Evidence() []*Crash {
-	list, accused := make([]*Crash, len(l.Runs)), 0
+	list, implicated := make([]*Crash, len(l.Runs)), 0
 	for i, r := range l.Runs {
 		many := l.simultaneous(r) >= OutageThreshold(l.Workers)
-		c := &Crash{Worker: l.Worker, Host: l.Host, Born: l.Born, Run: r.Run, Began: r.Began, Trial: r.Isolated, Age: r.Age, Lives: l.Lives, Outside: many || l.TimedOut || (!r.Isolated && (r.HostCrashedWithout || r.CrashesWithout >= CommonCrashThreshold(l.Workers))), Silent: l.Silent, At: l.At}
+		c := &Crash{Worker: l.Worker, Host: l.Host, Born: l.Born, Run: r.Run, Began: r.Began, Trial: r.Isolated, Age: r.Age, Lives: l.SimultaneousEnds, Outside: many || l.TimedOut || (!r.Isolated && (r.HostCrashedWithout || r.CrashesWithout >= CommonCrashThreshold(l.Workers))), Silent: l.Silent, At: l.At}
 		for j, other := range l.Runs {
 			if j == i || (r.Gang != "" && other.Gang == r.Gang) {
 				continue
@@ -102,12 +102,12 @@
 		unlikely := c.Outside && (r.Age >= promptAge || c.Excused)
 		if r.Age < maxEvidenceAge && !unlikely {
 			list[i] = c
-			accused++
+			implicated++
 		}
 	}
 	for _, c := range list {
 		if c != nil {
-			c.Accused = accused
+			c.Accused = implicated
 		}
 	}
 	return list
@@ -117,9 +117,9 @@
 // cause. For an isolated run, other workers with isolated runs do not count: their tasks may all be poisonous.
 func (l EndedIncarnation) simultaneous(r EndedRun) int {
 	if r.Isolated {
-		return l.Lives - l.OthersIsolated
+		return l.SimultaneousEnds - l.OthersIsolated
 	}
-	return l.Lives
+	return l.SimultaneousEnds
 }
 
 // farOlder reports whether a run of one age had lasted so much longer than another that it is not the cause of a
--- a/pkg/process/poisontask/poisontask.go
+++ b/pkg/process/poisontask/poisontask.go
@@ -155,7 +155,7 @@
 // surely begun, below promptAge and at such a host.
 //
 // Crashes without a known run count for less: a leader that died may have been about to start one.
-type tally struct{ all, weight, ended, promptAny, newHosts, knownWeight, began, prompt, unseen, lostIsolated int }
+type tally struct{ all, weight, ended, promptAny, newHosts, knownWeight, began, prompt, unobserved, lostIsolated int }
 
 // tallyOf sums up the crashes of one task.
 func tallyOf(crashes []Crash) tally {
@@ -171,7 +171,7 @@
 		}
 		t.ended++
 		if c.Unseen {
-			t.unseen++
+			t.unobserved++
 		}
 		if c.Run == 0 {
 			if !c.Unseen {
@@ -215,7 +215,7 @@
 	switch {
 	case reachesLimit(alike, crashes[len(crashes)-1]), identifiesTask(alike, crashes[len(crashes)-1]):
 		return Poisonous
-	case t.ended > t.unseen && (t.weight >= isolationWeight || t.all >= isolationCrashes || alike.promptAny >= isolationPromptCrashes):
+	case t.ended > t.unobserved && (t.weight >= isolationWeight || t.all >= isolationCrashes || alike.promptAny >= isolationPromptCrashes):
 		return NeedsIsolation
 	case t.weight >= suspectWeight:
 		return Suspected
@@ -232,7 +232,7 @@
 // none, one crash fewer is enough, as the record of some crash that a leader saw may have been lost, but
 // minBegan runs must have ended promptly.
 func reachesLimit(t tally, last Crash) bool {
-	if t.unseen == 0 {
+	if t.unobserved == 0 {
 		return t.ended >= maxCrashes && t.began >= minBegan
 	}
 	if !last.onlyCandidate() {
@@ -257,8 +257,8 @@
 // UnobservedCrash returns the evidence against a task that was found nowhere and may have run at an incarnation that ended
 // without a leader, or with one that died before it recorded the end. others is how many other tasks
 // may have run there, lives how many incarnations ended so.
-func UnobservedCrash(worker string, born int64, others, lives int, at time.Time) Crash {
-	return Crash{Worker: worker, Born: born, Company: others, Accused: others + 1, Lives: lives, Unseen: true, At: at}
+func UnobservedCrash(worker string, born int64, others, ends int, at time.Time) Crash {
+	return Crash{Worker: worker, Born: born, Company: others, Accused: others + 1, Lives: ends, Unseen: true, At: at}
 }
 
 // identifiesTask reports whether crashes at about the same run age, the last of a run without company, identify the task:
--- a/pkg/process/poisontask/poisontask_test.go
+++ b/pkg/process/poisontask/poisontask_test.go
@@ -92,13 +92,13 @@
 // A crash is evidence against the tasks whose runs had begun recently, not against one whose run had lasted long.
 func TestACrashIsEvidenceAgainstRecentRuns(t *testing.T) {
 	t.Parallel()
-	life := poisontask.EndedIncarnation{Worker: "w", Lives: 1, Workers: 16, Runs: []poisontask.EndedRun{
+	ended := poisontask.EndedIncarnation{Worker: "w", SimultaneousEnds: 1, Workers: 16, Runs: []poisontask.EndedRun{
 		{Run: 1, Began: true, Age: 10 * time.Millisecond},
 		{Run: 2, Began: true, Age: 600 * time.Millisecond},
 		{Run: 3, Began: true, Age: 5 * time.Second},
 		{Run: 4, Began: true, Age: time.Minute},
 	}}
-	crashes := life.Evidence()
+	crashes := ended.Evidence()
 	must.Eq(t, 1, crashes[0].Company)
 	must.False(t, crashes[0].Excused)
 	must.False(t, crashes[1].Excused)
@@ -113,11 +113,11 @@
 // runs that had just begun: several poisonous tasks may have started together.
 func TestSimultaneousEndsAreWeakEvidence(t *testing.T) {
 	t.Parallel()
-	life := poisontask.EndedIncarnation{Worker: "w", Lives: poisontask.OutageThreshold(16), Workers: 16, Runs: []poisontask.EndedRun{
+	ended := poisontask.EndedIncarnation{Worker: "w", SimultaneousEnds: poisontask.OutageThreshold(16), Workers: 16, Runs: []poisontask.EndedRun{
 		{Run: 1, Began: true, Age: 10 * time.Millisecond},
 		{Run: 2, Began: true, Age: 600 * time.Millisecond},
 	}}
-	crashes := life.Evidence()
+	crashes := ended.Evidence()
 	must.True(t, crashes[0].Outside)
 	must.Nil(t, crashes[1])
 	must.Eq(t, poisontask.Trusted, poisontask.LevelOf([]poisontask.Crash{*crashes[0]}))
@@ -129,26 +129,26 @@
 func TestSimultaneousCrashesOfIsolatedRunsAreNoOutage(t *testing.T) {
 	t.Parallel()
 	for workers := 1; workers < 400; workers++ {
-		trials := poisontask.MaxIsolatedRuns(workers)
-		must.GreaterEq(t, 1, trials)
-		life := poisontask.EndedIncarnation{Worker: "w", Lives: trials, OthersIsolated: trials - 1, Workers: workers, Runs: []poisontask.EndedRun{{Run: 1, Began: true, Isolated: true}}}
-		must.False(t, life.Evidence()[0].Outside, must.Sprintf("%d workers", workers))
-		life.Lives += poisontask.OutageThreshold(workers) - 1
-		must.True(t, life.Evidence()[0].Outside, must.Sprintf("%d workers", workers))
+		isolated := poisontask.MaxIsolatedRuns(workers)
+		must.GreaterEq(t, 1, isolated)
+		ended := poisontask.EndedIncarnation{Worker: "w", SimultaneousEnds: isolated, OthersIsolated: isolated - 1, Workers: workers, Runs: []poisontask.EndedRun{{Run: 1, Began: true, Isolated: true}}}
+		must.False(t, ended.Evidence()[0].Outside, must.Sprintf("%d workers", workers))
+		ended.SimultaneousEnds += poisontask.OutageThreshold(workers) - 1
+		must.True(t, ended.Evidence()[0].Outside, must.Sprintf("%d workers", workers))
 	}
 }
 
 // Two members of a gang end with one worker: neither counts as company of the other, while a run of another gang does.
 func TestMembersOfAGangAreNoCompanyOfEachOther(t *testing.T) {
 	t.Parallel()
-	life := poisontask.EndedIncarnation{Worker: "w", Lives: 1, Workers: 16, Runs: []poisontask.EndedRun{
+	ended := poisontask.EndedIncarnation{Worker: "w", SimultaneousEnds: 1, Workers: 16, Runs: []poisontask.EndedRun{
 		{Run: 1, Began: true, Gang: "g"}, {Run: 1, Began: true, Gang: "g"}, {Run: 2, Began: true, Age: 10 * time.Second},
 	}}
-	for _, c := range life.Evidence()[:2] {
+	for _, c := range ended.Evidence()[:2] {
 		must.Eq(t, 0, c.Company)
 	}
-	life.Runs[1].Gang = "other"
-	must.Eq(t, 1, life.Evidence()[0].Company)
+	ended.Runs[1].Gang = "other"
+	must.Eq(t, 1, ended.Evidence()[0].Company)
 }
 
 // A run whose crash would make its task poisonous, whatever else may have caused the crash, is known before its start.
