--- a/pkg/process/cell/active_runs.go
+++ b/pkg/process/cell/active_runs.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// matchOrAdopt returns the run that a line of a worker's list is about. It adopts a run of an earlier leader. It returns
-// nil if the task is unknown, or if the run must not go on.
+// matchOrAdopt returns the run that a line of a worker's list is about. It adopts an unknown run, which an earlier
+// leader started. It returns nil if the task is unknown, or if the run must not go on.
 func (s *State) matchOrAdopt(now time.Time, w *workers.Worker, a workers.Active) *jobs.Run {
 	t := s.taskNamed(a.Task)
 	if t == nil {
@@ -93,8 +93,9 @@
 	return r
 }
 
-// earlierPollWindow is how long after its first answer to this leader a worker may still answer a poll of an earlier leader
-// with a list. A poll that reached the worker before this leader's fence waits there for as long as any poll may.
+// earlierPollWindow is how long after its first answer to this leader a worker may still answer a poll of an earlier
+// leader with a list. A poll that reached the worker before this leader's fence waits there for as long as any poll
+// may.
 const earlierPollWindow = idlePollWait + 300*time.Millisecond
 
 // settleListedRun settles the lasting task of a run that its worker lists, once no poll of an earlier leader can be
--- a/pkg/process/cell/advice.go
+++ b/pkg/process/cell/advice.go
@@ -26,7 +26,7 @@
 	ticketMargin = 300 * time.Millisecond
 )
 
-// SendAdviceRequest asks the advice service which of the named workers may run a unit; Advised answers.
+// SendAdviceRequest asks the advice service which of the named workers may run a unit. The answer is AdviceAnswered.
 type SendAdviceRequest struct {
 	Unit    string
 	Workers []string
@@ -62,8 +62,8 @@
 	return q.Advice.Valid, true
 }
 
-// workersWithTicket returns the usable workers for which a unit has a valid ticket. If none of them has capacity for one more of
-// its tasks, it asks the advice service for more tickets.
+// workersWithTicket returns the usable workers for which a unit has a valid ticket. If none of them has capacity for
+// one more of its tasks, it asks the advice service for more tickets.
 func (s *State) workersWithTicket(now time.Time, u *jobs.Unit, usable []*workers.Worker) []*workers.Worker {
 	a := s.ticketsByUnit[u.Name()]
 	var approved []*workers.Worker
--- a/pkg/process/cell/after_takeover_test.go
+++ b/pkg/process/cell/after_takeover_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// A worker was leaving before the takeover, with 10 s left. A short run there ends in time, and a lasting one is stopped
-// only once its task is settled, so the successor stops neither in the first second.
+// A worker was leaving before the takeover, with 10 s left. A short run there ends in time, and a lasting one is
+// stopped only once its task is settled, so the successor stops neither in the first second.
 func TestSuccessorKnowsRemainingTimeOfLeavingWorker(t *testing.T) {
 	t.Parallel()
 	for _, lasting := range []bool{false, true} {
@@ -168,7 +168,8 @@
 	must.Between(t, time.Millisecond, delegatedAfter, 6*time.Second)
 }
 
-// The ended incarnation was not leaving, the one in its place is. The entry of the ended one must not say that it leaves.
+// The ended incarnation was not leaving, the one in its place is. The entry of the ended one must not say that it
+// leaves.
 func TestEntryOfEndedIncarnationIsNotMarkedLeaving(t *testing.T) {
 	t.Parallel()
 	h := newSoleSuccessor(2)
@@ -183,8 +184,8 @@
 	must.False(t, entry.GetLeaving())
 }
 
-// A lasting task that has waited long enough for an isolated run starts without isolation. That holds for one start: the
-// next run is to be isolated again.
+// A lasting task that has waited long enough for an isolated run starts without isolation. That holds for one start:
+// the next run is to be isolated again.
 func TestIsolationWaiverHoldsForOneStart(t *testing.T) {
 	t.Parallel()
 	now := time.Unix(1000, 0)
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -31,7 +31,7 @@
 	// that runs there.
 	silentAfterFailures = 2
 	// brokenConnectionSlack is how much longer than the wait of a poll it may take to notice a broken connection:
-	// a silence noticed later showed by a timeout. It is shorter than lookSlack.
+	// a silence noticed later showed by a timeout. It is shorter than pollSlack.
 	brokenConnectionSlack = 60 * time.Millisecond
 	// hostCrashMemory is how long a crash of a host remains a sign of a fault of the host itself, should it
 	// crash again.
@@ -58,7 +58,7 @@
 }
 
 // silence is the interval in which a worker went silent or began a new incarnation: after its last answer
-// and before the leader noticed. isolated says that an isolated run was there.
+// and before the leader noticed. isolated says that an isolated run was in progress there.
 type silence struct {
 	worker        string
 	after, before time.Time
@@ -138,7 +138,7 @@
 	return n
 }
 
-// workerSilent handles a worker that failed failuresSilent polls in a row. Evidence that follows from it is
+// workerSilent handles a worker that failed silentAfterFailures polls in a row. Evidence that follows from it is
 // recorded at once: if this leader dies before it learns whether the worker crashed, a successor goes on
 // from the record.
 func (s *State) workerSilent(now time.Time, w *workers.Worker) {
--- a/pkg/process/cell/crashes_test.go
+++ b/pkg/process/cell/crashes_test.go
@@ -11,10 +11,10 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A task that crashes each worker 10 ms after its start was started again without end, every 3.2 to 3.6 s, since
-// a run that ended with its worker left no evidence. It started again on the same worker as soon as
-// the next incarnation answered, beside the tasks that it had crashed before (eight of them in one case, with runs up to 7.9 s
-// old). A count of crashes alone would have failed the jobs of these neighbours, too.
+// A task that crashes each worker 10 ms after its start was started again without end, every 3.2 to 3.6 s, since a run
+// that ended with its worker left no evidence. It started again on the same worker as soon as the next incarnation
+// answered, beside the tasks that it had crashed before (eight of them in one case, with runs up to 7.9 s old). A count
+// of crashes alone would have failed the jobs of these neighbours, too.
 func TestATaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
--- a/pkg/process/cell/delegated_crash_test.go
+++ b/pkg/process/cell/delegated_crash_test.go
@@ -18,8 +18,8 @@
 	return &wire.CrashNote{Worker: worker, Run: 1, Host: worker, Began: true, Lives: 1, Silent: silent}
 }
 
-// The home cell of a job learns after the delegation of a task that a silent worker had crashed. Unless the cell that
-// runs the task is told, the job fails one crash too late.
+// The home cell of a job learns after the delegation of a task that a silent worker had crashed. Unless it notifies the
+// cell that runs the task, the job fails one crash too late.
 func TestADelegatedTaskFailsWhenTheHomeCellReportsACrash(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
@@ -76,8 +76,8 @@
 	must.Eq(t, 1, sentSpec().GetGuest()[0].GetLending())
 }
 
-// A lasting task that is poisonous if its silent worker has crashed was started once more after three seconds, before that
-// was known.
+// A lasting task that is poisonous if its silent worker has crashed was started once more after three seconds, before
+// that was known.
 func TestALastingTaskWaitsForASilentWorkerWhoseCrashWouldFailIt(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
--- a/pkg/process/cell/delegation.go
+++ b/pkg/process/cell/delegation.go
@@ -67,8 +67,7 @@
 }
 
 // tableAvailable returns whether a write to the table is likely to succeed soon: no part of the table failed its last
-// write, and the leadership was renewed within
-// tableConfirmedWithin.
+// write, and the leadership was renewed within tableConfirmedWithin.
 func (s *State) tableAvailable(now time.Time) bool {
 	for _, p := range s.writers {
 		if p.failing {
@@ -78,8 +77,8 @@
 	return now.Sub(s.leadershipConfirmedAt) <= tableConfirmedWithin
 }
 
-// delegateWaiting delegates tasks that have waited long enough to cells with free capacity. Lasting tasks and gangs that were
-// delegated to this cell and wait too long are returned.
+// delegateWaiting delegates tasks that have waited long enough to cells with free capacity. Lasting tasks and gangs
+// that were delegated to this cell and wait too long are returned.
 func (s *State) delegateWaiting(now time.Time) {
 	if !s.tableAvailable(now) {
 		return
--- a/pkg/process/cell/delegation_gang.go
+++ b/pkg/process/cell/delegation_gang.go
@@ -75,8 +75,7 @@
 }
 
 // peerForGang returns the cell with capacity for the most tasks of a gang, and for how many. It returns "" if no cell
-// has capacity for the whole gang. Cells that returned the gang within returnBackoff
-// are skipped.
+// has capacity for the whole gang. Cells that returned the gang within returnBackoff are skipped.
 func (s *State) peerForGang(now time.Time, u *jobs.Unit, returnedAt map[string]time.Time) (best string, most int64) {
 	size := max(1, u.Size.Millicores)
 	for _, name := range slices.Sorted(maps.Keys(s.peerLoads)) {
--- a/pkg/process/cell/delegation_short_test.go
+++ b/pkg/process/cell/delegation_short_test.go
@@ -83,7 +83,7 @@
 	must.True(t, b.rowRemoved(rows.ReturnKey("hall", delegatedJob, "other")))
 	cancelled := false
 	b.eachPut(t, rows.CancelKey("other", delegatedJob), func(table.Row) { cancelled = true })
-	must.True(t, cancelled, must.Sprint("the other cell is told to drop the job"))
+	must.True(t, cancelled, must.Sprint("the other cell is asked to drop the job"))
 }
 
 // delegatedSpec is the specification that cell "home" writes when it delegates two tasks to cell "hall".
@@ -198,8 +198,8 @@
 	}
 }
 
-// A worker is cut off, and the task that ran there is presumed over when its lease ends. If the task were then delegated,
-// this cell could still learn that the run ended well, and the other cell would do the work again.
+// A worker is cut off, and the task that ran there is presumed over when its lease ends. If the task were then
+// delegated, this cell could still learn that the run ended well, and the other cell would do the work again.
 func TestShortTaskOfSilentWorkerIsNotDelegated(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
--- a/pkg/process/cell/events.go
+++ b/pkg/process/cell/events.go
@@ -35,8 +35,8 @@
 	Predecessors map[string]time.Time
 }
 
-// LeadershipConfirmed says that a renewal of the leadership took effect which this process sent at At. It still led
-// the cell then, so no later leader can have granted anything before At. Until is when this process must
+// LeadershipConfirmed says that a renewal of the leadership took effect which this process sent at SentAt. It still led
+// the cell then, so no later leader can have granted anything before SentAt. Until is when this process must
 // stop without another renewal; zero: no limit.
 type LeadershipConfirmed struct{ SentAt, Until time.Time }
 
@@ -47,8 +47,8 @@
 	Epoch int64
 	// Holder is the incarnation of the earlier leader.
 	Holder string
-	// Grants are the remaining times of leases that it granted, by worker, if GrantsKnown is set. Own says that
-	// it was an earlier leadership of this process.
+	// Grants are the remaining times of leases that it granted, by worker, if GrantsKnown is set. SameProcess says
+	// that it was an earlier leadership of this process.
 	Grants                   map[string]time.Duration
 	GrantsKnown, SameProcess bool
 	// EndedAt is a time since which it has granted nothing, because a later process runs in its place; zero: unknown.
@@ -72,8 +72,8 @@
 // Loaded carries the cell's rows, read after this leader's fence was written in every part.
 type Loaded struct {
 	Epoch int64
-	// Members are the members: the workers that may hold runs of earlier leaders, read after this epoch
-	// began.
+	// Members are the entries of the membership row: the workers that may hold runs of earlier leaders. They are
+	// read after this epoch began.
 	Members []*wire.RosterEntry
 	Jobs    []LoadedJob
 	// Cancels are the ids of jobs to cancel.
@@ -146,7 +146,7 @@
 	Err       error
 }
 
-// PeerLoad carries a load that the leader of another cell reports.
+// PeerLoad carries a load message of the leader of another cell.
 type PeerLoad struct{ Load *wire.CellLoad }
 
 // ReleaseRequested asks the leader to hand the cell over. The leader starts no more runs.
@@ -179,7 +179,7 @@
 // Load asks to write the fences of an epoch and then read the cell's rows. The answer is Loaded.
 type Load struct{ Epoch int64 }
 
-// SendPoll asks to poll a worker. The answer is Looked.
+// SendPoll asks to poll a worker. The answer is PollAnswered.
 type SendPoll struct {
 	To   workers.Target
 	Poll workers.Poll
@@ -187,7 +187,7 @@
 	Timeout time.Duration
 }
 
-// SendStart asks to send a start order. The answer is always a Started, also if the call fails.
+// SendStart asks to send a start order. The answer is always a StartAnswered, also if the call fails.
 type SendStart struct {
 	To      workers.Target
 	Start   workers.Start
@@ -210,7 +210,7 @@
 	Timeout time.Duration
 }
 
-// WriteProgress asks to commit a transaction with the progress of jobs. The answer is RecordAnswered.
+// WriteProgress asks to commit a transaction with the progress of jobs. The answer is WriteAnswered.
 type WriteProgress struct {
 	Part        string
 	Serial      int64
--- a/pkg/process/cell/filler_cost.go
+++ b/pkg/process/cell/filler_cost.go
@@ -14,12 +14,12 @@
 // package interference: above 0, a serving task is over its target.
 
 const (
-	// overTargetCost is what a serving task over its target costs per second. fillerCoreValue is what a filler earns per
-	// core and second. Both are multiples of what a serving task earns per second. On the platform's sites, a serving
-	// job of 6 tasks earns 0.5 every 2 s, which is 0.042 per task and second. A filler job of 150 core-seconds earns
-	// 2.65, which is 0.018 per core and second, or 0.42 of the former. fillerCoreValue is half of that ratio,
-	// because jobs have some slack, and because half earns most: at 0.42, serving tasks lose more than fillers
-	// gain; at 0.1, fillers lose more than serving tasks gain (docs/MEASUREMENTS.md).
+	// overTargetCost is what a serving task over its target costs per second. fillerCoreValue is what a filler earns
+	// per core and second. Both are multiples of what a serving task earns per second. On the platform's sites, a
+	// serving job of 6 tasks earns 0.5 every 2 s, which is 0.042 per task and second. A filler job of 150 core-seconds
+	// earns 2.65, which is 0.018 per core and second, or 0.42 of the former. fillerCoreValue is half of that ratio,
+	// because jobs have some slack, and because half earns most: at 0.42, serving tasks lose more than fillers gain; at
+	// 0.1, fillers lose more than serving tasks gain (docs/MEASUREMENTS.md).
 	overTargetCost  = 4.0
 	fillerCoreValue = 0.2
 	// predictionHorizon is how far ahead the levels of serving tasks are predicted when a place is weighed: half of a
@@ -86,9 +86,9 @@
 	unit   *jobs.Unit
 }
 
-// fillerNetCost returns the net cost per second of starting a filler of a unit on a worker: what it costs its neighbours,
-// less what it earns. Above 0, the start loses more than it gains. The result is cached for the unit and the worker
-// until the next round of placement, or until a task starts on the worker.
+// fillerNetCost returns the net cost per second of starting a filler of a unit on a worker: what it costs its
+// neighbours, less what it earns. Above 0, the start loses more than it gains. The result is cached for the unit and
+// the worker until the next round of placement, or until a task starts on the worker.
 func (s *State) fillerNetCost(u *jobs.Unit, w *workers.Worker) float64 {
 	if !s.enabled(WeighedPlaces) {
 		return -valueRate(u)
@@ -114,8 +114,8 @@
 	harmlessShare           = 0.5
 )
 
-// sumHarmlessFillerCapacity returns, for each known filler image, the millicores that tasks other than fillers leave unused on the
-// workers where a filler of the image is harmless at the usual load of its neighbours.
+// sumHarmlessFillerCapacity returns, for each known filler image, the millicores that tasks other than fillers leave
+// unused on the workers where a filler of the image is harmless at the usual load of its neighbours.
 func (s *State) sumHarmlessFillerCapacity() map[string]int64 {
 	millicores := map[string]int64{}
 	for _, image := range s.interference.Fillers() {
@@ -128,11 +128,11 @@
 	return millicores
 }
 
-// maxFillersCounted is the most fillers that fillerFree counts for one worker.
+// maxFillersCounted is the most fillers that sumStartableFillerCapacity counts for one worker.
 const maxFillersCounted = 4
 
-// sumStartableFillerCapacity returns, for each known filler image, the millicores of fillers that could start in this cell at once
-// without costing their neighbours more than they earn, less the fillers that already wait here.
+// sumStartableFillerCapacity returns, for each known filler image, the millicores of fillers that could start in this
+// cell at once without costing their neighbours more than they earn, less the fillers that already wait here.
 func (s *State) sumStartableFillerCapacity() map[string]int64 {
 	free := map[string]int64{}
 	images := s.interference.Fillers()
@@ -188,7 +188,8 @@
 
 // lateValueShare and hopelessValueShare are the parts of its full earnings that a filler is credited with when its job
 // can no longer meet its objective (late), or is so late that it earns nothing (hopeless). Users pay 15% for late jobs.
-// The parts are larger than that because 0.4 for late jobs takes more from those jobs than it gives to their neighbours.
+// The parts are larger than that because 0.4 for late jobs takes more from those jobs than it gives to their
+// neighbours.
 const (
 	lateValueShare     = 0.7
 	hopelessValueShare = 0.2
--- a/pkg/process/cell/filler_pace.go
+++ b/pkg/process/cell/filler_pace.go
@@ -14,7 +14,7 @@
 // pair of images. The only sign of that is the tail latency that a serving task lists, which is rough and
 // half a second old. Package interference learns from it which pairs interfere, and how much of a serving
 // task's latency is due to its own load; fillers are then placed where they cost less than they earn
-// (harm.go). This file handles what that misses: if a tail latency stays over its target, all fillers of
+// (filler_cost.go). This file handles what that misses: if a tail latency stays over its target, all fillers of
 // the worker are paused for a while. Levels are those of package interference: 0 at the target, negative
 // below it.
 //
--- a/pkg/process/cell/filler_places.go
+++ b/pkg/process/cell/filler_places.go
@@ -9,7 +9,7 @@
 )
 
 // Which workers a filler may start on: those with enough unused CPU, where it costs its neighbours no more
-// than it earns (its net cost, harm.go). The longer it waits, the higher its net cost may be.
+// than it earns (its net cost, filler_cost.go). The longer it waits, the higher its net cost may be.
 
 const (
 	// harmfulPlaceAfter is how long a filler waits for a harmless worker while the cell, or the cells together,
@@ -17,7 +17,7 @@
 	// is the share of CPU in use below which capacity counts as spare.
 	harmfulPlaceAfter = 1500 * time.Millisecond
 	mostlyFreeBelow   = 0.6
-	// fullNetCostWait is the wait after which the net cost of a filler may be as high as fullEarns: the wait itself
+	// fullNetCostWait is the wait after which the net cost of a filler may be as high as fullValueRate: the wait itself
 	// costs the filler's job more and more.
 	fullNetCostWait = 8 * time.Second
 	// minUnusedShare is the least share of the CPU that a filler asks for which must be unused for it to
@@ -25,7 +25,7 @@
 	minUnusedShare = 0.7
 )
 
-// maxNetCost returns the highest net cost (fillerHarm) at which a filler may start. It grows with the wait, so
+// maxNetCost returns the highest net cost (fillerNetCost) at which a filler may start. It grows with the wait, so
 // that no filler waits forever, whatever its job still earns.
 func (s *State) maxNetCost(now time.Time, u *jobs.Unit) float64 {
 	waits := now.Sub(u.ReadyAt)
@@ -39,7 +39,7 @@
 }
 
 // isMostlyFree reports whether there is spare capacity: in this cell, or in all cells together of which this
-// process has a recent load.
+// process has a recent load message.
 func (s *State) isMostlyFree(now time.Time) bool {
 	taken, all := int64(0), int64(0)
 	for _, w := range s.workersByID() {
--- a/pkg/process/cell/incarnations.go
+++ b/pkg/process/cell/incarnations.go
@@ -62,8 +62,8 @@
 	at  time.Time
 }
 
-// loseDiedRuns presumes died runs over once this process is confirmed to have led the cell after it learned that they died.
-// Before that, a later leader may already have received the successful end of such a run.
+// loseDiedRuns presumes died runs over once this process is confirmed to have led the cell after it learned that they
+// died. Before that, a later leader may already have received the successful end of such a run.
 func (s *State) loseDiedRuns(now time.Time) {
 	confirmed := s.leadershipLastConfirmed(now)
 	died := s.diedRuns
--- a/pkg/process/cell/incarnations_test.go
+++ b/pkg/process/cell/incarnations_test.go
@@ -149,9 +149,9 @@
 	return n
 }
 
-// A worker crashes, restarts under its id, and numbers its ends from 1 again. A leader that kept the newest number of the
-// incarnation before would skip the first ends of the new one, let the worker forget them, presume their runs over ("no
-// longer listed by its worker") and start the tasks again.
+// A worker crashes, restarts under its id, and numbers its ends from 1 again. A leader that kept the newest number of
+// the incarnation before would skip the first ends of the new one, let the worker forget them, presume their runs over
+// ("no longer listed by its worker") and start the tasks again.
 func TestEndsOfNextIncarnationAreNotSkipped(t *testing.T) {
 	t.Parallel()
 	v := newRestartingWorker()
@@ -190,8 +190,8 @@
 }
 
 // A worker that has just restarted has seen no epoch yet, and would carry out orders of a deposed leader. So a leader
-// starts runs there, and presumes the runs of the incarnation before over, only after a renewal has taken effect that it
-// sent after it learned of the new incarnation.
+// starts runs there, and presumes the runs of the incarnation before over, only after a renewal has taken effect that
+// it sent after it learned of the new incarnation.
 func TestNextIncarnationIsUsedOnlyAfterRenewal(t *testing.T) {
 	t.Parallel()
 	v := newRestartingWorker()
--- a/pkg/process/cell/isolated_runs.go
+++ b/pkg/process/cell/isolated_runs.go
@@ -20,7 +20,7 @@
 	// makes up for it.
 	otherSuspectPenalty = 5.0
 	// maxReservation is how long a worker may stay reserved for an isolated run before another worker is
-	// considered. Each run at the worker has to be 1.3 s old first (see poisontask.Settled).
+	// considered. Each run at the worker has to be 1.3 s old first (see poisontask.LongRunning).
 	maxReservation = 4 * time.Second
 )
 
@@ -57,9 +57,9 @@
 // their workers do so within a fraction of that, and lasting tasks are to use free capacity within three seconds.
 const shareIsolatedAfter = 2 * time.Second
 
-// mayJoinIsolated reports whether a unit of lasting tasks may start at a worker that is closed for an isolated
-// run. The unit must have waited for holdAfter, or for maxIsolatedWait if it has a suspect, and any isolated run there
-// must be older than shareIsolatedAfter. To wait until that run exonerates its task would take longer.
+// mayJoinIsolated reports whether a unit of lasting tasks may start at a worker that is closed for an isolated run. The
+// unit must have waited for reserveAfter, or for maxIsolatedWait if it has a suspect, and any isolated run there must
+// be older than shareIsolatedAfter. To wait until that run exonerates its task would take longer.
 func (s *State) mayJoinIsolated(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
 	minWait := reserveAfter
 	if slices.ContainsFunc(u.Tasks, (*jobs.Task).Suspected) {
@@ -98,8 +98,8 @@
 	maxQuietWaitDecisive = 12 * time.Second
 )
 
-// otherHostFor is how long a task that needs isolation waits for a host that has not crashed under it, and
-// suspectHostFor how long another suspect does: most of these are innocent.
+// isolatedOtherHostWait is how long a task that needs isolation waits for a host that has not crashed under it, and
+// suspectOtherHostWait how long another suspect does: most of these are innocent.
 const (
 	isolatedOtherHostWait = 10 * time.Second
 	suspectOtherHostWait  = 5 * time.Second
@@ -232,7 +232,7 @@
 	return best
 }
 
-// neededByLasting reports whether a lasting task that has waited for holdAfter and needs no isolation could start
+// neededByLasting reports whether a lasting task that has waited for reserveAfter and needs no isolation could start
 // at a worker. Such a worker is not reserved for the isolated run of another task.
 func (s *State) neededByLasting(now time.Time, isolated *jobs.Task, w *workers.Worker) bool {
 	for u := range s.waitingUnits {
--- a/pkg/process/cell/isolated_runs_test.go
+++ b/pkg/process/cell/isolated_runs_test.go
@@ -83,7 +83,7 @@
 }
 
 // Ten tasks wait for isolated runs in a cell of six idle workers. When only one such run was allowed at a time, so that
-// simultaneous crashes would not look like an outage, each task waited for the runs of all before it.
+// simultaneous crashes would not count as an outage, each task waited for the runs of all before it.
 // A third of the workers may have isolated runs.
 func TestAThirdOfTheWorkersMayHaveIsolatedRuns(t *testing.T) {
 	t.Parallel()
--- a/pkg/process/cell/known_runs.go
+++ b/pkg/process/cell/known_runs.go
@@ -18,8 +18,8 @@
 // naming all their tasks is not worth the size of the row.
 const maxNamedTasks = 512
 
-// updateKnownRuns updates RunsKnown and MayRun of each worker. No run starts at a worker while its RunsKnown is set, so its
-// MayRun only shrinks.
+// updateKnownRuns updates RunsKnown and MayRun of each worker. No run starts at a worker while its RunsKnown is set, so
+// its MayRun only shrinks.
 func (s *State) updateKnownRuns(now time.Time) {
 	named := 0
 	for _, w := range s.workersByID() {
@@ -38,15 +38,15 @@
 	}
 }
 
-// excludedFromWork returns whether a worker gets no work now, and none later before a membership row without its tasks is
-// recorded. It is false for a newly silent worker while the table does not answer: such a worker would otherwise get no
-// work after it answers again until the table does, too.
+// excludedFromWork returns whether a worker gets no work now, and none later before a membership row without its tasks
+// is recorded. It is false for a newly silent worker while the table does not answer: such a worker would otherwise get
+// no work after it answers again until the table does, too.
 func (s *State) excludedFromWork(now time.Time, w *workers.Worker) bool {
 	return w.Leaving || (w.Failures >= silentAfterFailures && (w.RunsKnown || s.tableAvailable(now)))
 }
 
-// holdsOnlyKnownRuns returns whether a worker surely holds nothing but its known runs: no other run, and no end that is not
-// recorded.
+// holdsOnlyKnownRuns returns whether a worker is known to hold nothing but its known runs: no other run, and no end
+// that is not recorded.
 func (s *State) holdsOnlyKnownRuns(w *workers.Worker) bool {
 	return w.OnlyKnownRuns() && s.lastRecordedEnd(w) >= w.LastEnd
 }
@@ -66,8 +66,8 @@
 	return !e.GetRunsKnown() || slices.Contains(e.GetMayRun(), t.Name())
 }
 
-// tasksHeldBack returns the names of the tasks that may still run at members which have not answered this leader. known is
-// false if any task may run at one of them.
+// tasksHeldBack returns the names of the tasks that may still run at members which have not answered this leader. known
+// is false if any task may run at one of them.
 func (s *State) tasksHeldBack(now time.Time) (tasks map[string]bool, known bool) {
 	tasks = map[string]bool{}
 	for id := range s.awaitedMembers {
@@ -85,8 +85,8 @@
 	return tasks, true
 }
 
-// newTasksSettled returns whether tasks that become known here from now on may start at once: no earlier leader can have
-// started them, except those that holdBackNamed marks.
+// newTasksSettled returns whether tasks that become known here from now on may start at once: no earlier leader can
+// have started them, except those that holdBackTasks marks.
 func (s *State) newTasksSettled() bool { return s.settled || s.unnamedSettled || s.unsafe.NoSettling }
 
 // holdBackTasks marks as not settled the tasks of a job that may run at members which have not answered. An earlier
--- a/pkg/process/cell/known_runs_test.go
+++ b/pkg/process/cell/known_runs_test.go
@@ -16,8 +16,8 @@
 	otherTask     = "00000000000000ee.0.0.0"
 )
 
-// takeOverFromLeavingWorker returns the successor of a leader, and a worker that was leaving while unreachedTask ran there
-// and that does not answer the successor.
+// takeOverFromLeavingWorker returns the successor of a leader, and a worker that was leaving while unreachedTask ran
+// there and that does not answer the successor.
 func takeOverFromLeavingWorker(t *testing.T, specs ...*wire.JobSpec) (successor *testCell, left string) {
 	t.Helper()
 	b := newEmptyCell()
--- a/pkg/process/cell/leases.go
+++ b/pkg/process/cell/leases.go
@@ -50,7 +50,7 @@
 	return list
 }
 
-// takeReportedLeases takes in the rest of each worker's lease, as a predecessor reported it at its end.
+// takeReportedLeases keeps the rest of each worker's lease, as a predecessor reported it at its end.
 func (s *State) takeReportedLeases(now time.Time, grants map[string]time.Duration) {
 	for id, left := range grants {
 		if until := now.Add(left); until.After(s.reportedLeases[id]) {
--- a/pkg/process/cell/leases_test.go
+++ b/pkg/process/cell/leases_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// A deposed leader reports the leases that it granted until they have surely ended.
+// A deposed leader reports the leases that it granted until they have certainly ended.
 func TestDeposedLeaderReportsTheLeasesThatItGranted(t *testing.T) {
 	t.Parallel()
 	b := newEmptyCell()
--- a/pkg/process/cell/leaving.go
+++ b/pkg/process/cell/leaving.go
@@ -7,12 +7,12 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// leavingMargin is the time that must remain between the expected end of a run and the end of its leaving worker for the
-// run to go on there. A stop takes part of that time.
+// leavingMargin is the time that must remain between the expected end of a run and the end of its leaving worker for
+// the run to go on there. A stop takes part of that time.
 const leavingMargin = 300 * time.Millisecond
 
-// stopOnLeavingWorkers stops the runs that leaving workers can't finish in the time they have left. Their tasks go on elsewhere from a
-// checkpoint. Runs that can finish there stay.
+// stopOnLeavingWorkers stops the runs that leaving workers can't finish in the time they have left. Their tasks go on
+// elsewhere from a checkpoint. Runs that can finish there stay.
 func (s *State) stopOnLeavingWorkers(now time.Time) {
 	for _, w := range s.workersByID() {
 		if !w.Leaving || w.Gone || !w.SilentSince.IsZero() {
@@ -46,8 +46,8 @@
 	return s.remainingTime(now, r) > left-leavingMargin
 }
 
-// remainingTime estimates how much longer a run takes: from its progress so far or, while it has made none, from the run
-// times learned for its queue and the estimate that its caller declared.
+// remainingTime estimates how much longer a run takes: from its progress so far or, while it has made none, from the
+// run times learned for its queue and the estimate that its caller declared.
 func (s *State) remainingTime(now time.Time, r *jobs.Run) time.Duration {
 	guess := s.estimatedTaskTime(r.Task.Unit)
 	if r.Percent <= 0 {
--- a/pkg/process/cell/lost_runs.go
+++ b/pkg/process/cell/lost_runs.go
@@ -7,12 +7,12 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// Runs whose ends the leader decides without a report of the worker: after the end of an incarnation, after the expiry of
-// a lease, and when a run stalls. All but the last are confirmed first: this process must have led the cell after the
-// incarnation or the lease was over (see model/cell.pml).
+// Runs whose ends the leader decides without a report of the worker: after the end of an incarnation, after the expiry
+// of a lease, and when a run stalls. All but the last are confirmed first: this process must have led the cell after
+// the incarnation or the lease was over (see model/cell.pml).
 
-// endIncarnation ends a worker's incarnation because a later one has begun. Rows that name the ended incarnation are out of
-// date from now on, and takeListed skips them.
+// endIncarnation ends a worker's incarnation because a later one has begun. Rows that name the ended incarnation are
+// out of date from now on, and takeRegistry skips them.
 func (s *State) endIncarnation(now time.Time, w *workers.Worker, why string) {
 	if !w.Gone {
 		s.addUnobservedEnd(w)
@@ -23,7 +23,7 @@
 	s.markGone(now, w, why)
 }
 
-// markGone marks a worker's incarnation as over. buryGone presumes its runs over once that is confirmed.
+// markGone marks a worker's incarnation as over. removeGoneWorkers presumes its runs over once that is confirmed.
 func (s *State) markGone(now time.Time, w *workers.Worker, why string) {
 	if w.Gone {
 		return
@@ -33,8 +33,9 @@
 	s.scanDue = true
 }
 
-// removeGoneWorkers drops the workers whose incarnations are over and presumes their runs over, once this process is confirmed to
-// have led the cell after that. Before that, a later leader may already have received the successful end of such a run.
+// removeGoneWorkers drops the workers whose incarnations are over and presumes their runs over, once this process is
+// confirmed to have led the cell after that. Before that, a later leader may already have received the successful end
+// of such a run.
 func (s *State) removeGoneWorkers(now time.Time) {
 	for _, w := range s.workersByID() {
 		if !w.Gone || s.leadershipLastConfirmed(now).Before(w.GoneAt) {
@@ -49,7 +50,7 @@
 	}
 }
 
-// leadershipLastConfirmed returns the last time at which this process surely led the cell.
+// leadershipLastConfirmed returns the last time at which this process is known to have led the cell.
 func (s *State) leadershipLastConfirmed(now time.Time) time.Time {
 	if s.unsafe.NoConfirmation {
 		return now
@@ -98,8 +99,8 @@
 	}
 }
 
-// checkLease presumes the runs of a silent worker over once its lease has expired. It then drops the worker if the worker
-// registry has no row of it either.
+// checkLease presumes the runs of a silent worker over once its lease has expired. It then drops the worker if the
+// worker registry has no row of it either.
 func (s *State) checkLease(now time.Time, w *workers.Worker) {
 	over := w.LeaseOver(s.leadershipLastConfirmed(now)) || s.unsafe.NoLeaseWait
 	if over {
--- a/pkg/process/cell/membership.go
+++ b/pkg/process/cell/membership.go
@@ -10,7 +10,7 @@
 )
 
 // Membership: the row in the table that names the workers which may hold runs. A successor holds back
-// every task that no worker lists until each member has answered, or until all leases there have surely
+// every task that no worker lists until each member has answered, or until all leases there have certainly
 // ended. So a worker is dropped from the membership as soon as it takes no new work and holds nothing:
 // a worker that has left never answers a successor.
 
@@ -58,7 +58,7 @@
 	}
 }
 
-// canBeDropped says whether a worker takes no new work and surely holds neither a run nor an end that
+// canBeDropped says whether a worker takes no new work and is known to hold neither a run nor an end that
 // is not recorded. It has this leader's fence, so it refuses orders of earlier leaders.
 func (s *State) canBeDropped(now time.Time, w *workers.Worker) bool {
 	if before := s.retainedMembers[w.ID].GetBorn(); before != 0 && before != w.Born {
--- a/pkg/process/cell/membership_test.go
+++ b/pkg/process/cell/membership_test.go
@@ -110,8 +110,8 @@
 	must.MapContainsKey(t, successor.started, "00000000000000ff.0.0.0")
 }
 
-// takeOverFrom makes this cell the successor of another one, with the same workers. All that are not silent answer it. The
-// cell has one job, which no worker lists. wait is the time until the predecessor's last lease ends.
+// takeOverFrom makes this cell the successor of another one, with the same workers. All that are not silent answer it.
+// The cell has one job, which no worker lists. wait is the time until the predecessor's last lease ends.
 func (b *testCell) takeOverFrom(before *testCell, wait time.Duration) {
 	b.takeOverWith(before, wait, before.state.Members(), lastingJob("00000000000000ff"))
 }
--- a/pkg/process/cell/orders.go
+++ b/pkg/process/cell/orders.go
@@ -92,8 +92,8 @@
 	return false
 }
 
-// updateWindow updates the window of bytes in flight from how long a start order took to be answered, or
-// stayed without an answer.
+// updateWindow updates the window of bytes in flight by the time that the answer to a start order took, or that
+// passed without an answer.
 func (s *State) updateWindow(now time.Time, e StartAnswered) {
 	if e.Err != nil {
 		s.startWindow.Unanswered(now, e.RoundTrip, e.Bytes)
@@ -127,7 +127,7 @@
 		r.AckedAt = now
 		s.runBegan(now, r)
 	case e.Reply.Refusal == workers.RefusedOld:
-		// The worker has had a run with this number or a higher one; its lists tell what became of it.
+		// The worker has had a run with this number or a higher one; its lists show what became of it.
 		r.State = jobs.Unsure
 		r.ValidUntil = w.ClockAtLeast(now)
 	case r.Tries > 1:
@@ -138,7 +138,7 @@
 	}
 }
 
-// undoRefusedStart takes back a run whose start order surely had no effect: its task waits for another start.
+// undoRefusedStart takes back a run whose start order certainly had no effect: its task waits for another start.
 func (s *State) undoRefusedStart(now time.Time, w *workers.Worker, r *jobs.Run, why string) {
 	t := r.Task
 	w.Remove(r)
--- a/pkg/process/cell/orphans.go
+++ b/pkg/process/cell/orphans.go
@@ -42,8 +42,8 @@
 	w.OrphanedEnds = append(w.OrphanedEnds, workers.OrphanedEnd{End: e, At: now})
 }
 
-// keepOrphanedRun keeps an orphaned run that a worker lists. It returns whether the run belongs to no job, and so is to be
-// stopped.
+// keepOrphanedRun keeps an orphaned run that a worker lists. It returns whether the run belongs to no job, and so is to
+// be stopped.
 func (s *State) keepOrphanedRun(now time.Time, w *workers.Worker, a workers.Active) bool {
 	if s.unsafe.NoStrays {
 		return true
--- a/pkg/process/cell/orphans_test.go
+++ b/pkg/process/cell/orphans_test.go
@@ -11,9 +11,10 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// A job is accepted while its cell changes its leader. The predecessor receives it and starts a task. The successor read
-// the table just before, finds the run in the worker's list, and knows no such job. It must not stop this orphaned run:
-// when it received the job a tenth of a second later, it started the task again, beside the run that was being stopped.
+// A job is accepted while its cell changes its leader. The predecessor receives it and starts a task. The successor
+// read the table just before, finds the run in the worker's list, and knows no such job. It must not stop this orphaned
+// run: when it received the job a tenth of a second later, it started the task again, beside the run that was being
+// stopped.
 func TestOrphanedRunIsAdoptedWhenItsJobBecomesKnown(t *testing.T) {
 	t.Parallel()
 	v := newRestartingWorker()
@@ -61,8 +62,8 @@
 }
 
 // The job is known, but one of its times falls due here a moment later than at the predecessor, whose clock is ahead or
-// which checked earlier. An end of that time must not count as orphaned for good: its worker forgot it, and the task was
-// started again.
+// which checked earlier. An end of that time must not count as orphaned for good: its worker forgot it, and the task
+// was started again.
 func TestOrphanedEndCountsWhenItsTimeFallsDue(t *testing.T) {
 	t.Parallel()
 	v := newRestartingWorker()
--- a/pkg/process/cell/placement.go
+++ b/pkg/process/cell/placement.go
@@ -124,7 +124,7 @@
 
 // usable reports whether a worker may be given new work now. A worker that restarts knows no epoch and
 // obeys a deposed leader, too, until that leader's successor polls it. So a worker that restarted under
-// this leader is usable only after a renewal of the leadership took effect that was sent after SureFrom.
+// this leader is usable only after a renewal of the leadership took effect that was sent after UsableFrom.
 func (s *State) usable(now time.Time, w *workers.Worker) bool {
 	return !s.leadershipLastConfirmed(now).Before(w.UsableFrom) && w.Usable(now, maxAnswerAge) && s.recordedMembers[w.ID] && !w.DroppedFromMembership && !w.RunsKnown && !s.quarantined(now, w)
 }
@@ -234,7 +234,7 @@
 	// failedTherePenalty is subtracted for the worker where the task failed last, and for hosts that crashed
 	// while they ran the task.
 	failedTherePenalty = 20.0
-	// netCostWeight weighs the net cost of a filler (fillerHarm) against the share of unused CPU.
+	// netCostWeight weighs the net cost of a filler (fillerNetCost) against the share of unused CPU.
 	netCostWeight = 1.0
 	// imageAffinityWeight weighs how alike the serving images of a worker are to the task's against free CPU. It
 	// outweighs free CPU, whose share is at most 1; the price is gaps too small for the next serving task.
--- a/pkg/process/cell/placement_blockers.go
+++ b/pkg/process/cell/placement_blockers.go
@@ -26,7 +26,8 @@
 	blockedByIsolatedRun    blocker = "reserved for an isolated run"
 )
 
-// placementBlocker returns the first condition that blocks the placement of one more task of a unit on a worker, or lacksNothing.
+// placementBlocker returns the first condition that blocks the placement of one more task of a unit on a worker, or
+// notBlocked.
 func (s *State) placementBlocker(now time.Time, u *jobs.Unit, service string, w *workers.Worker) blocker {
 	switch {
 	case w.Service != service || !w.HasLabel(u.Spec.GetLabel()):
@@ -63,8 +64,8 @@
 }
 
 const (
-	// waitLogAfter is the wait after which the log gives the reason why a task waits. waitLogInterval is the interval at
-	// which the log repeats it.
+	// waitLogAfter is the wait after which the log gives the reason why a task waits. waitLogInterval is the interval
+	// at which the log repeats it.
 	waitLogAfter    = 2 * time.Second
 	waitLogInterval = 5 * time.Second
 )
--- a/pkg/process/cell/poll.go
+++ b/pkg/process/cell/poll.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// leaseDuration is how long a worker keeps its runs without a renewal. It outlasts a simultaneous crash of all entry
-	// hosts (1.4 s on the platform's sites, and about a second until the first poll after it). It is also the most
-	// time that the crash of a worker costs its tasks.
+	// leaseDuration is how long a worker keeps its runs without a renewal. It outlasts a simultaneous crash of all
+	// entry hosts (1.4 s on the platform's sites, and about a second until the first poll after it). It is also the
+	// most time that the crash of a worker costs its tasks.
 	leaseDuration = 3500 * time.Millisecond
 	// pollWait is how long a worker with runs may wait for one of them to end before it answers a poll. It sets how
 	// often the leader gets readings, which workers renew every half second, and renews the lease.
 	pollWait = 500 * time.Millisecond
-	// idlePollWait is lookWait for a worker without runs.
+	// idlePollWait is pollWait for a worker without runs.
 	idlePollWait = time.Second
 	// pollSlack is the least time that a poll may take beyond the wait that it asks for.
 	pollSlack = 600 * time.Millisecond
@@ -44,8 +44,8 @@
 	return leaseDuration
 }
 
-// takeRegistry handles the rows of the cell's workers in the worker registry. A worker that has no row any more is kept:
-// its runs may still go on.
+// takeRegistry handles the rows of the cell's workers in the worker registry. A worker that has no row any more is
+// kept: its runs may still go on.
 func (s *State) takeRegistry(now time.Time, e WorkersListed) {
 	named := map[string]bool{}
 	for _, r := range e.Records {
@@ -71,8 +71,8 @@
 	}
 }
 
-// applyRecord updates a worker from its row. A process that holds the leadership keeps a row of another incarnation aside
-// until the worker's next answer shows which incarnation runs.
+// applyRecord updates a worker from its row. A process that holds the leadership keeps a row of another incarnation
+// apart until the worker's next answer shows which incarnation runs.
 func (s *State) applyRecord(now time.Time, w *workers.Worker, r workers.Record) {
 	if w.IsOtherIncarnation(r) {
 		if s.HoldsLeadership() {
@@ -106,8 +106,8 @@
 	w.Listed = true
 }
 
-// capacityChanged handles a change of a worker's capacity. Runs that no longer fit go on, because a stop would cost their
-// work and the capacity comes back. No more runs start there until they fit.
+// capacityChanged handles a change of a worker's capacity. Runs that no longer fit go on, because a stop would cost
+// their work and the capacity comes back. No more runs start there until they fit.
 func (s *State) capacityChanged(w *workers.Worker, before ledger.Size) {
 	if w.Capacity == before {
 		return
@@ -136,7 +136,7 @@
 		l.Recorded = 0 // another incarnation would forget its own ends with these numbers
 	}
 	if w.Clocked() && w.SilentSince.IsZero() {
-		// A silent worker gets no renewal, so its lease surely expires.
+		// A silent worker gets no renewal, so its lease is certain to expire.
 		l.Until = w.Grant(now, s.leaseSpan())
 		l.Wait = idlePollWait
 		if len(w.Runs) > 0 {
@@ -168,7 +168,7 @@
 		w.NextPollAt = now.Add(pollRetryPause)
 		return
 	case e.Refusal == workers.RefusedIncarnation:
-		s.endIncarnation(now, w, "another incarnation answers at its address")
+		s.endIncarnation(now, w, "another worker answers at its address")
 		return
 	case e.Refusal != workers.NotRefused:
 		s.pollFailed(now, w, string(e.Refusal))
@@ -226,9 +226,9 @@
 	}
 }
 
-// endOtherIncarnations ends the other incarnations on the host of w that were known before the leader sent the poll which w
-// has answered. The worker registry does not suffice for this, because rows of ended incarnations are sometimes written
-// again late.
+// endOtherIncarnations ends the other incarnations on the host of w that were known before the leader sent the poll
+// which w has answered. The worker registry does not suffice for this, because rows of ended incarnations are sometimes
+// written again late.
 func (s *State) endOtherIncarnations(now time.Time, w *workers.Worker, sentAt time.Time) {
 	if w.Host == "" {
 		return
@@ -245,7 +245,7 @@
 }
 
 // pollFailed handles a poll without a usable answer. The worker counts as silent from the first one. After
-// failuresSilent in a row, fellSilent records the silence as evidence against the tasks there.
+// silentAfterFailures in a row, workerSilent records the silence as evidence against the tasks there.
 func (s *State) pollFailed(now time.Time, w *workers.Worker, why string) {
 	if w.SilentSince.IsZero() {
 		w.SilentSince = now
@@ -259,7 +259,7 @@
 	w.NextPollAt = now.Add(pollRetryPause)
 }
 
-// advanceRecorded advances w.Recorded, the newest end that the worker may forget.
+// advanceRecorded advances w.LastRecordedEnd, the newest end that the worker may forget.
 func (s *State) advanceRecorded(w *workers.Worker) {
 	if s.unsafe.NoRecorded {
 		w.LastRecordedEnd = w.LastEnd
--- a/pkg/process/cell/queries.go
+++ b/pkg/process/cell/queries.go
@@ -15,18 +15,18 @@
 // Leading returns whether this process leads the cell and has loaded its jobs.
 func (s *State) Leading() bool { return s.phase == leading || s.phase == releasing }
 
-// HoldsLeadership returns whether this process holds the leadership of the cell: it may give orders, now or once it has loaded
-// the jobs.
+// HoldsLeadership returns whether this process holds the leadership of the cell: it may give orders, now or once it has
+// loaded the jobs.
 func (s *State) HoldsLeadership() bool { return s.phase != following }
 
 // HasWaitingTasks returns whether tasks wait here that other cells might run.
 func (s *State) HasWaitingTasks() bool { return s.phase == leading && len(s.waitingUnits) > 0 }
 
-// Settled returns whether each run that earlier leaders started is known or surely over.
+// Settled returns whether each run that earlier leaders started is known or has certainly ended.
 func (s *State) Settled() bool { return s.settled && s.phase != following }
 
-// ReadyToHandOver returns whether a planned stop may release the leadership now: no write to the table and no order to start is
-// in flight. A process that does not lead is always quiet.
+// ReadyToHandOver returns whether a planned stop may release the leadership now: no write to the table and no order to
+// start is in flight. It is true for a process that does not lead, and false before the hand-over has begun.
 func (s *State) ReadyToHandOver() bool {
 	if s.phase != releasing {
 		return s.phase == following
@@ -46,7 +46,7 @@
 	return true
 }
 
-// Phase returns a job's phase as far as the table holds it; false if this process can't tell.
+// Phase returns a job's phase as far as the table holds it; false if this process does not know it.
 func (s *State) Phase(id string) (wire.JobPhase, bool) {
 	j := s.jobs[id]
 	if j == nil || !s.Leading() || j.Delegated() {
@@ -61,8 +61,8 @@
 	return wire.JobPhase_JOB_PHASE_QUEUED, true
 }
 
-// fillerSumsMaxAge is the greatest age of the sums of capacity for fillers in a load message. They are cached because each
-// sum visits the neighbours at every worker, and many hosts ask.
+// fillerSumsMaxAge is the greatest age of the sums of capacity for fillers in a load message. They are cached because
+// each sum visits the neighbours at every worker, and many hosts ask.
 const fillerSumsMaxAge = 250 * time.Millisecond
 
 // Load returns a summary of the cell for the processes that choose a cell for a job. withBeliefs adds the beliefs about
@@ -110,8 +110,9 @@
 	return l
 }
 
-// addFreeCapacity adds a worker's free processors to the lists of free capacity, unless they are kept for a waiting lasting
-// task. A worker that is closed for an isolated run counts for lasting tasks only, and only if they may join that run.
+// addFreeCapacity adds a worker's free processors to the lists of free capacity, unless they are reserved for a waiting
+// lasting task. A worker that is closed for an isolated run counts for lasting tasks only, and only if they may join
+// that run.
 func (s *State) addFreeCapacity(l *wire.CellLoad, w *workers.Worker) {
 	free := w.Free().Millicores
 	if free <= 0 || s.reservedForLasting[w] {
@@ -125,8 +126,8 @@
 	}
 }
 
-// timeToSettle returns how long it may take until each run that earlier leaders started is known or surely over; 0: that
-// is so already, or this process does not lead.
+// timeToSettle returns how long it may take until each run that earlier leaders started is known or has certainly
+// ended; 0: that is so already, or this process does not lead.
 func (s *State) timeToSettle(now time.Time) time.Duration {
 	if !s.HoldsLeadership() || s.newTasksSettled() {
 		return 0
--- a/pkg/process/cell/run_ends.go
+++ b/pkg/process/cell/run_ends.go
@@ -9,7 +9,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// takeEnd processes one end of a run that a worker lists. A worker lists each end until the leader
+// takeEnd handles one end of a run that a worker lists. A worker lists each end until the leader
 // acknowledges that it is recorded, so an end whose number is not new is skipped.
 func (s *State) takeEnd(now time.Time, w *workers.Worker, e workers.End) {
 	if e.Number <= w.LastEnd {
--- a/pkg/process/cell/settle.go
+++ b/pkg/process/cell/settle.go
@@ -11,11 +11,11 @@
 )
 
 // Settling after a takeover: the leader finds out which runs earlier leaders started. Workers list them, or they have
-// surely ended because the worker's lease has. A task is settled, and may start if no worker lists it, once no earlier
-// run of it can go on unknown to this leader.
+// certainly ended because the worker's lease has. A task is settled, and may start if no worker lists it, once no
+// earlier run of it can go on unknown to this leader.
 
 // earlierRunsOver says whether the runs that earlier leaders started at a worker which
-// has not answered have surely ended: its leases must have ended before leadership
+// has not answered have certainly ended: its leases must have ended before leadership
 // was last confirmed. A worker that never answered has leases of earlier leaders
 // only. A worker that answered while the jobs were being read also has one of this
 // leader, and its list is still to come.
@@ -47,7 +47,7 @@
 	s.settleExcept(now, heldBack)
 }
 
-// allEarlierRunsOver says whether all runs at members that have not answered have surely ended.
+// allEarlierRunsOver says whether all runs at members that have not answered have certainly ended.
 func (s *State) allEarlierRunsOver(now time.Time) bool {
 	for id := range s.awaitedMembers {
 		if !s.earlierRunsOver(now, s.workers[id]) {
@@ -57,8 +57,8 @@
 	return true
 }
 
-// settleExcept settles all tasks but those in held, which may run at members that have not answered. It records crash
-// evidence against tasks that may have run where a member's incarnation has ended.
+// settleExcept settles all tasks but those in heldBack, which may run at members that have not answered. It records
+// crash evidence against tasks that may have run where a member's incarnation has ended.
 func (s *State) settleExcept(now time.Time, heldBack map[string]bool) {
 	listedNowhere, settled := 0, 0
 	var mayHaveRun []*jobs.Task
--- a/pkg/process/cell/settle_test.go
+++ b/pkg/process/cell/settle_test.go
@@ -14,7 +14,7 @@
 
 // Another cell has returned a delegated task, and a predecessor has started it at a worker that does not answer the
 // successor. The row that returned it still stands, so the successor takes it back once more. It must not count the
-// task as one that surely has no run: it started the task a second time, beside the predecessor's run.
+// task as one that certainly has no run: it started the task a second time, beside the predecessor's run.
 func TestTaskReturnedBeforeATakeoverMayRunAlready(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
@@ -81,7 +81,8 @@
 	must.True(t, started)
 }
 
-// Two leaders followed each other at once. Both report their end, so the last of their leases ends after one lease span.
+// Two leaders followed each other at once. Both report their end, so the last of their leases ends after one lease
+// span.
 func TestReportedEndsOfAllPredecessorsShortenTheWaitToOneLease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
@@ -120,8 +121,8 @@
 	must.True(t, stepped)
 }
 
-// A lasting task has no other run while a worker keeps listing one to the new leader. Once that run is stopped, the task
-// starts again at once, though another member has not answered.
+// A lasting task has no other run while a worker keeps listing one to the new leader. Once that run is stopped, the
+// task starts again at once, though another member has not answered.
 func TestStoppedLastingTaskRestartsBeforeTheCellIsSettled(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000, Lasting: true}}}
--- a/pkg/process/cell/state.go
+++ b/pkg/process/cell/state.go
@@ -6,17 +6,16 @@
 // no calls and reads no clock, so a test can reproduce each failure by events
 // alone. Data flows one way:
 //
-//	event -> load.go, settle.go (takeover), look.go, lives.go and lists.go (reports of workers), orders.go (replies to orders)
-//	      -> ends.go (the effect of a run's end on its job)
+//	event -> takeover.go, settle.go (takeover), poll.go, incarnations.go, active_runs.go (reports of workers), orders.go (replies to orders)
+//	      -> run_ends.go (the effect of a run's end on its job)
 //	      -> crashes.go (evidence against the tasks of a worker that crashed)
-//	      -> lost.go (runs and workers that are presumed over), leaving.go, lend.go (tasks for other cells)
-//	      -> place.go, trials.go, fillers.go, harm.go, advice.go (which tasks start, and where)
-//	      -> pace.go (the share at which fillers work)
-//	      -> record.go (progress that the table must hold) and effects
+//	      -> lost_runs.go (runs and workers that are presumed over), leaving.go, delegation.go (tasks for other cells)
+//	      -> placement.go, isolated_runs.go, filler_places.go, filler_cost.go, advice.go (which tasks start, and where)
+//	      -> filler_pace.go (the pace of fillers)
+//	      -> write_progress.go (progress that the table must hold) and effects
 //
-// Starts are not recorded in the table: workers list their runs. The leader
-// acknowledges an end to its worker after the end is recorded. See
-// docs/design/platform.md.
+// Starts are not recorded in the table: workers list their runs. The leader acknowledges an end to its
+// worker after the end is recorded. See docs/design/platform.md.
 package cell
 
 import (
@@ -70,7 +69,8 @@
 	NoBlame bool
 	// NoStrayRoom starts tasks beside orphaned runs, whose size is not known.
 	NoStrayRoom bool
-	// NoUnseen records no crash evidence for unobserved ends: incarnations that ended while no leader observed their runs.
+	// NoUnseen records no crash evidence for unobserved ends: incarnations that ended while no leader observed their
+	// runs.
 	NoUnseen bool
 	// NoStrays stops orphaned runs at once, before their jobs can become known.
 	NoStrays bool
@@ -96,31 +96,32 @@
 
 	jobs    map[string]*jobs.Job
 	workers map[string]*workers.Worker
-	// sortedWorkers lists the workers by id. It is rebuilt when reorder is set.
+	// sortedWorkers lists the workers by id. It is rebuilt when orderStale is set.
 	sortedWorkers []*workers.Worker
 	orderStale    bool
 	// recordedMembers holds the ids that the recorded membership row names: only these workers get work.
 	recordedMembers map[string]bool
-	// endedIncarnations holds, by worker id, the incarnations (their Born) that have ended because a later one answered on
-	// their host. There are few of them: one for each restart that this process has observed.
+	// endedIncarnations holds, by worker id, the incarnations (their Born) that have ended because a later one answered
+	// on their host. There are few of them: one for each restart that this process has observed.
 	endedIncarnations map[string]int64
-	// caughtUpAt is the time up to which the cell's table has been followed: all jobs recorded before it are known.
+	// caughtUpAt is a time up to which the leader has read the cell's table: all jobs recorded before it are known.
 	caughtUpAt time.Time
-	// silences are the times at which workers fell silent, as far back as fellKept.
+	// silences are the intervals in which workers went silent, for silenceMemory.
 	silences []silence
-	// hostCrashes are the crashes by host, as far back as hostKept.
+	// hostCrashes are the crashes by host, for hostCrashMemory.
 	hostCrashes map[string][]hostCrash
 	// silentRuns are runs whose worker fell silent: whether the worker crashed is not known yet.
 	silentRuns []silentRun
 	// implicated are the implicated tasks: those with crash evidence, in the order in which they got the first of it.
 	implicated []*jobs.Task
 	// closedWorkers are the workers that no other task may join, because an isolated run is there or is about to start.
-	// trialsOut is the number of isolated runs. Both are as of the last placement. kept are the workers reserved for
-	// the isolated run of a task; a reservation lasts over several placements.
+	// isolatedRuns is the number of isolated runs. Both are as of the last placement. isolationReservations are the
+	// workers reserved for the isolated run of a task; a reservation lasts over several placements.
 	closedWorkers         map[*workers.Worker]bool
 	isolationReservations map[*jobs.Task]isolationReservation
 	isolatedRuns          int
-	// diedRuns are runs whose worker has restarted. They are presumed lost once leadership is confirmed for a later time.
+	// diedRuns are runs whose worker has restarted. They are presumed over once leadership is confirmed for a later
+	// time.
 	diedRuns []diedRun
 	// pendingCancels are cancels of jobs that are not known yet, with the time at which each was received.
 	pendingCancels map[string]time.Time
@@ -132,8 +133,8 @@
 	changeSeq int64
 	// runSerial is how many run numbers this epoch has used.
 	runSerial int64
-	// ticketsByUnit holds the tickets of the advising service by unit. adviceOut is the unit whose advice request has no
-	// answer yet.
+	// ticketsByUnit holds the tickets of the advice service by unit. adviceRequested is the name of the unit whose
+	// advice request has no answer yet; "" if there is none.
 	ticketsByUnit   map[string]*unitTickets
 	adviceRequested string
 	// peerLoads are the loads that the leaders of other cells reported, by cell.
@@ -141,8 +142,9 @@
 	// pendingDelegations are specifications of delegated tasks for other cells that are not recorded yet.
 	pendingDelegations map[*jobs.Job][]*wire.JobSpec
 
-	// awaitedMembers are the members that have not answered this leader. Until settled is set, tasks that no worker lists
-	// wait for them. settleBy is when the last lease that earlier leaders may have granted ends, which ends the wait.
+	// awaitedMembers are the members that have not answered this leader. Until settled is set, tasks that no worker
+	// lists wait for them. settleDeadline is when the last lease that earlier leaders may have granted ends, which ends
+	// the wait.
 	awaitedMembers map[string]bool
 	settled        bool
 	settleDeadline time.Time
@@ -152,12 +154,13 @@
 	heldBackTasks map[string]bool
 	// retainedMembers are the entries of retained members, by worker: incarnations that earlier leaders could use, and
 	// incarnations that have ended. The membership names them until the crash evidence from their ends is recorded,
-	// which it is with change number weighedSeq. unseen are those that ended before this leader received their lists.
+	// which it is with change number evidenceSeq. unobservedEnds are those that ended before this leader received their
+	// lists.
 	retainedMembers map[string]*wire.RosterEntry
 	unobservedEnds  []string
 	evidenceSeq     int64
-	// unreachedMembers are the unreached members: those that had not answered when the cell settled, and that have neither
-	// answered nor ended since, as far as is known.
+	// unreachedMembers are the unreached members: those that had not answered when the cell settled, and that have
+	// neither answered nor ended since, as far as is known.
 	unreachedMembers map[string]unreachedMember
 	// unobservedEvidence are the tasks to whose crash evidence this leader has added an unobserved end.
 	unobservedEvidence map[*jobs.Task]bool
@@ -172,22 +175,23 @@
 	// never learned of.
 	unknownLeasesUntil time.Time
 
-	// interference holds the learned interference of fillers with serving tasks. It is kept when a leadership ends, since it
-	// depends on images only. pressToldAt is when the log last reported it.
+	// interference holds the learned interference of fillers with serving tasks. It is kept when a leadership ends,
+	// since it depends on images only. interferenceLoggedAt is when the log last reported it.
 	interference         *interference.PressureModel
 	interferenceLoggedAt time.Time
-	// startWindow limits the bytes of start orders in flight. It is kept when a leadership ends, since it depends on this
-	// host's link only.
+	// startWindow limits the bytes of start orders in flight. It is kept when a leadership ends, since it depends on
+	// this host's link only.
 	startWindow *flow.Window
 	// startsHeldLoggedAt is when the log last reported that start orders are held back.
 	startsHeldLoggedAt time.Time
 	// runtimes estimates how long tasks run. It is kept when a leadership ends, too.
 	runtimes *runtimes.Estimates
-	// neighboursByWorker caches the tasks that a filler would run beside, by worker, and harms the cost of a filler at a
-	// worker. Both are valid for one placement.
+	// neighboursByWorker caches the tasks that a filler would run beside, by worker, and fillerNetCosts the net cost of
+	// a filler at a worker. Both are valid for one placement.
 	neighboursByWorker map[*workers.Worker]workerNeighbours
 	fillerNetCosts     map[fillerPlace]float64
-	// harmlessFillerCapacity and fillerFrees are the sums of capacity for fillers that Load reports, by image, as of roomsAt.
+	// harmlessFillerCapacity and startableFillerCapacity are the sums of capacity for fillers that Load reports, by
+	// image, as of fillerCapacityAt.
 	harmlessFillerCapacity, startableFillerCapacity map[string]int64
 	fillerCapacityAt                                time.Time
 	// lastingWaitsLoggedAt is when the log last gave the reasons why lasting tasks wait.
@@ -196,14 +200,15 @@
 	mostlyFree bool
 	// reservedForLasting are the workers whose capacity is reserved for lasting tasks, as of the last placement.
 	reservedForLasting map[*workers.Worker]bool
-	// leadershipConfirmedAt is the last time at which this process surely led the cell. A run that is presumed over without a
-	// report from its worker must have ended before that time: otherwise a later leader may have renewed the worker's
-	// lease or acknowledged the run's end.
+	// leadershipConfirmedAt is the last time at which this process is known to have led the cell. A run that is
+	// presumed over without a report from its worker must have ended before that time: otherwise a later leader may
+	// have renewed the worker's lease or acknowledged the run's end.
 	leadershipConfirmedAt time.Time
-	// tenureUntil is when the tenure ends, and with it the leadership unless it is renewed. The zero time sets no limit.
+	// tenureUntil is when the tenure ends, and with it the leadership unless it is renewed. The zero time sets no
+	// limit.
 	tenureUntil time.Time
 
-	// placementDue makes the next Decide place tasks, scanNow makes it run the scans of runScans.
+	// placementDue makes the next Decide place tasks, scanDue makes it run the scans of runScans.
 	placementDue bool
 	scanDue      bool
 	// outbox are the effects that the next Decide returns.
@@ -369,7 +374,8 @@
 	s.dropExpiredJobs(now)
 }
 
-// workersByID lists the workers by id. A map has no fixed order, so the same events would lead to other decisions each time.
+// workersByID lists the workers by id. A map has no fixed order, so the same events would lead to other decisions each
+// time.
 func (s *State) workersByID() []*workers.Worker {
 	if len(s.sortedWorkers) != len(s.workers) || s.orderStale {
 		s.sortedWorkers = s.sortedWorkers[:0:0]
@@ -388,7 +394,7 @@
 	s.emit(n)
 }
 
-// noteIfLeading notes a change that every process hears of, if this process leads the cell or loads its jobs.
+// noteIfLeading notes a change that every process receives, if this process leads the cell or loads its jobs.
 func (s *State) noteIfLeading(n Note) {
 	if s.HoldsLeadership() {
 		s.note(n)
@@ -414,7 +420,8 @@
 	s.placementDue = true
 }
 
-// hasTaskToStart says whether a unit has a task to start: one that is settled, not done, not delegated and without a run.
+// hasTaskToStart says whether a unit has a task to start: one that is settled, not done, not delegated and without a
+// run.
 func hasTaskToStart(u *jobs.Unit) bool {
 	for _, t := range u.Tasks {
 		if !t.Done && t.DelegatedTo == "" && t.Settled && len(t.Runs) == 0 {
@@ -424,7 +431,7 @@
 	return false
 }
 
-// openDueTimes opens the times of repeating jobs that have fallen due.
+// openDueTimes opens the occurrences of repeating jobs that have fallen due.
 func (s *State) openDueTimes(now time.Time) {
 	for _, j := range s.jobs {
 		if j.Spec.GetRepeats() == 0 || j.Ended() {
--- a/pkg/process/cell/takeover.go
+++ b/pkg/process/cell/takeover.go
@@ -19,12 +19,12 @@
 // worker lists may start. A worker that does not answer delays them until the last
 // lease that an earlier leader could have granted has ended.
 
-// maxLeaseDuration is the longest time that a granted lease can last. The tenth on top of LongestLease allows for clocks
-// that run at different speeds.
+// maxLeaseDuration is the longest time that a granted lease can last. The tenth on top of LongestLease allows for
+// clocks that run at different speeds.
 const maxLeaseDuration = LongestLease + LongestLease/10
 
-// NewLeadershipGained returns the event that this process has just won the leadership. change names the earlier leaders that may
-// still act.
+// NewLeadershipGained returns the event that this process has just won the leadership. change names the earlier leaders
+// that may still act.
 func NewLeadershipGained(now time.Time, epoch int64, change election.Change) LeadershipGained {
 	led := LeadershipGained{Epoch: epoch, LeasesEndAt: now, Predecessors: map[string]time.Time{}}
 	if change.Before.GetReleased() {
@@ -38,8 +38,8 @@
 	return led
 }
 
-// takeLeadershipGained begins a takeover: it keeps the registered workers, drops everything else that belongs to an earlier
-// leadership, and asks for the cell's rows.
+// takeLeadershipGained begins a takeover: it keeps the registered workers, drops everything else that belongs to an
+// earlier leadership, and asks for the cell's rows.
 func (s *State) takeLeadershipGained(now time.Time, e LeadershipGained) {
 	known := s.workers
 	s.rememberLeases(now)
@@ -177,7 +177,7 @@
 	return j
 }
 
-// takeMembershipRecorded takes in which workers the recorded membership names: only these get work.
+// takeMembershipRecorded keeps which workers the recorded membership names: only these get work.
 func (s *State) takeMembershipRecorded(e MembershipRecorded) {
 	s.recordedMembers = map[string]bool{}
 	for _, id := range e.IDs {
@@ -224,8 +224,8 @@
 
 // ------------------------------------------------------------ new work
 
-// takeAccepted adds a job that the table holds. Of a job that is known, it takes in the tasks that were delegated to
-// this cell since, and crash evidence that the job's home cell has learned.
+// takeAccepted adds a job that the table holds. If the job is known, it adds the tasks that were delegated to this cell
+// since, and crash evidence that the job's home cell has learned.
 func (s *State) takeAccepted(now time.Time, e JobAccepted) {
 	id := e.Spec.GetId()
 	if s.phase == following || s.phase == releasing {
@@ -313,7 +313,7 @@
 	s.endJob(now, j, wire.JobPhase_JOB_PHASE_CANCELLED, "cancelled by its caller")
 }
 
-// endJob sets a job's last phase. stopUnwanted stops the runs that it still has.
+// endJob sets a job's last phase. stopObsoleteRuns stops the runs that it still has.
 func (s *State) endJob(now time.Time, j *jobs.Job, p wire.JobPhase, reason string) {
 	if j.Ended() {
 		return
--- a/pkg/process/cell/takeover_test.go
+++ b/pkg/process/cell/takeover_test.go
@@ -26,7 +26,7 @@
 	ended  []workers.End
 	// unconfirmed stops renewals from taking effect.
 	unconfirmed bool
-	// silent stops "reached" from answering; answers names another worker that answers.
+	// silent stops "reached" from answering; alsoAnswers names another worker that answers.
 	silent      bool
 	alsoAnswers string
 }
@@ -121,8 +121,8 @@
 }
 
 // A leader that is cut off from the table and from a worker must not presume the worker's runs lost: a later leader may
-// have renewed the worker's lease. Otherwise it starts the task twice, at a worker that the later leader has not reached
-// (model/cell.pml).
+// have renewed the worker's lease. Otherwise it starts the task twice, at a worker that the later leader has not
+// reached (model/cell.pml).
 func TestRunIsPresumedLostOnlyOnceLeadershipIsConfirmedAfterItsLease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
@@ -147,8 +147,8 @@
 }
 
 // A host without processor time handles a poll's answer a second late. A start order that got no answer is missing in
-// that list. The list does not show that the order was never carried out: it is older than the order's time limit, though
-// the limit has passed when the list is handled.
+// that list. The list does not show that the order was never carried out: it is older than the order's time limit,
+// though the limit has passed when the list is handled.
 func TestListOlderThanAStartOrdersLimitDoesNotRuleTheRunOut(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
--- a/pkg/process/cell/unobserved_crashes.go
+++ b/pkg/process/cell/unobserved_crashes.go
@@ -15,20 +15,20 @@
 // recorded what ran there.
 //
 // The membership row names the incarnations that earlier leaders could use. When a successor finds one of them over, it
-// can't tell which tasks ran there: any task without a known run may have, and may have crashed the worker. That is weak
-// crash evidence against each of these tasks, but it is recorded and outlasts leaders. So a poisonous task is identified
-// after as many crashes while leaders change as under one leader.
+// can't tell which tasks ran there: any task without a known run may have, and may have crashed the worker. That is
+// weak crash evidence against each of these tasks, but it is recorded and outlasts leaders. So a poisonous task is
+// identified after as many crashes while leaders change as under one leader.
 //
-// The membership row names an ended incarnation, as a retained member, until the crash evidence from its end is recorded.
-// Each job is recorded by itself, so some records of an end may be written and others lost: each record says how many
-// tasks the end implicates (Accused).
+// The membership row names an ended incarnation, as a retained member, until the crash evidence from its end is
+// recorded. Each job is recorded by itself, so some records of an end may be written and others lost: each record says
+// how many tasks the end implicates (Accused).
 
 // maxNamedAtEnd bounds how many tasks the membership row names for one ended incarnation.
 const maxNamedAtEnd = maxNamedTasks / 4
 
-// retainMember retains an ended incarnation of a worker, which began at born, in the membership row until the evidence from
-// its end is recorded. The caller has added that evidence to the tasks. The entry names the tasks that ran there if all
-// of them are known and they are few.
+// retainMember retains an ended incarnation of a worker, which began at born, in the membership row until the evidence
+// from its end is recorded. The caller has added that evidence to the tasks. The entry names the tasks that ran there
+// if all of them are known and they are few.
 func (s *State) retainMember(w *workers.Worker, born int64) {
 	if s.recordedMembers[w.ID] && s.retainedMembers[w.ID] == nil {
 		s.retainedMembers[w.ID] = &wire.RosterEntry{Id: w.ID, Address: w.Address, Host: w.Host, Service: w.Service, Born: born}
@@ -41,15 +41,16 @@
 
 // addUnobservedEnd remembers that an incarnation of the membership row has ended without ever answering this leader. It
 // leaves out leaving workers, whose end is no evidence of a crash. Ends after the cell has settled are handled by
-// unheardEnded.
+// unreachedMemberEnded.
 func (s *State) addUnobservedEnd(w *workers.Worker) {
 	if s.retainedMembers[w.ID] != nil && !s.settled && !w.HasAnswered && !w.Leaving && !s.retainedMembers[w.ID].GetLeaving() {
 		s.unobservedEnds = append(s.unobservedEnds, w.ID)
 	}
 }
 
-// unobservedEndsToRecord returns the ids of the workers whose incarnation in the membership row has ended and whose end is not
-// completely recorded: those that endedUnseen remembers, and those at which another incarnation answers under the id.
+// unobservedEndsToRecord returns the ids of the workers whose incarnation in the membership row has ended and whose end
+// is not completely recorded: those that addUnobservedEnd remembers, and those at which another incarnation answers
+// under the id.
 func (s *State) unobservedEndsToRecord() []string {
 	ended := s.unobservedEnds
 	for _, id := range slices.Sorted(maps.Keys(s.retainedMembers)) {
@@ -83,10 +84,10 @@
 	return slices.IndexFunc(t.Crashes, func(c poisontask.Crash) bool { return c.Worker == worker && c.Born == born })
 }
 
-// addUnobservedEvidence adds unobserved crashes to the evidence against tasks without a known run, given as nowhere. Each task
-// gets at most one: that of the first ended incarnation where it may have run and which is not part of its evidence yet.
-// Tasks that were to start only as isolated runs are left out: such a run is recorded before it starts, and
-// trialNowhere handles the tasks that have such a record.
+// addUnobservedEvidence adds unobserved crashes to the evidence against the tasks in withoutRun, which have no known
+// run. Each task gets at most one: that of the first ended incarnation where it may have run and which is not part of
+// its evidence yet. Tasks that were to start only as isolated runs are left out: such a run is recorded before it
+// starts, and isolatedRunLost handles the tasks that have such a record.
 func (s *State) addUnobservedEvidence(now time.Time, withoutRun []*jobs.Task) {
 	ended := s.unobservedEndsToRecord()
 	if len(ended) == 0 || s.unsafe.NoBlame || s.unsafe.NoUnseen {
@@ -117,8 +118,8 @@
 	tasks []*jobs.Task      // tasks without a known run that may have run there
 }
 
-// keepUnreachedMembers keeps the unreached members, except leaving ones, until the leader learns whether they have crashed.
-// nowhere are the tasks without a known run.
+// keepUnreachedMembers keeps the unreached members, except leaving ones, until the leader learns whether they have
+// crashed. withoutRun are the tasks without a known run.
 func (s *State) keepUnreachedMembers(withoutRun []*jobs.Task) {
 	for id := range s.awaitedMembers {
 		e := s.retainedMembers[id]
@@ -129,8 +130,8 @@
 	}
 }
 
-// unreachedMemberEnded handles the end of an unreached member: it adds an unobserved crash to the evidence against the tasks
-// that may have run there.
+// unreachedMemberEnded handles the end of an unreached member: it adds an unobserved crash to the evidence against the
+// tasks that may have run there.
 func (s *State) unreachedMemberEnded(now time.Time, id string) {
 	u := s.unreachedMembers[id]
 	delete(s.unreachedMembers, id)
@@ -142,8 +143,8 @@
 	}
 }
 
-// addUnobservedCrash adds an unobserved crash to the evidence against a task. unheardEnded adds no second one under the same
-// leader, because the task can have run at only one of the unreached members.
+// addUnobservedCrash adds an unobserved crash to the evidence against a task. unreachedMemberEnded adds no second one
+// under the same leader, because the task can have run at only one of the unreached members.
 func (s *State) addUnobservedCrash(now time.Time, t *jobs.Task, c poisontask.Crash) {
 	if t.AddCrash(c) {
 		s.unobservedEvidence[t] = true
@@ -162,8 +163,8 @@
 	}
 }
 
-// unreachedMemberAnswered handles the first answer under the id of an unreached member. If another incarnation answers, the
-// member has ended; otherwise it was only cut off.
+// unreachedMemberAnswered handles the first answer under the id of an unreached member. If another incarnation answers,
+// the member has ended; otherwise it was only cut off.
 func (s *State) unreachedMemberAnswered(now time.Time, w *workers.Worker) {
 	u, was := s.unreachedMembers[w.ID]
 	if !was {
@@ -192,8 +193,8 @@
 	return e
 }
 
-// dropRetainedMembers drops the entries that earlier leaders wrote to the membership row, once the cell has settled and the
-// evidence from the ends of these incarnations is recorded.
+// dropRetainedMembers drops the entries that earlier leaders wrote to the membership row, once the cell has settled and
+// the evidence from the ends of these incarnations is recorded.
 func (s *State) dropRetainedMembers() {
 	if len(s.retainedMembers) > 0 && s.settled && s.recordedUpTo(s.evidenceSeq) {
 		clear(s.retainedMembers)
--- a/pkg/process/cell/unobserved_crashes_test.go
+++ b/pkg/process/cell/unobserved_crashes_test.go
@@ -26,8 +26,8 @@
 	active []workers.Active
 }
 
-// newSoleSuccessor returns a successor that has loaded one job of two steps; born identifies the incarnation in the worker
-// registry.
+// newSoleSuccessor returns a successor that has loaded one job of two steps; born identifies the incarnation in the
+// worker registry.
 func newSoleSuccessor(born int64) *soleSuccessor {
 	return newSoleSuccessorOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, born)
 }
@@ -71,8 +71,8 @@
 	}
 }
 
-// If a leader ends before it records a crash, its successor finds only that an incarnation of the membership row is over.
-// That is weak evidence against each task that may have run there.
+// If a leader ends before it records a crash, its successor finds only that an incarnation of the membership row is
+// over. That is weak evidence against each task that may have run there.
 func TestUnobservedCrashIsWeakEvidenceAgainstTasksThatMayHaveRunThere(t *testing.T) {
 	t.Parallel()
 	h := newSoleSuccessor(2)
--- a/pkg/process/cell/wait_reasons.go
+++ b/pkg/process/cell/wait_reasons.go
@@ -100,7 +100,8 @@
 	return list
 }
 
-// waitReason returns why a lasting task waits, and how many times it fits into the free capacity of this cell's workers.
+// waitReason returns why a lasting task waits, and how many times it fits into the free capacity of this cell's
+// workers.
 func (s *State) waitReason(now time.Time, t *jobs.Task) (reason WaitReason, here int64) {
 	fits := s.fitsHere(now, t)
 	switch {
--- a/pkg/process/cell/write_progress.go
+++ b/pkg/process/cell/write_progress.go
@@ -82,7 +82,7 @@
 	seq    int64
 }
 
-// writer returns the part with a name, and creates it if needed.
+// writer returns the writer of a part, and creates it if needed.
 func (s *State) writer(name string) *partWriter {
 	p := s.writers[name]
 	if p == nil {
@@ -212,7 +212,7 @@
 
 // unusedCancels returns the rows of a job's cancel for cells that never had tasks of it. The host that
 // takes the cancel does not know which cells have some, and writes a row for every cell. Only a cell that
-// is surely the job's home cell removes these rows: the home cell's own row must stand until its leader
+// is certainly the job's home cell removes these rows: the home cell's own row must stand until its leader
 // has read it.
 func (s *State) unusedCancels(j *jobs.Job) []table.Key {
 	if !j.CancelRequested || j.Delegated() || j.Spec.GetCell() != s.name {
--- a/pkg/process/poisontask/evidence.go
+++ b/pkg/process/poisontask/evidence.go
@@ -11,8 +11,8 @@
 	// TimedOut says that only a timeout showed the end. A process that crashes breaks its connections; a loss of
 	// power or a network cut does not.
 	TimedOut bool
-	// SimultaneousEnds is how many workers went silent at the same time, this one included, Workers how many there are, and
-	// Tried how many of the other silent ones had an isolated run.
+	// SimultaneousEnds is how many workers went silent at the same time, this one included, Workers how many there are,
+	// and OthersIsolated how many of the other silent ones had an isolated run.
 	SimultaneousEnds, Workers, OthersIsolated int
 	// At is the wall-clock time of the end.
 	At   time.Time
@@ -25,8 +25,8 @@
 	// Began says that the run is known to have begun. Age is the least time that it had lasted.
 	Began bool
 	Age   time.Duration
-	// HostCrashedWithout says that the host crashed recently while the run's task was not there. Elsewhere is how many
-	// such crashes there were on all hosts.
+	// HostCrashedWithout says that the host crashed recently while the run's task was not there. CrashesWithout is
+	// how many such crashes there were on all hosts.
 	HostCrashedWithout bool
 	CrashesWithout     int
 	// Gang is the name of the run's gang, empty for none. Members of a gang are no company to each other: they
@@ -58,16 +58,16 @@
 	return max(least, (workers+outageDivisor-1)/outageDivisor)
 }
 
-// CommonCrashThreshold returns how many crashes, within the time that callers look back (15 s), make crashes so common that one
-// soon after a start is weaker evidence: an innocent run is then hit in its first second with a chance
-// of two in a hundred or more.
+// CommonCrashThreshold returns how many crashes, within the time that callers look back (15 s), make crashes so common
+// that one soon after a start is weaker evidence: an innocent run is then hit in its first second with a chance of two
+// in a hundred or more.
 func CommonCrashThreshold(workers int) int {
 	return max(minCommonCrashes, workers*commonCrashTenths/10)
 }
 
 const (
-	// minCommonCrashes is the lower bound of Common, commonCrashTenths its value in tenths of the number of
-	// workers.
+	// minCommonCrashes is the lower bound of CommonCrashThreshold, commonCrashTenths its value in tenths of the number
+	// of workers.
 	minCommonCrashes  = 2
 	commonCrashTenths = 4
 )
@@ -77,8 +77,8 @@
 // the other tasks keep most of the capacity.
 const isolatedDivisor = 3
 
-// MaxIsolatedRuns returns how many isolated runs may be in progress at a time. Many does not bound them, as simultaneous
-// crashes of isolated runs are no sign of an external cause.
+// MaxIsolatedRuns returns how many isolated runs may be in progress at a time. OutageThreshold does not bound them, as
+// simultaneous crashes of isolated runs are no sign of an external cause.
 func MaxIsolatedRuns(workers int) int {
 	return max(OutageThreshold(workers)-1, workers/isolatedDivisor)
 }
--- a/pkg/process/poisontask/poisontask.go
+++ b/pkg/process/poisontask/poisontask.go
@@ -1,13 +1,13 @@
 // Package poisontask decides which task causes worker crashes.
 //
 // A task may crash each worker that starts it. The tasks beside it are lost with the worker and may
-// start again beside it, so a mere count of crashes would condemn these neighbours, too. Run ages tell
+// start again beside it, so a mere count of crashes would implicate these neighbours, too. Run ages tell
 // them apart: a poisonous task ends its worker soon after its start, and does so also when alone. Data
 // flows one way:
 //
-//	the end of an incarnation with its runs -> Accuse: evidence against the task of each run
+//	the end of an incarnation with its runs -> Evidence: evidence against the task of each run
 //	all evidence against a task             -> LevelOf: where it may run, and when its job fails
-//	a run that goes on                      -> Outlived: whether it exonerates its task
+//	a run that goes on                      -> Exonerates: whether it exonerates its task
 //
 // The package knows no jobs and no workers; times are arguments.
 package poisontask
@@ -148,11 +148,11 @@
 //
 // all is the number of crashes and weight the sum of their weights. promptAny is the number of known runs below
 // promptAge that are neither excused nor at a host that had crashed under the task before. The other fields leave
-// out workers that are only silent. ended is the number of ended incarnations, unseen the number of those that
+// out workers that are only silent. ended is the number of ended incarnations, unobserved the number of those that
 // ended without a leader that knew what ran there, and lostIsolated the number of recorded isolated runs that
 // were found nowhere. Of the known runs, knownWeight is the sum of weights, newHosts the number at a host that had
-// not crashed under the task before, began the number that had surely begun, and prompt the number that had
-// surely begun, below promptAge and at such a host.
+// not crashed under the task before, began the number known to have begun, and prompt the number that are
+// known to have begun, below promptAge and at such a host.
 //
 // Crashes without a known run count for less: a leader that died may have been about to start one.
 type tally struct{ all, weight, ended, promptAny, newHosts, knownWeight, began, prompt, unobserved, lostIsolated int }
@@ -244,8 +244,8 @@
 	return t.ended >= maxCrashes-1 && t.prompt >= minBegan
 }
 
-// PoisonousAfterNextCrash reports whether one more crash of an isolated run makes the task poisonous, even if an external cause
-// is likely.
+// PoisonousAfterNextCrash reports whether one more crash of an isolated run makes the task poisonous, even if an
+// external cause is likely.
 func PoisonousAfterNextCrash(crashes []Crash) bool {
 	if len(crashes) == 0 {
 		return false
@@ -254,16 +254,16 @@
 	return LevelOf(append(slices.Clone(crashes), next)) == Poisonous
 }
 
-// UnobservedCrash returns the evidence against a task that was found nowhere and may have run at an incarnation that ended
-// without a leader, or with one that died before it recorded the end. others is how many other tasks
-// may have run there, lives how many incarnations ended so.
+// UnobservedCrash returns the evidence against a task that was found nowhere and may have run at an incarnation that
+// ended without a leader, or with one that died before it recorded the end. others is how many other tasks may have run
+// there, ends how many incarnations ended so.
 func UnobservedCrash(worker string, born int64, others, ends int, at time.Time) Crash {
 	return Crash{Worker: worker, Born: born, Company: others, Accused: others + 1, Lives: ends, Unseen: true, At: at}
 }
 
-// identifiesTask reports whether crashes at about the same run age, the last of a run without company, identify the task:
-// either enough crashes soon after a start, few of them with a likely external cause, or more of any kind,
-// each at another host.
+// identifiesTask reports whether crashes at about the same run age, the last of a run without company, identify the
+// task: either enough crashes soon after a start, few of them with a likely external cause, or more of any kind, each
+// at another host.
 func identifiesTask(t tally, last Crash) bool {
 	if !last.onlyCandidate() || t.began < minBegan {
 		return false // the orders to start may never have reached the workers
