--- a/pkg/process/cell/active_runs.go
+++ b/pkg/process/cell/active_runs.go
@@ -25,7 +25,7 @@
 				foreign = foreign.Plus(workers.Reserved(t.Unit))
 			}
 			if t != nil || s.keepOrphanedRun(now, w, a) {
-				s.stopForeign(w, a)
+				s.stopUnadopted(w, a)
 			}
 			continue
 		}
@@ -108,7 +108,7 @@
 	}
 }
 
-// mayAdopt returns whether a run of a task that a worker lists may go on: the task has no other run, or allows copies.
+// mayAdopt reports whether a run of a task that a worker lists may go on: the task has no other run, or allows copies.
 func mayAdopt(t *jobs.Task) bool { return len(t.Runs) == 0 || t.Unit.Spec.GetCopies() }
 
 // runBegan marks a run as running and its job as begun.
@@ -126,8 +126,8 @@
 	}
 }
 
-// stopForeign orders a worker to stop a run that belongs to no job of this cell, or that its task may not have.
-func (s *State) stopForeign(w *workers.Worker, a workers.Active) {
+// stopUnadopted orders a worker to stop a run that belongs to no job of this cell, or that its task may not have.
+func (s *State) stopUnadopted(w *workers.Worker, a workers.Active) {
 	s.note(Note{Kind: NoteStop, Task: a.Task, Run: a.Run, Worker: w.ID, Detail: "no task of this cell may have this run", AgeMs: -1})
 	s.emit(SendStop{To: target(w), Stop: workers.Stop{Fence: s.epoch, Task: a.Task, Run: a.Run}, Timeout: s.startWindow.Timeout()})
 }
--- a/pkg/process/cell/advice.go
+++ b/pkg/process/cell/advice.go
@@ -53,7 +53,7 @@
 	retryAt time.Time
 }
 
-// ticketValidity returns whether starts of a unit need a ticket, and for how long a ticket is valid.
+// ticketValidity reports whether starts of a unit need a ticket, and for how long a ticket is valid.
 func (s *State) ticketValidity(u *jobs.Unit) (valid time.Duration, needs bool) {
 	q := s.queueOf(u.Job)
 	if q.Advice == nil {
--- a/pkg/process/cell/delegation.go
+++ b/pkg/process/cell/delegation.go
@@ -66,7 +66,7 @@
 	delegatedLasting, delegatedFillers, delegatedShort int64
 }
 
-// tableAvailable returns whether a write to the table is likely to succeed soon: no part of the table failed its last
+// tableAvailable reports whether a write to the table is likely to succeed soon: no part of the table failed its last
 // write, and the leadership was renewed within tableConfirmedWithin.
 func (s *State) tableAvailable(now time.Time) bool {
 	for _, p := range s.writers {
@@ -211,13 +211,13 @@
 	s.completeIfDone(now, j)
 }
 
-// mayReceive returns whether a task may be delegated on the load message: it is recent, and its cell has settled, so
+// mayReceive reports whether a task may be delegated on the load message: it is recent, and its cell has settled, so
 // that a delegated task may start there at once.
 func (o peerLoad) mayReceive(now time.Time) bool {
 	return now.Sub(o.receivedAt) <= peerLoadMaxAge && o.load.GetSettlesInMs() == 0
 }
 
-// hasLabelFor returns whether the cell has workers with the label that the unit requires, if it requires one.
+// hasLabelFor reports whether the cell has workers with the label that the unit requires, if it requires one.
 func (o peerLoad) hasLabelFor(u *jobs.Unit) bool {
 	return u.Spec.GetLabel() == "" || slices.Contains(o.load.GetLabels(), u.Spec.GetLabel())
 }
--- a/pkg/process/cell/delegation_gang.go
+++ b/pkg/process/cell/delegation_gang.go
@@ -14,11 +14,11 @@
 // crash evidence and checkpoint go with it. A gang that has run here, or may have, waits longer before that, because
 // this cell may still learn that it ended well. A target cell without free capacity returns the gang as a whole.
 
-// delegateRanGangAfter is how long a gang that may have run here waits before it is delegated. After the longest lease,
-// no run of it can still go on.
-const delegateRanGangAfter = LongestLease
+// delegateStartedGangAfter is how long a gang that may have run here waits before it is delegated. After the longest
+// lease, no run of it can still go on.
+const delegateStartedGangAfter = LongestLease
 
-// mayDelegateGang returns whether a unit is a gang that another cell may run. Gangs of fillers, lasting gangs and gangs
+// mayDelegateGang reports whether a unit is a gang that another cell may run. Gangs of fillers, lasting gangs and gangs
 // whose starts need an advice ticket stay in their cell.
 func (s *State) mayDelegateGang(u *jobs.Unit) bool {
 	_, advised := s.ticketValidity(u)
@@ -34,7 +34,7 @@
 	first := u.Tasks[0]
 	waited, after := now.Sub(u.ReadyAt), delegateAfter
 	if slices.ContainsFunc(u.Tasks, mayHaveRunBefore) {
-		after = delegateRanGangAfter
+		after = delegateStartedGangAfter
 	}
 	if slices.ContainsFunc(u.Tasks, s.needsIsolation) {
 		after = isolatedOtherHostWait // another cell would have to run it isolated, too
@@ -68,7 +68,7 @@
 	})
 }
 
-// mayHaveRunBefore returns whether a task has run, or may have: it may have been started here, or a crash, a failed run
+// mayHaveRunBefore reports whether a task has run, or may have: it may have been started here, or a crash, a failed run
 // or a checkpoint of it is known.
 func mayHaveRunBefore(t *jobs.Task) bool {
 	return t.MayHaveRun || len(t.Crashes) > 0 || len(t.FailedRuns) > 0 || t.Checkpoint != ""
--- a/pkg/process/cell/delegation_short.go
+++ b/pkg/process/cell/delegation_short.go
@@ -9,9 +9,9 @@
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
 )
 
-// Delegation of short tasks. A wide step needs more capacity at once than its cell has. The steps of a job may be
-// fillers of different images, and its cell may have no harmless place for some of these. Both are spread over the
-// cells that have free capacity.
+// Delegation of short tasks, those that are not lasting; delegation_gang.go has the rules for gangs. A wide step needs
+// more capacity at once than its cell has. The steps of a job may be fillers of different images, and its cell may have
+// no harmless place for some of these. Both are spread over the cells that have free capacity.
 
 const (
 	// delegateFillerAfter is how long a filler waits before it is delegated. That is some polls of the workers, between
@@ -22,7 +22,7 @@
 	delegatePlainAfter = 100 * time.Millisecond
 )
 
-// mayDelegateShort returns whether each task of a unit may run by itself in any cell. Lasting tasks, gangs, tasks that
+// mayDelegateShort reports whether each task of a unit may run by itself in any cell. Lasting tasks, gangs, tasks that
 // require a label or rack, tasks whose starts need an advice ticket, and tasks delegated to this cell may not.
 func (s *State) mayDelegateShort(u *jobs.Unit) bool {
 	if (u.Spec.GetFiller() && !s.enabled(LendFillers)) || (!u.Spec.GetFiller() && !s.enabled(LendPlain)) {
--- a/pkg/process/cell/filler_cost.go
+++ b/pkg/process/cell/filler_cost.go
@@ -173,7 +173,7 @@
 	return fit
 }
 
-// fillerHarmless returns whether a filler of typicalFillerMillicores costs a worker's serving tasks at most
+// fillerHarmless reports whether a filler of typicalFillerMillicores costs a worker's serving tasks at most
 // harmlessShare of its earnings, at their usual load.
 func (s *State) fillerHarmless(image string, w *workers.Worker) bool {
 	more := float64(typicalFillerMillicores) / float64(max(1, w.Capacity.Millicores))
--- a/pkg/process/cell/known_runs.go
+++ b/pkg/process/cell/known_runs.go
@@ -38,14 +38,14 @@
 	}
 }
 
-// excludedFromWork returns whether a worker gets no work now, and none later before a membership row without its tasks
+// excludedFromWork reports whether a worker gets no work now, and none later before a membership row without its tasks
 // is recorded. It is false for a newly silent worker while the table does not answer: such a worker would otherwise get
 // no work after it answers again until the table does, too.
 func (s *State) excludedFromWork(now time.Time, w *workers.Worker) bool {
 	return w.Leaving || (w.Failures >= silentAfterFailures && (w.RunsKnown || s.tableAvailable(now)))
 }
 
-// holdsOnlyKnownRuns returns whether a worker is known to hold nothing but its known runs: no other run, and no end
+// holdsOnlyKnownRuns reports whether a worker is known to hold nothing but its known runs: no other run, and no end
 // that is not recorded.
 func (s *State) holdsOnlyKnownRuns(w *workers.Worker) bool {
 	return w.OnlyKnownRuns() && s.lastRecordedEnd(w) >= w.LastEnd
@@ -61,7 +61,7 @@
 	return slices.Compact(list)
 }
 
-// mayHaveRunAt returns whether a task may have run at a member, given the member's entry in the membership row.
+// mayHaveRunAt reports whether a task may have run at a member, given the member's entry in the membership row.
 func mayHaveRunAt(e *wire.RosterEntry, t *jobs.Task) bool {
 	return !e.GetRunsKnown() || slices.Contains(e.GetMayRun(), t.Name())
 }
@@ -85,7 +85,7 @@
 	return tasks, true
 }
 
-// newTasksSettled returns whether tasks that become known here from now on may start at once: no earlier leader can
+// newTasksSettled reports whether tasks that become known here from now on may start at once: no earlier leader can
 // have started them, except those that holdBackTasks marks.
 func (s *State) newTasksSettled() bool { return s.settled || s.unnamedSettled || s.unsafe.NoSettling }
 
--- a/pkg/process/cell/leaving.go
+++ b/pkg/process/cell/leaving.go
@@ -31,14 +31,14 @@
 // stopDuration is about as long as a stop takes.
 const stopDuration = time.Second
 
-// settlesSoon returns whether a run is better stopped a little later: its lasting task settles soon and may then start
+// settlesSoon reports whether a run is better stopped a little later: its lasting task settles soon and may then start
 // elsewhere at once, and the worker has enough time left to wait for that.
 func (s *State) settlesSoon(now time.Time, w *workers.Worker, r *jobs.Run, left time.Duration) bool {
 	wait := earlierPollWindow + pollWait - now.Sub(w.FirstAnswerAt)
 	return r.Task.Unit.Lasting() && !r.Task.Settled && wait > 0 && left-wait > stopDuration
 }
 
-// cannotFinish returns whether a run can't end at its worker in the time left. A lasting run never ends by itself.
+// cannotFinish reports whether a run can't end at its worker in the time left. A lasting run never ends by itself.
 func (s *State) cannotFinish(now time.Time, r *jobs.Run, left time.Duration) bool {
 	if r.Task.Unit.Lasting() {
 		return true
--- a/pkg/process/cell/membership.go
+++ b/pkg/process/cell/membership.go
@@ -35,7 +35,7 @@
 	return list
 }
 
-// isMember says whether the membership names a worker that is neither gone nor dropped. A worker that has answered
+// isMember reports whether the membership names a worker that is neither gone nor dropped. A worker that has answered
 // this leader is a member. A worker that has not answered holds no run of this leader: it is a member while earlier
 // leaders may have used it, or while its first answer can be expected, since it is registered, not leaving and not
 // silent. Registration alone does not suffice: rows of workers that are gone stay for a while.
@@ -58,7 +58,7 @@
 	}
 }
 
-// canBeDropped says whether a worker takes no new work and is known to hold neither a run nor an end that
+// canBeDropped reports whether a worker takes no new work and is known to hold neither a run nor an end that
 // is not recorded. It has this leader's fence, so it refuses orders of earlier leaders.
 func (s *State) canBeDropped(now time.Time, w *workers.Worker) bool {
 	if before := s.retainedMembers[w.ID].GetBorn(); before != 0 && before != w.Born {
--- a/pkg/process/cell/orphans.go
+++ b/pkg/process/cell/orphans.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// isNotYetDue returns whether a task belongs to an occurrence of a repeating job that has not fallen due here. A
+// isNotYetDue reports whether a task belongs to an occurrence of a repeating job that has not fallen due here. A
 // predecessor may have opened the occurrence by a clock that was ahead, or a moment before the job became known here.
 func (s *State) isNotYetDue(task string) bool {
 	id, ok := jobs.ParseTask(task)
--- a/pkg/process/cell/orphans_test.go
+++ b/pkg/process/cell/orphans_test.go
@@ -61,10 +61,10 @@
 	must.Eq(t, 1, v.recorded)
 }
 
-// The job is known, but one of its times falls due here a moment later than at the predecessor, whose clock is ahead or
-// which checked earlier. An end of that time must not count as orphaned for good: its worker forgot it, and the task
-// was started again.
-func TestOrphanedEndCountsWhenItsTimeFallsDue(t *testing.T) {
+// The job is known, but one of its occurrences falls due here a moment later than at the predecessor, whose clock is
+// ahead or which checked earlier. An end of that occurrence must not be dropped as belonging to no job: its worker
+// forgot it, and the task was started again.
+func TestOrphanedEndCountsWhenItsOccurrenceFallsDue(t *testing.T) {
 	t.Parallel()
 	v := newRestartingWorker()
 	ended, runs := "0000000000000001.0.0.0", "0000000000000001.0.0.1"
@@ -84,17 +84,18 @@
 	must.Eq(t, 1, v.recorded)
 }
 
-// Another cell has delegated a time of a job to this cell, and delegates one more. The predecessor received that first
-// and has started it. Its run must be taken over when the delegation becomes known here, and not started a second time.
-func TestOrphanedRunIsAdoptedWhenItsTimeIsDelegated(t *testing.T) {
+// Another cell has delegated an occurrence of a job to this cell, and delegates one more. The predecessor received that
+// first and has started it. Its run must be taken over when the delegation becomes known here, and not started a second
+// time.
+func TestOrphanedRunIsAdoptedWhenItsOccurrenceIsDelegated(t *testing.T) {
 	t.Parallel()
 	v := newRestartingWorker()
-	spec := func(times int32) *wire.JobSpec {
+	spec := func(occurrences int32) *wire.JobSpec {
 		s := &wire.JobSpec{
 			Id: "0000000000000001", Cell: "hall", Home: "other", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}},
 			Repeats: 2, FirstUnixMs: v.now.Add(-time.Minute).UnixMilli(), IntervalMs: 1000,
 		}
-		for n := range times {
+		for n := range occurrences {
 			s.Guest = append(s.Guest, &wire.TaskRef{Time: n, Lending: 1})
 		}
 		return s
--- a/pkg/process/cell/queries.go
+++ b/pkg/process/cell/queries.go
@@ -12,20 +12,20 @@
 
 // Queries of a State. None of them changes what it decides.
 
-// Leading returns whether this process leads the cell and has loaded its jobs.
+// Leading reports whether this process leads the cell and has loaded its jobs.
 func (s *State) Leading() bool { return s.phase == leading || s.phase == releasing }
 
-// HoldsLeadership returns whether this process holds the leadership of the cell: it may give orders, now or once it has
+// HoldsLeadership reports whether this process holds the leadership of the cell: it may give orders, now or once it has
 // loaded the jobs.
 func (s *State) HoldsLeadership() bool { return s.phase != following }
 
-// HasWaitingTasks returns whether tasks wait here that other cells might run.
+// HasWaitingTasks reports whether tasks wait here that other cells might run.
 func (s *State) HasWaitingTasks() bool { return s.phase == leading && len(s.waitingUnits) > 0 }
 
-// Settled returns whether each run that earlier leaders started is known or has certainly ended.
+// Settled reports whether each run that earlier leaders started is known or has certainly ended.
 func (s *State) Settled() bool { return s.settled && s.phase != following }
 
-// ReadyToHandOver returns whether a planned stop may release the leadership now: no write to the table and no order to
+// ReadyToHandOver reports whether a planned stop may release the leadership now: no write to the table and no order to
 // start is in flight. It is true for a process that does not lead, and false before the hand-over has begun.
 func (s *State) ReadyToHandOver() bool {
 	if s.phase != releasing {
--- a/pkg/process/cell/settle.go
+++ b/pkg/process/cell/settle.go
@@ -14,7 +14,7 @@
 // certainly ended because the worker's lease has. A task is settled, and may start if no worker lists it, once no
 // earlier run of it can go on unknown to this leader.
 
-// earlierRunsOver says whether the runs that earlier leaders started at a worker which
+// earlierRunsOver reports whether the runs that earlier leaders started at a worker which
 // has not answered have certainly ended: its leases must have ended before leadership
 // was last confirmed. A worker that never answered has leases of earlier leaders
 // only. A worker that answered while the jobs were being read also has one of this
@@ -47,7 +47,7 @@
 	s.settleExcept(now, heldBack)
 }
 
-// allEarlierRunsOver says whether all runs at members that have not answered have certainly ended.
+// allEarlierRunsOver reports whether all runs at members that have not answered have certainly ended.
 func (s *State) allEarlierRunsOver(now time.Time) bool {
 	for id := range s.awaitedMembers {
 		if !s.earlierRunsOver(now, s.workers[id]) {
@@ -94,7 +94,7 @@
 	s.note(Note{Kind: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", listedNowhere, len(s.awaitedMembers), len(heldBack)), AgeMs: -1})
 }
 
-// mayHaveRunAtUnreached says whether a task may have run at a member that has not answered.
+// mayHaveRunAtUnreached reports whether a task may have run at a member that has not answered.
 func (s *State) mayHaveRunAtUnreached(t *jobs.Task) bool {
 	for id := range s.awaitedMembers {
 		if mayHaveRunAt(s.retainedMembers[id], t) {
--- a/pkg/process/cell/settle_test.go
+++ b/pkg/process/cell/settle_test.go
@@ -27,9 +27,9 @@
 	must.True(t, started)
 }
 
-// A time of a repeating job falls due after a takeover, before the cell is settled. A predecessor that was suspended
-// opens that time, too, when it wakes, and may start its tasks.
-func TestTimeThatFallsDueBeforeTheCellIsSettledWaits(t *testing.T) {
+// An occurrence of a repeating job falls due after a takeover, before the cell is settled. A predecessor that was
+// suspended opens that occurrence, too, when it resumes, and may start its tasks.
+func TestOccurrenceThatFallsDueBeforeTheCellIsSettledWaits(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{
 		Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}},
@@ -42,15 +42,16 @@
 	must.True(t, started)
 }
 
-// More times of a job are delegated to a cell right after a takeover. Its predecessor may receive and start them, too.
-func TestTimesDelegatedBeforeTheCellIsSettledWait(t *testing.T) {
+// More occurrences of a job are delegated to a cell right after a takeover. Its predecessor may receive and start them,
+// too.
+func TestOccurrencesDelegatedBeforeTheCellIsSettledWait(t *testing.T) {
 	t.Parallel()
-	spec := func(times int32) *wire.JobSpec {
+	spec := func(occurrences int32) *wire.JobSpec {
 		s := &wire.JobSpec{
 			Id: "00000000000000aa", Cell: "hall", Home: "other", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}},
 			Repeats: 3, FirstUnixMs: time.Unix(900, 0).UnixMilli(), IntervalMs: 1000,
 		}
-		for n := range times {
+		for n := range occurrences {
 			s.Guest = append(s.Guest, &wire.TaskRef{Time: n, Lending: 1})
 		}
 		return s
--- a/pkg/process/cell/state.go
+++ b/pkg/process/cell/state.go
@@ -326,7 +326,7 @@
 }
 
 // Decide takes all decisions that are due and returns the effects to carry out. wall is the time of day. Of the
-// decisions, only those about the times of repeating jobs depend on it.
+// decisions, only those about the occurrences of repeating jobs depend on it.
 func (s *State) Decide(now, wall time.Time) []Effect {
 	s.wall = wall
 	if s.tenureExpired(now) {
@@ -364,7 +364,7 @@
 	s.dropEmptyMembers(now)
 	s.updateKnownRuns(now)
 	if s.phase == leading {
-		s.openDueTimes(now)
+		s.openDueOccurrences(now)
 		s.stopOnLeavingWorkers(now)
 		s.delegateWaiting(now)
 		s.paceFillers(now)
@@ -388,8 +388,10 @@
 	return s.sortedWorkers
 }
 
+// emit adds an effect to those that the next Decide returns.
 func (s *State) emit(e Effect) { s.outbox = append(s.outbox, e) }
 
+// note emits a log line.
 func (s *State) note(n Note) {
 	s.emit(n)
 }
@@ -420,7 +422,7 @@
 	s.placementDue = true
 }
 
-// hasTaskToStart says whether a unit has a task to start: one that is settled, not done, not delegated and without a
+// hasTaskToStart reports whether a unit has a task to start: one that is settled, not done, not delegated and without a
 // run.
 func hasTaskToStart(u *jobs.Unit) bool {
 	for _, t := range u.Tasks {
@@ -431,8 +433,8 @@
 	return false
 }
 
-// openDueTimes opens the occurrences of repeating jobs that have fallen due.
-func (s *State) openDueTimes(now time.Time) {
+// openDueOccurrences opens the occurrences of repeating jobs that have fallen due.
+func (s *State) openDueOccurrences(now time.Time) {
 	for _, j := range s.jobs {
 		if j.Spec.GetRepeats() == 0 || j.Ended() {
 			continue
--- a/pkg/process/cell/suspects.go
+++ b/pkg/process/cell/suspects.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// takeClearSuspicion drops all evidence against a task, as an operator has asked.
 func (s *State) takeClearSuspicion(now time.Time, e ClearSuspicion) {
 	t := s.taskNamed(e.Task)
 	if t == nil || len(t.Crashes) == 0 {
--- a/pkg/process/cell/tenure.go
+++ b/pkg/process/cell/tenure.go
@@ -7,7 +7,7 @@
 
 // The end of a leadership that was not renewed within its tenure.
 
-// tenureExpired says whether the tenure has ended without a renewal, so that this process must not lead any more.
+// tenureExpired reports whether the tenure has ended without a renewal, so that this process must not lead any more.
 // Decide checks it itself, since a host that was frozen or suspended handles its messages before its timers.
 func (s *State) tenureExpired(now time.Time) bool {
 	return s.phase != following && !s.tenureUntil.IsZero() && now.After(s.tenureUntil)
--- a/pkg/process/cell/unobserved_crashes.go
+++ b/pkg/process/cell/unobserved_crashes.go
@@ -62,7 +62,7 @@
 	return slices.DeleteFunc(ended, s.isEndRecorded)
 }
 
-// isEndRecorded returns whether the job records hold the end of a worker's incarnation as evidence against every task
+// isEndRecorded reports whether the job records hold the end of a worker's incarnation as evidence against every task
 // that it implicates. A predecessor may have written only some of these records. Records of ended jobs count, too.
 func (s *State) isEndRecorded(worker string) bool {
 	born, all, recorded := s.retainedMembers[worker].GetBorn(), 0, 0
--- a/pkg/process/cell/wait_reasons.go
+++ b/pkg/process/cell/wait_reasons.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// hasLastingStep returns whether a job has a step of lasting tasks.
+// hasLastingStep reports whether a job has a step of lasting tasks.
 func hasLastingStep(j *jobs.Job) bool {
 	return slices.ContainsFunc(j.Spec.GetSteps(), func(step *wire.StepSpec) bool { return step.GetLasting() })
 }
