--- a/pkg/process/cell/incarnations_test.go
+++ b/pkg/process/cell/incarnations_test.go
@@ -262,8 +262,8 @@
 	must.Eq(t, 1, v.startsOf(task))
 }
 
-// A row of another incarnation makes the leader doubt which one runs, and is then removed. The answer of the known
-// incarnation must not count as a row.
+// A row of another incarnation appears, so the leader does not know which incarnation runs, and is then removed. The
+// answer of the known incarnation must not count as a row.
 func TestAnswerDoesNotMakeUnlistedWorkerListed(t *testing.T) {
 	t.Parallel()
 	v := newRestartingWorker()
--- a/pkg/process/cell/membership_test.go
+++ b/pkg/process/cell/membership_test.go
@@ -121,12 +121,12 @@
 	return &wire.JobSpec{Id: id, Queue: "watches", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{{Count: 1, Millicores: 6000, Lasting: true}}}
 }
 
-// leadWithMembers is lead with a given membership.
-func (b *testCell) leadWithMembers(before *testCell, members []*wire.RosterEntry) {
+// takeOverWithMembers is takeOverFrom with a given membership.
+func (b *testCell) takeOverWithMembers(before *testCell, members []*wire.RosterEntry) {
 	b.takeOverWith(before, 15*time.Second, members, lastingJob("00000000000000ff"))
 }
 
-// takeOverWith is lead with a given membership and given jobs.
+// takeOverWith is takeOverFrom with a given membership and given jobs.
 func (b *testCell) takeOverWith(before *testCell, wait time.Duration, members []*wire.RosterEntry, specs ...*wire.JobSpec) {
 	b.now, b.reports, b.silent = before.now, map[string]*workers.Report{}, before.silent
 	for id := range before.reports {
@@ -195,7 +195,7 @@
 	b := newEmptyCell()
 	successor := newEmptyCell()
 	b.silent["w03"] = true
-	successor.leadWithMembers(b, slices.DeleteFunc(b.state.Members(), func(e *wire.RosterEntry) bool { return e.GetId() == "w03" }))
+	successor.takeOverWithMembers(b, slices.DeleteFunc(b.state.Members(), func(e *wire.RosterEntry) bool { return e.GetId() == "w03" }))
 	for range 3 {
 		successor.step(100 * time.Millisecond)
 	}
