--- a/pkg/process/cell/active_runs.go
+++ b/pkg/process/cell/active_runs.go
@@ -18,14 +18,14 @@
 	foreign := ledger.Size{}
 	w.NewOrphanedRuns = nil
 	for _, a := range e.Report.Active {
-		r := s.runOfLine(now, w, a)
+		r := s.matchOrAdopt(now, w, a)
 		if r == nil {
 			t := s.taskNamed(a.Task)
 			if t != nil {
 				foreign = foreign.Plus(workers.Reserved(t.Unit))
 			}
 			if t != nil || s.keepOrphanedRun(now, w, a) {
-				s.stopForeign(w, a)
+				s.stopUnadopted(w, a)
 			}
 			continue
 		}
@@ -61,9 +61,9 @@
 	}
 }
 
-// runOfLine returns the run that a line of a worker's list is about. It adopts a run of an earlier leader. It returns
-// nil if the task is unknown, or if the run must not go on.
-func (s *State) runOfLine(now time.Time, w *workers.Worker, a workers.Active) *jobs.Run {
+// matchOrAdopt returns the run that a line of a worker's list is about. It adopts an unknown run, which an earlier
+// leader started. It returns nil if the task is unknown, or if the run must not go on.
+func (s *State) matchOrAdopt(now time.Time, w *workers.Worker, a workers.Active) *jobs.Run {
 	t := s.taskNamed(a.Task)
 	if t == nil {
 		return nil
@@ -93,8 +93,9 @@
 	return r
 }
 
-// earlierPollWindow is how long after its first answer to this leader a worker may still answer a poll of an earlier leader
-// with a list. A poll that reached the worker before this leader's fence waits there for as long as any poll may.
+// earlierPollWindow is how long after its first answer to this leader a worker may still answer a poll of an earlier
+// leader with a list. A poll that reached the worker before this leader's fence waits there for as long as any poll
+// may.
 const earlierPollWindow = idlePollWait + 300*time.Millisecond
 
 // settleListedRun settles the lasting task of a run that its worker lists, once no poll of an earlier leader can be
@@ -107,7 +108,7 @@
 	}
 }
 
-// mayAdopt returns whether a run of a task that a worker lists may go on: the task has no other run, or allows copies.
+// mayAdopt reports whether a run of a task that a worker lists may go on: the task has no other run, or allows copies.
 func mayAdopt(t *jobs.Task) bool { return len(t.Runs) == 0 || t.Unit.Spec.GetCopies() }
 
 // runBegan marks a run as running and its job as begun.
@@ -125,8 +126,8 @@
 	}
 }
 
-// stopForeign orders a worker to stop a run that belongs to no job of this cell, or that its task may not have.
-func (s *State) stopForeign(w *workers.Worker, a workers.Active) {
+// stopUnadopted orders a worker to stop a run that belongs to no job of this cell, or that its task may not have.
+func (s *State) stopUnadopted(w *workers.Worker, a workers.Active) {
 	s.note(Note{Kind: NoteStop, Task: a.Task, Run: a.Run, Worker: w.ID, Detail: "no task of this cell may have this run", AgeMs: -1})
 	s.emit(SendStop{To: target(w), Stop: workers.Stop{Fence: s.epoch, Task: a.Task, Run: a.Run}, Timeout: s.startWindow.Timeout()})
 }
--- a/pkg/process/cell/filler_pace.go
+++ b/pkg/process/cell/filler_pace.go
@@ -14,7 +14,7 @@
 // pair of images. The only sign of that is the tail latency that a serving task lists, which is rough and
 // half a second old. Package interference learns from it which pairs interfere, and how much of a serving
 // task's latency is due to its own load; fillers are then placed where they cost less than they earn
-// (harm.go). This file handles what that misses: if a tail latency stays over its target, all fillers of
+// (filler_cost.go). This file handles what that misses: if a tail latency stays over its target, all fillers of
 // the worker are paused for a while. Levels are those of package interference: 0 at the target, negative
 // below it.
 //
@@ -88,8 +88,8 @@
 func (s *State) paceFillers(now time.Time) {
 	if now.Sub(s.interferenceLoggedAt) >= interferenceNoteInterval {
 		s.interferenceLoggedAt = now
-		for _, words := range s.interference.Words() {
-			s.note(Note{Kind: NotePress, Detail: words, AgeMs: -1})
+		for _, line := range s.interference.Words() {
+			s.note(Note{Kind: NotePress, Detail: line, AgeMs: -1})
 		}
 	}
 	for _, w := range s.workersByID() {
--- a/pkg/process/cell/incarnations_test.go
+++ b/pkg/process/cell/incarnations_test.go
@@ -100,19 +100,19 @@
 	case cell.Note:
 		v.notes = append(v.notes, e)
 	case cell.SendPoll:
-		looked := cell.PollAnswered{Worker: e.To.ID, SentAt: v.now}
+		answer := cell.PollAnswered{Worker: e.To.ID, SentAt: v.now}
 		if v.pollsLost {
-			looked.Err = fault.New(fault.Unknown, "w", "no answer", "")
+			answer.Err = fault.New(fault.Unknown, "w", "no answer", "")
 		} else {
 			v.recorded = max(v.recorded, e.Poll.Recorded)
-			looked.Report = workers.Report{Born: v.born, Clock: v.clock(), Active: v.active, Room: v.capacity}
+			answer.Report = workers.Report{Born: v.born, Clock: v.clock(), Active: v.active, Room: v.capacity}
 			for _, end := range v.ended {
 				if end.Number > v.recorded {
-					looked.Report.Ended = append(looked.Report.Ended, end)
+					answer.Report.Ended = append(answer.Report.Ended, end)
 				}
 			}
 		}
-		v.state.Take(v.now, looked)
+		v.state.Take(v.now, answer)
 	case cell.SendStart:
 		v.starts = append(v.starts, e)
 		started := cell.StartAnswered{Worker: "w", Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: v.clock()}}
@@ -149,9 +149,9 @@
 	return n
 }
 
-// A worker crashes, restarts under its id, and numbers its ends from 1 again. A leader that kept the newest number of the
-// incarnation before would skip the first ends of the new one, let the worker forget them, presume their runs over ("no
-// longer listed by its worker") and start the tasks again.
+// A worker crashes, restarts under its id, and numbers its ends from 1 again. A leader that kept the newest number of
+// the incarnation before would skip the first ends of the new one, let the worker forget them, presume their runs over
+// ("no longer listed by its worker") and start the tasks again.
 func TestEndsOfNextIncarnationAreNotSkipped(t *testing.T) {
 	t.Parallel()
 	v := newRestartingWorker()
@@ -190,8 +190,8 @@
 }
 
 // A worker that has just restarted has seen no epoch yet, and would carry out orders of a deposed leader. So a leader
-// starts runs there, and presumes the runs of the incarnation before over, only after a renewal has taken effect that it
-// sent after it learned of the new incarnation.
+// starts runs there, and presumes the runs of the incarnation before over, only after a renewal has taken effect that
+// it sent after it learned of the new incarnation.
 func TestNextIncarnationIsUsedOnlyAfterRenewal(t *testing.T) {
 	t.Parallel()
 	v := newRestartingWorker()
@@ -262,8 +262,8 @@
 	must.Eq(t, 1, v.startsOf(task))
 }
 
-// A row of another incarnation makes the leader doubt which one runs, and is then removed. The answer of the known
-// incarnation must not count as a row.
+// A row of another incarnation appears, so the leader does not know which incarnation runs, and is then removed. The
+// answer of the known incarnation must not count as a row.
 func TestAnswerDoesNotMakeUnlistedWorkerListed(t *testing.T) {
 	t.Parallel()
 	v := newRestartingWorker()
--- a/pkg/process/cell/orphans.go
+++ b/pkg/process/cell/orphans.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// isNotYetDue returns whether a task belongs to an occurrence of a repeating job that has not fallen due here. A
+// isNotYetDue reports whether a task belongs to an occurrence of a repeating job that has not fallen due here. A
 // predecessor may have opened the occurrence by a clock that was ahead, or a moment before the job became known here.
 func (s *State) isNotYetDue(task string) bool {
 	id, ok := jobs.ParseTask(task)
@@ -42,8 +42,8 @@
 	w.OrphanedEnds = append(w.OrphanedEnds, workers.OrphanedEnd{End: e, At: now})
 }
 
-// keepOrphanedRun keeps an orphaned run that a worker lists. It returns whether the run belongs to no job, and so is to be
-// stopped.
+// keepOrphanedRun keeps an orphaned run that a worker lists. It returns whether the run belongs to no job, and so is to
+// be stopped.
 func (s *State) keepOrphanedRun(now time.Time, w *workers.Worker, a workers.Active) bool {
 	if s.unsafe.NoStrays {
 		return true
@@ -64,17 +64,17 @@
 func (s *State) adoptOrphans(now time.Time, j *jobs.Job) {
 	for _, w := range s.workersByID() {
 		for _, task := range orphanedTasks(w, j) {
-			s.runOfLine(now, w, w.OrphanedRuns[task].Active)
+			s.matchOrAdopt(now, w, w.OrphanedRuns[task].Active)
 			delete(w.OrphanedRuns, task)
 		}
-		held := w.OrphanedEnds
+		ends := w.OrphanedEnds
 		w.OrphanedEnds = nil
-		for _, h := range held {
-			if s.taskNamed(h.Task) == nil {
-				w.OrphanedEnds = append(w.OrphanedEnds, h)
+		for _, end := range ends {
+			if s.taskNamed(end.Task) == nil {
+				w.OrphanedEnds = append(w.OrphanedEnds, end)
 				continue
 			}
-			s.applyEnd(now, w, h.End)
+			s.applyEnd(now, w, end.End)
 		}
 	}
 }
--- a/pkg/process/cell/settle.go
+++ b/pkg/process/cell/settle.go
@@ -11,11 +11,11 @@
 )
 
 // Settling after a takeover: the leader finds out which runs earlier leaders started. Workers list them, or they have
-// surely ended because the worker's lease has. A task is settled, and may start if no worker lists it, once no earlier
-// run of it can go on unknown to this leader.
+// certainly ended because the worker's lease has. A task is settled, and may start if no worker lists it, once no
+// earlier run of it can go on unknown to this leader.
 
-// earlierRunsOver says whether the runs that earlier leaders started at a worker which
-// has not answered have surely ended: its leases must have ended before leadership
+// earlierRunsOver reports whether the runs that earlier leaders started at a worker which
+// has not answered have certainly ended: its leases must have ended before leadership
 // was last confirmed. A worker that never answered has leases of earlier leaders
 // only. A worker that answered while the jobs were being read also has one of this
 // leader, and its list is still to come.
@@ -39,15 +39,15 @@
 			delete(s.awaitedMembers, id)
 		}
 	}
-	held, known := s.tasksHeldBack(now)
+	heldBack, known := s.tasksHeldBack(now)
 	if !known {
 		return
 	}
-	s.settled, s.unnamedSettled, s.heldBackTasks = s.allEarlierRunsOver(now), true, held
-	s.settleExcept(now, held)
+	s.settled, s.unnamedSettled, s.heldBackTasks = s.allEarlierRunsOver(now), true, heldBack
+	s.settleExcept(now, heldBack)
 }
 
-// allEarlierRunsOver says whether all runs at members that have not answered have surely ended.
+// allEarlierRunsOver reports whether all runs at members that have not answered have certainly ended.
 func (s *State) allEarlierRunsOver(now time.Time) bool {
 	for id := range s.awaitedMembers {
 		if !s.earlierRunsOver(now, s.workers[id]) {
@@ -57,16 +57,16 @@
 	return true
 }
 
-// settleExcept settles all tasks but those in held, which may run at members that have not answered. It records crash
-// evidence against tasks that may have run where a member's incarnation has ended.
-func (s *State) settleExcept(now time.Time, held map[string]bool) {
+// settleExcept settles all tasks but those in heldBack, which may run at members that have not answered. It records
+// crash evidence against tasks that may have run where a member's incarnation has ended.
+func (s *State) settleExcept(now time.Time, heldBack map[string]bool) {
 	listedNowhere, settled := 0, 0
 	var mayHaveRun []*jobs.Task
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
 		j, changed := s.jobs[id], false
 		for _, u := range j.Units {
 			for _, t := range u.Tasks {
-				if t.Settled || held[t.Name()] {
+				if t.Settled || heldBack[t.Name()] {
 					continue
 				}
 				t.Settled, changed = true, true
@@ -91,10 +91,10 @@
 	if !s.settled && settled == 0 {
 		return
 	}
-	s.note(Note{Kind: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", listedNowhere, len(s.awaitedMembers), len(held)), AgeMs: -1})
+	s.note(Note{Kind: NoteSettled, Detail: fmt.Sprintf("%d tasks found nowhere, %d workers not heard, %d tasks may run there", listedNowhere, len(s.awaitedMembers), len(heldBack)), AgeMs: -1})
 }
 
-// mayHaveRunAtUnreached says whether a task may have run at a member that has not answered.
+// mayHaveRunAtUnreached reports whether a task may have run at a member that has not answered.
 func (s *State) mayHaveRunAtUnreached(t *jobs.Task) bool {
 	for id := range s.awaitedMembers {
 		if mayHaveRunAt(s.retainedMembers[id], t) {
--- a/pkg/process/cell/settle_test.go
+++ b/pkg/process/cell/settle_test.go
@@ -14,12 +14,12 @@
 
 // Another cell has returned a delegated task, and a predecessor has started it at a worker that does not answer the
 // successor. The row that returned it still stands, so the successor takes it back once more. It must not count the
-// task as one that surely has no run: it started the task a second time, beside the predecessor's run.
+// task as one that certainly has no run: it started the task a second time, beside the predecessor's run.
 func TestTaskReturnedBeforeATakeoverMayRunAlready(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
-	lent := &wire.JobProgress{Id: spec.GetId(), Phase: wire.JobPhase_JOB_PHASE_RUNNING, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{LentTo: "other", Lending: 1}}}}}
-	v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec, Progress: lent, Recorded: 3},
+	progress := &wire.JobProgress{Id: spec.GetId(), Phase: wire.JobPhase_JOB_PHASE_RUNNING, Units: []*wire.UnitProgress{{Notes: []*wire.TaskNote{{LentTo: "other", Lending: 1}}}}}
+	v := newTakeoverOf(15*time.Second, cell.LoadedJob{Spec: spec, Progress: progress, Recorded: 3},
 		&wire.ReturnedTasks{Id: spec.GetId(), From: "other", Home: "hall", Tasks: []*wire.TaskRef{{Lending: 1}}})
 	_, started := v.runUntilStart(14 * time.Second)
 	must.False(t, started)
@@ -27,9 +27,9 @@
 	must.True(t, started)
 }
 
-// A time of a repeating job falls due after a takeover, before the cell is settled. A predecessor that was suspended
-// opens that time, too, when it wakes, and may start its tasks.
-func TestTimeThatFallsDueBeforeTheCellIsSettledWaits(t *testing.T) {
+// An occurrence of a repeating job falls due after a takeover, before the cell is settled. A predecessor that was
+// suspended opens that occurrence, too, when it resumes, and may start its tasks.
+func TestOccurrenceThatFallsDueBeforeTheCellIsSettledWaits(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{
 		Id: "00000000000000aa", Cell: "hall", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}},
@@ -42,15 +42,16 @@
 	must.True(t, started)
 }
 
-// More times of a job are delegated to a cell right after a takeover. Its predecessor may receive and start them, too.
-func TestTimesDelegatedBeforeTheCellIsSettledWait(t *testing.T) {
+// More occurrences of a job are delegated to a cell right after a takeover. Its predecessor may receive and start them,
+// too.
+func TestOccurrencesDelegatedBeforeTheCellIsSettledWait(t *testing.T) {
 	t.Parallel()
-	spec := func(times int32) *wire.JobSpec {
+	spec := func(occurrences int32) *wire.JobSpec {
 		s := &wire.JobSpec{
 			Id: "00000000000000aa", Cell: "hall", Home: "other", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}},
 			Repeats: 3, FirstUnixMs: time.Unix(900, 0).UnixMilli(), IntervalMs: 1000,
 		}
-		for n := range times {
+		for n := range occurrences {
 			s.Guest = append(s.Guest, &wire.TaskRef{Time: n, Lending: 1})
 		}
 		return s
@@ -72,7 +73,7 @@
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	v.state.Take(v.now, cell.Loaded{
 		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: testFences(),
-		Members: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
+		Members: []*wire.RosterEntry{{Id: "reached", Address: "x"}, {Id: "cut-off", Address: "y"}},
 	})
 	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "second/1"})
 	_, started := v.runUntilStart(11 * time.Second)
@@ -81,7 +82,8 @@
 	must.True(t, started)
 }
 
-// Two leaders followed each other at once. Both report their end, so the last of their leases ends after one lease span.
+// Two leaders followed each other at once. Both report their end, so the last of their leases ends after one lease
+// span.
 func TestReportedEndsOfAllPredecessorsShortenTheWaitToOneLease(t *testing.T) {
 	t.Parallel()
 	v := newTakeover(0)
@@ -89,7 +91,7 @@
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "offers", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000}}}
 	v.state.Take(v.now, cell.Loaded{
 		Epoch: 2, Wall: v.now, Jobs: []cell.LoadedJob{{Spec: spec}}, Fences: testFences(),
-		Members: []*wire.RosterEntry{{Id: "heard", Address: "x"}, {Id: "dark", Address: "y"}},
+		Members: []*wire.RosterEntry{{Id: "reached", Address: "x"}, {Id: "cut-off", Address: "y"}},
 	})
 	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "second/1"})
 	v.state.Take(v.now, cell.PredecessorEnded{Epoch: 2, Holder: "first/1"})
@@ -120,8 +122,8 @@
 	must.True(t, stepped)
 }
 
-// A lasting task has no other run while a worker keeps listing one to the new leader. Once that run is stopped, the task
-// starts again at once, though another member has not answered.
+// A lasting task has no other run while a worker keeps listing one to the new leader. Once that run is stopped, the
+// task starts again at once, though another member has not answered.
 func TestStoppedLastingTaskRestartsBeforeTheCellIsSettled(t *testing.T) {
 	t.Parallel()
 	spec := &wire.JobSpec{Id: "00000000000000aa", Queue: "watches", Service: "quotes", Steps: []*wire.StepSpec{{Count: 1, Millicores: 1000, Lasting: true}}}
@@ -137,8 +139,8 @@
 				Capacity: ledger.Size{Millicores: 32000, MemoryMB: 128000},
 			}
 		}
-		v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{record("heard", true), record("second", false)}})
-		v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"heard", "second", "dark"}})
+		v.state.Take(v.now, cell.WorkersListed{Records: []workers.Record{record("reached", true), record("second", false)}})
+		v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"reached", "second", "cut-off"}})
 		after, started := v.runUntilStart(5 * time.Second)
 		must.True(t, started, must.Sprintf("the worker leaves after %s", leavesAfter))
 		must.Less(t, 4*time.Second, after)
--- a/pkg/process/cell/unobserved_crashes_test.go
+++ b/pkg/process/cell/unobserved_crashes_test.go
@@ -26,8 +26,8 @@
 	active []workers.Active
 }
 
-// newSoleSuccessor returns a successor that has loaded one job of two steps; born identifies the incarnation in the worker
-// registry.
+// newSoleSuccessor returns a successor that has loaded one job of two steps; born identifies the incarnation in the
+// worker registry.
 func newSoleSuccessor(born int64) *soleSuccessor {
 	return newSoleSuccessorOf(&wire.RosterEntry{Id: "w", Address: "x", Host: "h", Service: "quotes", Born: 1}, born)
 }
@@ -71,8 +71,8 @@
 	}
 }
 
-// If a leader ends before it records a crash, its successor finds only that an incarnation of the membership row is over.
-// That is weak evidence against each task that may have run there.
+// If a leader ends before it records a crash, its successor finds only that an incarnation of the membership row is
+// over. That is weak evidence against each task that may have run there.
 func TestUnobservedCrashIsWeakEvidenceAgainstTasksThatMayHaveRunThere(t *testing.T) {
 	t.Parallel()
 	h := newSoleSuccessor(2)
@@ -147,8 +147,8 @@
 	return f, first, second, waiting
 }
 
-// takeOver makes another process lead and runs until the cell has settled.
-func (f *crashFleet) takeOver() {
+// replaceLeader makes another process lead and runs until the cell has settled.
+func (f *crashFleet) replaceLeader() {
 	f.newLeader()
 	f.runUntilSettled()
 }
@@ -176,7 +176,7 @@
 	t.Parallel()
 	f, first, second, _ := crashUnderTwoTasks(t, rows.JobPart("0000000000000002"))
 	must.Nil(t, f.rows[second])
-	f.takeOver()
+	f.replaceLeader()
 	must.Len(t, 1, f.evidence(first))
 	must.False(t, f.evidence(first)[0].Unseen)
 	must.Len(t, 1, f.evidence(second))
@@ -189,7 +189,7 @@
 func TestCrashRecordedForAllTasksIsAddedToNoOther(t *testing.T) {
 	t.Parallel()
 	f, first, second, waiting := crashUnderTwoTasks(t, "")
-	f.takeOver()
+	f.replaceLeader()
 	for _, id := range []string{first, second} {
 		must.False(t, f.evidence(id)[0].Unseen)
 	}
