--- a/pkg/connection/fleetpeer/client_test.go
+++ b/pkg/connection/fleetpeer/client_test.go
@@ -15,14 +15,14 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// silent is a peer that takes a call in and never answers it.
-type silent struct {
+// unresponsivePeer is a peer that takes a call in and never answers it.
+type unresponsivePeer struct {
 	wire.UnimplementedFleetServer
-	asked chan struct{}
+	received chan struct{}
 }
 
-func (s silent) Commit(ctx context.Context, _ *wire.TableCommit) (*wire.TableCommitReply, error) {
-	s.asked <- struct{}{}
+func (s unresponsivePeer) Commit(ctx context.Context, _ *wire.TableCommit) (*wire.TableCommitReply, error) {
+	s.received <- struct{}{}
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -49,7 +49,7 @@
 }
 
 // Callers of a hall that is cut off ask elsewhere only if they are told that nothing has run.
-func TestACommitThatReachedNoPeerIsNotRun(t *testing.T) {
+func TestCommitReportsNotRunOnlyWhenThePeerWasNotReached(t *testing.T) {
 	t.Parallel()
 	t.Run("nobody listens", func(t *testing.T) {
 		t.Parallel()
@@ -67,11 +67,11 @@
 		t.Parallel()
 		l := listen(t)
 		server := grpc.NewServer()
-		s := silent{asked: make(chan struct{}, 1)}
+		s := unresponsivePeer{received: make(chan struct{}, 1)}
 		wire.RegisterFleetServer(server, s)
 		go func() { _ = server.Serve(l) }()
 		defer server.Stop()
 		must.Eq(t, fault.Unknown, fault.CodeOf(commit(t, l.Addr().String(), 2*time.Second)))
-		<-s.asked
+		<-s.received
 	})
 }
--- a/pkg/connection/life/life.go
+++ b/pkg/connection/life/life.go
@@ -33,14 +33,14 @@
 const (
 	// Any is the life of a call that is for whoever answers, and of a process that does not say.
 	Any = 0
-	// unasked is that of a connection on which nobody has said yet.
-	unasked = -1
+	// unknownIncarnation is that of a connection on which nobody has said yet.
+	unknownIncarnation = -1
 	// Refused is that of a process which would not say: no call for a certain life is for it.
 	Refused = -2
 )
 
-// conn is a connection that knows which life it reaches.
-type conn struct {
+// incarnationConn is a connection that knows which life it reaches.
+type incarnationConn struct {
 	net.Conn
 	born atomic.Int64
 }
@@ -49,9 +49,9 @@
 type Binding struct {
 	born  int64
 	ask   Ask
-	other atomic.Bool
+	otherReached atomic.Bool
 	// chosen is the connection that the call was given.
-	chosen atomic.Pointer[conn]
+	chosen atomic.Pointer[incarnationConn]
 }
 
 type key struct{}
@@ -60,7 +60,7 @@
 func Bind(ctx context.Context, born int64, ask Ask) (context.Context, *Binding) {
 	b := &Binding{born: born, ask: ask}
 	ctx = context.WithValue(ctx, key{}, b)
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: b.got}), b
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: b.connChosen}), b
 }
 
 // Of is the binding of a call; nil: it has none.
@@ -69,30 +69,30 @@
 	return b
 }
 
-func (b *Binding) got(info httptrace.GotConnInfo) {
-	c, _ := info.Conn.(*conn)
+func (b *Binding) connChosen(info httptrace.GotConnInfo) {
+	c, _ := info.Conn.(*incarnationConn)
 	b.chosen.Store(c)
 }
 
 // Other says whether the call was not made, since it was for another life.
-func (b *Binding) Other() bool { return b.other.Load() }
+func (b *Binding) Other() bool { return b.otherReached.Load() }
 
 // Unasked says whether nobody had said yet who is at the other end of the connection that the
 // call was given. Another one may do.
 func (b *Binding) Unasked() bool {
 	c := b.chosen.Load()
-	return c != nil && c.born.Load() == unasked
+	return c != nil && c.born.Load() == unknownIncarnation
 }
 
 // Learn takes in which life has answered the call.
 func (b *Binding) Learn(born int64) {
 	if c := b.chosen.Load(); c != nil {
-		c.born.CompareAndSwap(unasked, born)
+		c.born.CompareAndSwap(unknownIncarnation, born)
 	}
 }
 
-// mayGo says whether the connection that was chosen reaches the life that the call is for.
-func (b *Binding) mayGo() bool {
+// reachesBoundIncarnation says whether the connection that was chosen reaches the life that the call is for.
+func (b *Binding) reachesBoundIncarnation() bool {
 	c := b.chosen.Load()
 	if b.born == Any || c == nil {
 		return b.born == Any
@@ -110,8 +110,8 @@
 		if err != nil || b == nil {
 			return plain, err
 		}
-		c := &conn{Conn: plain}
-		c.born.Store(unasked)
+		c := &incarnationConn{Conn: plain}
+		c.born.Store(unknownIncarnation)
 		if b.born == Any {
 			return c, nil
 		}
@@ -138,8 +138,8 @@
 
 // Read gives what is to be sent, or nothing at all.
 func (r *body) Read(p []byte) (int, error) {
-	if !r.binding.mayGo() {
-		r.binding.other.Store(true)
+	if !r.binding.reachesBoundIncarnation() {
+		r.binding.otherReached.Store(true)
 		return 0, ErrOther
 	}
 	return r.Reader.Read(p)
--- a/pkg/connection/patience/patience_test.go
+++ b/pkg/connection/patience/patience_test.go
@@ -10,7 +10,7 @@
 	"github.com/wrenferry/wrenferry/pkg/connection/patience"
 )
 
-func TestACallThatIsHeardGoesOn(t *testing.T) {
+func TestReceivedDataExtendsTheCall(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := patience.WithSilence(context.Background(), 300*time.Millisecond, time.Minute)
 	defer cancel()
@@ -22,7 +22,7 @@
 	<-ctx.Done() // and silence ends it
 }
 
-func TestTheWholeIsBounded(t *testing.T) {
+func TestTotalTimeIsBounded(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := patience.WithSilence(context.Background(), time.Minute, 20*time.Millisecond)
 	defer cancel()
--- a/pkg/connection/peer/peers.go
+++ b/pkg/connection/peer/peers.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// askTimeout is how long a peer may take to answer for a key.
-	askTimeout = 250 * time.Millisecond
-	// newsTimeout is how long a peer may take to take news in.
-	newsTimeout = time.Second
-	// remember is how long a peer that left the list still counts as one that
+	// keyAnswerTimeout is how long a peer may take to answer for a key.
+	keyAnswerTimeout = 250 * time.Millisecond
+	// notifyTimeout is how long a peer may take to take news in.
+	notifyTimeout = time.Second
+	// departedRetention is how long a peer that left the list still counts as one that
 	// can't be reached: the longest key window.
-	remember = time.Hour
+	departedRetention = time.Hour
 )
 
 // Peers is the set of the other entry hosts. It is safe for many goroutines.
@@ -35,8 +35,8 @@
 	mu       sync.Mutex
 	known    map[string]*peer
 	departed map[string]time.Time
-	listed   bool
-	wakeSelf func()
+	hasHostList   bool
+	wakeOwnLoop func()
 }
 
 // peer is one other entry host.
@@ -51,14 +51,14 @@
 // NewPeers returns the empty set of the named entry host. wakeSelf wakes the
 // control loop of this process.
 func NewPeers(name, hall string, wakeSelf func()) *Peers {
-	return &Peers{name: name, hall: hall, known: map[string]*peer{}, departed: map[string]time.Time{}, wakeSelf: wakeSelf}
+	return &Peers{name: name, hall: hall, known: map[string]*peer{}, departed: map[string]time.Time{}, wakeOwnLoop: wakeSelf}
 }
 
 // SetHosts takes in the entry hosts of the host list.
 func (p *Peers) SetHosts(now time.Time, hosts []*wire.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.listed = true
+	p.hasHostList = true
 	current := map[string]bool{}
 	for _, h := range hosts {
 		if h.GetControl() == "" || h.GetName() == p.name {
@@ -78,7 +78,7 @@
 		}
 	}
 	for id, at := range p.departed {
-		if now.Sub(at) > remember {
+		if now.Sub(at) > departedRetention {
 			delete(p.departed, id)
 		}
 	}
@@ -100,7 +100,7 @@
 	p.known[id] = &peer{name: h.GetName(), hall: h.GetHall(), address: h.GetControl(), conn: conn, client: wire.NewPeerClient(conn)}
 }
 
-func (p *Peers) list() []*peer {
+func (p *Peers) snapshot() []*peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]*peer, 0, len(p.known))
@@ -110,12 +110,12 @@
 	return out
 }
 
-// each calls every peer at once, and waits for all.
-func (p *Peers) each(ctx context.Context, timeout time.Duration, f func(context.Context, *peer)) {
+// callEach calls every peer at once, and waits for all.
+func (p *Peers) callEach(ctx context.Context, timeout time.Duration, f func(context.Context, *peer)) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var wait sync.WaitGroup
-	for _, known := range p.list() {
+	for _, known := range p.snapshot() {
 		wait.Go(func() { f(ctx, known) })
 	}
 	wait.Wait()
@@ -135,9 +135,9 @@
 func (p *Peers) Ask(ctx context.Context, q *wire.AskRequest) Asked {
 	var mu sync.Mutex
 	window := time.Duration(q.GetWindowMs()) * time.Millisecond
-	asked := Asked{Unsure: p.missing(time.Now(), window)}
+	asked := Asked{Unsure: p.membershipIncomplete(time.Now(), window)}
 	q.Asker = p.name
-	p.each(ctx, askTimeout, func(ctx context.Context, known *peer) {
+	p.callEach(ctx, keyAnswerTimeout, func(ctx context.Context, known *peer) {
 		reply, err := known.client.Ask(ctx, q)
 		mu.Lock()
 		defer mu.Unlock()
@@ -148,9 +148,9 @@
 	return asked
 }
 
-// missing says whether there may be, or have been, entry hosts within the
+// membershipIncomplete says whether there may be, or have been, entry hosts within the
 // window that can't be asked.
-func (p *Peers) missing(now time.Time, window time.Duration) bool {
+func (p *Peers) membershipIncomplete(now time.Time, window time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, at := range p.departed {
@@ -158,33 +158,33 @@
 			return true
 		}
 	}
-	return !p.listed
+	return !p.hasHostList
 }
 
 // ------------------------------------------------------------------- news
 
-// tell passes news on without waiting.
-func (p *Peers) tell(f func(context.Context, *peer)) {
-	go p.each(context.Background(), newsTimeout, f)
+// notify passes news on without waiting.
+func (p *Peers) notify(f func(context.Context, *peer)) {
+	go p.callEach(context.Background(), notifyTimeout, f)
 }
 
 // Offer hands a settings version to every peer.
 func (p *Peers) Offer(row *wire.SettingsRow) {
-	p.tell(func(ctx context.Context, known *peer) { _, _ = known.client.Offer(ctx, row) })
+	p.notify(func(ctx context.Context, known *peer) { _, _ = known.client.Offer(ctx, row) })
 }
 
 // SpreadLeaving tells every peer that a backend server is leaving.
 func (p *Peers) SpreadLeaving(service, name string) {
 	notice := &wire.LeavingNotice{Service: service, Name: name, ReportedBy: p.name}
-	p.tell(func(ctx context.Context, known *peer) { _, _ = known.client.Leaving(ctx, notice) })
+	p.notify(func(ctx context.Context, known *peer) { _, _ = known.client.Leaving(ctx, notice) })
 }
 
 // WakeLeader tells the entry hosts of a hall that its inbox has something.
 func (p *Peers) WakeLeader(hall string) {
 	if hall == p.hall {
-		p.wakeSelf()
+		p.wakeOwnLoop()
 	}
-	p.tell(func(ctx context.Context, known *peer) {
+	p.notify(func(ctx context.Context, known *peer) {
 		if known.hall == hall {
 			_, _ = known.client.Wake(ctx, &wire.Have{})
 		}
@@ -196,7 +196,7 @@
 func (p *Peers) Fetch(ctx context.Context, have int64) *wire.SettingsRow {
 	var mu sync.Mutex
 	var best *wire.SettingsRow
-	p.each(ctx, newsTimeout, func(ctx context.Context, known *peer) {
+	p.callEach(ctx, notifyTimeout, func(ctx context.Context, known *peer) {
 		row, err := known.client.Fetch(ctx, &wire.Have{Version: have})
 		mu.Lock()
 		defer mu.Unlock()
@@ -211,7 +211,7 @@
 func (p *Peers) Explain(ctx context.Context, name string) []*wire.Answer {
 	var mu sync.Mutex
 	var answers []*wire.Answer
-	p.each(ctx, newsTimeout, func(ctx context.Context, known *peer) {
+	p.callEach(ctx, notifyTimeout, func(ctx context.Context, known *peer) {
 		answer, err := known.client.Explain(ctx, &wire.Question{Name: name})
 		mu.Lock()
 		defer mu.Unlock()
--- a/pkg/connection/protohttp/protohttp.go
+++ b/pkg/connection/protohttp/protohttp.go
@@ -55,7 +55,7 @@
 	req.Header.Set(FromHeader, c.from)
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return failure(mark, url, err)
+		return sendError(mark, url, err)
 	}
 	defer resp.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxMessage))
@@ -71,7 +71,7 @@
 	return nil
 }
 
-func failure(mark *sent.Mark, url string, err error) error {
+func sendError(mark *sent.Mark, url string, err error) error {
 	if mark.Maybe() {
 		return fault.New(fault.Unavailable, url, "no answer", "").WithCause(err)
 	}
--- a/pkg/connection/runner/call.go
+++ b/pkg/connection/runner/call.go
@@ -16,7 +16,7 @@
 type Client struct {
 	calls   *http.Client
 	streams *http.Client
-	most    int
+	maxStreams    int
 }
 
 // NewClient returns a client that holds at most so many connections to one
@@ -24,16 +24,16 @@
 func NewClient(connections int) *Client {
 	streams := max(1, connections/2)
 	return &Client{
-		calls:   limited(max(1, connections-streams)),
-		streams: limited(streams),
-		most:    streams,
+		calls:   newHTTPClient(max(1, connections-streams)),
+		streams: newHTTPClient(streams),
+		maxStreams:    streams,
 	}
 }
 
 // MostStreams is how many streams may stand to one server.
-func (c *Client) MostStreams() int { return c.most }
+func (c *Client) MostStreams() int { return c.maxStreams }
 
-func limited(connections int) *http.Client {
+func newHTTPClient(connections int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			MaxConnsPerHost:     connections,
@@ -63,7 +63,7 @@
 func (c *Client) Call(ctx context.Context, address, service, kind, key string, header http.Header, body []byte) (*Answer, error) {
 	ctx, mark := sent.Watch(ctx)
 	url := "http://" + address + CallPath + service + "/" + kind
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, once{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, singleReadBody{bytes.NewReader(body)})
 	if err != nil {
 		return nil, fault.New(fault.NotRun, address, "not an address", "").WithCause(err)
 	}
@@ -74,28 +74,28 @@
 	}
 	resp, err := c.calls.Do(req)
 	if err != nil {
-		return nil, failure(mark, address, err)
+		return nil, sendError(mark, address, err)
 	}
 	defer resp.Body.Close()
-	return read(resp, address)
+	return readAnswer(resp, address)
 }
 
-// once is a body that can't be read again. net/http sends a request with an
+// singleReadBody is a body that can't be read again. net/http sends a request with an
 // Idempotency-Key a second time by itself when it can rewind the body; whether
 // to try again is not its decision here.
-type once struct{ io.Reader }
+type singleReadBody struct{ io.Reader }
 
 // Close does nothing: the body is in memory.
-func (once) Close() error { return nil }
+func (singleReadBody) Close() error { return nil }
 
-func failure(mark *sent.Mark, address string, err error) error {
+func sendError(mark *sent.Mark, address string, err error) error {
 	if mark.Maybe() {
 		return fault.New(fault.Unknown, address, "no whole answer", "").WithCause(err)
 	}
 	return fault.New(fault.NotRun, address, "the request was not sent", "").WithCause(err)
 }
 
-func read(resp *http.Response, address string) (*Answer, error) {
+func readAnswer(resp *http.Response, address string) (*Answer, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswer+1))
 	if err != nil {
 		return nil, fault.New(fault.Unknown, address, "the answer broke off", "").WithCause(err)
@@ -108,13 +108,13 @@
 		Header:  resp.Header,
 		Body:    body,
 		Refused: resp.Header.Get(RefusedHeader) != "",
-		Report:  report(resp),
+		Report:  parseReport(resp),
 	}
 	return a, nil
 }
 
-// report reads what the server said of itself.
-func report(resp *http.Response) Report {
+// parseReport reads what the server said of itself.
+func parseReport(resp *http.Response) Report {
 	r := Report{Free: -1, Leaving: resp.Header.Get(LeavingHeader) != ""}
 	if n, err := strconv.Atoi(resp.Header.Get(FreeHeader)); err == nil {
 		r.Free = n
--- a/pkg/connection/runner/pool.go
+++ b/pkg/connection/runner/pool.go
@@ -33,31 +33,31 @@
 
 	leaving    bool
 	slots      int
-	own        int
+	outstanding        int
 	streams    int
-	others     int
+	otherLoad     int
 	reportedAt time.Time
 	latency    time.Duration
 	latencyAt  time.Time // of the newest answer, or when it was first open
 	sent       int64
 
 	failures int
-	outUntil time.Time
+	ejectedUntil time.Time
 	probing  bool
 }
 
 const (
 	// defaultSlots is taken for a server that has not said how many it has.
 	defaultSlots = 8
-	// startLatency is taken for a server that has not answered yet.
-	startLatency = 20 * time.Millisecond
-	// latencyShare is the weight of the newest answer time.
-	latencyShare = 0.1
-	// failuresOut is how many failures in a row take a server out.
-	failuresOut = 5
-	// outFirst and outMost bound how long it stays out; each time doubles.
-	outFirst = time.Second
-	outMost  = 30 * time.Second
+	// initialLatency is taken for a server that has not answered yet.
+	initialLatency = 20 * time.Millisecond
+	// latencyWeight is the weight of the newest answer time.
+	latencyWeight = 0.1
+	// failuresToEject is how many failures in a row take a server out.
+	failuresToEject = 5
+	// minEjection and outMost bound how long it stays out; each time doubles.
+	minEjection = time.Second
+	maxEjection  = 30 * time.Second
 )
 
 // NewPool returns an empty pool for an entry host in the hall. pickers returns the picker of a
@@ -78,7 +78,7 @@
 	for _, h := range hosts {
 		s := p.servers[h.GetName()]
 		if s == nil || s.address != h.GetAddress() {
-			s = &server{name: h.GetName(), slots: defaultSlots, latency: startLatency}
+			s = &server{name: h.GetName(), slots: defaultSlots, latency: initialLatency}
 			p.servers[h.GetName()] = s
 		}
 		s.address = h.GetAddress()
@@ -88,11 +88,11 @@
 		p.order = append(p.order, s.name)
 	}
 	for name, s := range p.servers {
-		if !s.listed && s.own == 0 && s.streams == 0 {
+		if !s.listed && s.outstanding == 0 && s.streams == 0 {
 			delete(p.servers, name)
 		}
 	}
-	p.wake()
+	p.notifyFreed()
 }
 
 // SetLeaving marks a server as leaving: it gets nothing new. It says whether
@@ -137,7 +137,7 @@
 			continue
 		}
 		total += s.slots
-		own += s.own
+		own += s.outstanding
 		load += s.candidate().Load(now)
 		latency += s.latency
 		n++
@@ -169,7 +169,7 @@
 		p.policy = policy
 		p.picker = p.pickers(policy)
 	}
-	open := p.open(now, except)
+	open := p.selectable(now, except)
 	list := make([]Candidate, len(open))
 	for i, s := range open {
 		if s.latencyAt.IsZero() {
@@ -182,9 +182,9 @@
 		return nil
 	}
 	s := open[i]
-	s.own++
+	s.outstanding++
 	s.sent++
-	s.probing = s.failures >= failuresOut
+	s.probing = s.failures >= failuresToEject
 	return &Lease{pool: p, server: s, Name: s.name, Address: s.address, begin: now}
 }
 
@@ -195,7 +195,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best *server
-	for _, s := range p.open(now, except) {
+	for _, s := range p.selectable(now, except) {
 		if s.streams < most && (best == nil || s.betterForStream(best)) {
 			best = s
 		}
@@ -214,16 +214,16 @@
 	return s.streams < other.streams
 }
 
-// open lists the servers that may be chosen. Servers that fail everything are
+// selectable lists the servers that may be chosen. Servers that fail everything are
 // left out, unless that would leave none.
-func (p *Pool) open(now time.Time, except map[string]bool) []*server {
+func (p *Pool) selectable(now time.Time, except map[string]bool) []*server {
 	var healthy, out []*server
 	for _, name := range p.order {
 		s := p.servers[name]
 		if s == nil || !s.listed || s.leaving || except[name] {
 			continue
 		}
-		if s.mayTake(now) {
+		if s.isAvailable(now) {
 			healthy = append(healthy, s)
 		} else {
 			out = append(out, s)
@@ -235,17 +235,17 @@
 	return out
 }
 
-// mayTake says whether a server is in, or is due for one probe.
-func (s *server) mayTake(now time.Time) bool {
-	if s.failures < failuresOut {
+// isAvailable says whether a server is in, or is due for one probe.
+func (s *server) isAvailable(now time.Time) bool {
+	if s.failures < failuresToEject {
 		return true
 	}
-	return !now.Before(s.outUntil) && !s.probing
+	return !now.Before(s.ejectedUntil) && !s.probing
 }
 
 func (s *server) candidate() Candidate {
 	return Candidate{
-		Name: s.name, Local: s.local, Slots: s.slots, Own: s.own, Others: s.others,
+		Name: s.name, Local: s.local, Slots: s.slots, Own: s.outstanding, Others: s.otherLoad,
 		ReportedAt: s.reportedAt, Latency: s.latency, LatencyAt: s.latencyAt, Sent: s.sent,
 	}
 }
@@ -257,7 +257,7 @@
 	return p.freed
 }
 
-func (p *Pool) wake() {
+func (p *Pool) notifyFreed() {
 	close(p.freed)
 	p.freed = make(chan struct{})
 }
@@ -297,40 +297,40 @@
 	if l.stream {
 		s.streams--
 	} else {
-		s.own--
+		s.outstanding--
 	}
-	s.learn(now, now.Sub(l.begin), r)
+	s.applyReport(now, now.Sub(l.begin), r)
 	news := r.Leaving && !s.leaving
 	s.leaving = s.leaving || r.Leaving
-	p.wake()
+	p.notifyFreed()
 	return news
 }
 
-func (s *server) learn(now time.Time, took time.Duration, r Report) {
+func (s *server) applyReport(now time.Time, took time.Duration, r Report) {
 	s.probing = false
 	if r.Free >= 0 {
 		s.reportedAt = now
-		s.others = max(0, s.slots-r.Free-s.own)
+		s.otherLoad = max(0, s.slots-r.Free-s.outstanding)
 	}
 	switch r.Verdict {
 	case Worked:
 		s.failures = 0
-		s.latency += time.Duration(latencyShare * float64(took-s.latency))
+		s.latency += time.Duration(latencyWeight * float64(took-s.latency))
 		s.latencyAt = now
 	case Failed:
 		s.failures++
-		if s.failures >= failuresOut {
-			s.outUntil = now.Add(outSpan(s.failures - failuresOut))
+		if s.failures >= failuresToEject {
+			s.ejectedUntil = now.Add(ejectionTime(s.failures - failuresToEject))
 		}
 	case Busy:
 		s.reportedAt = now
-		s.others = max(s.others, s.slots-s.own)
+		s.otherLoad = max(s.otherLoad, s.slots-s.outstanding)
 	case Abandoned:
 	}
 }
 
-// outSpan doubles with each failed probe.
-func outSpan(probes int) time.Duration {
-	span := outFirst << min(probes, 5)
-	return min(span, outMost)
+// ejectionTime doubles with each failed probe.
+func ejectionTime(probes int) time.Duration {
+	span := minEjection << min(probes, 5)
+	return min(span, maxEjection)
 }
--- a/pkg/connection/store/store.go
+++ b/pkg/connection/store/store.go
@@ -37,9 +37,9 @@
 	// directTimeout is how long the table may say nothing: fifty times what an ordinary
 	// call takes, and above what a slow table takes.
 	directTimeout = 900 * time.Millisecond
-	// directMost bounds a call whose answer still comes: eight times what the longest
+	// directLimit bounds a call whose answer still comes: eight times what the longest
 	// known row (a manifest of 1,000 queues, 250 kB) takes on a link of 2 Mbit/s.
-	directMost = 8 * time.Second
+	directLimit = 8 * time.Second
 	// peerTimeout bounds a transaction through a peer, and peerReadTimeout a reading:
 	// its answer may be as long as a manifest.
 	peerTimeout     = 700 * time.Millisecond
@@ -56,20 +56,20 @@
 	peers   func() []Peer
 	metrics metrics.Registry
 
-	clock atomic.Pointer[reading]
-	// workedAt is when a call was last answered, straight or not.
-	workedAt atomic.Int64
+	clock atomic.Pointer[clockReading]
+	// lastAnswerAt is when a call was last answered, straight or not.
+	lastAnswerAt atomic.Int64
 
 	mu       sync.Mutex
 	failures int
-	avoidTil time.Time
+	avoidUntil time.Time
 	start    time.Time
 }
 
-// reading is a reading of the store's clock.
-type reading struct {
-	store time.Duration
-	at    time.Time
+// clockReading is a reading of the store's clock.
+type clockReading struct {
+	storeTime time.Duration
+	readAt    time.Time
 }
 
 // New returns a client. peers lists those that may be asked, best first.
@@ -83,18 +83,18 @@
 	if r == nil {
 		return 0
 	}
-	return r.store + now.Sub(r.at)
+	return r.storeTime + now.Sub(r.readAt)
 }
 
 // SinceWorked is how long no call has been answered.
 func (c *Client) SinceWorked(now time.Time) time.Duration {
-	return now.Sub(c.start) - time.Duration(c.workedAt.Load())
+	return now.Sub(c.start) - time.Duration(c.lastAnswerAt.Load())
 }
 
-func (c *Client) worked(store time.Duration) {
+func (c *Client) recordAnswer(store time.Duration) {
 	now := clock.Now()
-	c.clock.Store(&reading{store: store, at: now})
-	c.workedAt.Store(int64(now.Sub(c.start)))
+	c.clock.Store(&clockReading{storeTime: store, readAt: now})
+	c.lastAnswerAt.Store(int64(now.Sub(c.start)))
 }
 
 // Avoiding says whether straight calls have been failing.
@@ -104,15 +104,15 @@
 	return c.failures >= failuresToAvoid
 }
 
-// avoid says whether to ask peers first; a straight call is tried again when
+// peersFirst says whether to ask peers first; a straight call is tried again when
 // the time is over.
-func (c *Client) avoid() bool {
+func (c *Client) peersFirst() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failures >= failuresToAvoid && clock.Now().Before(c.avoidTil)
+	return c.failures >= failuresToAvoid && clock.Now().Before(c.avoidUntil)
 }
 
-func (c *Client) directDone(err error) {
+func (c *Client) recordDirect(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
@@ -120,13 +120,13 @@
 		return
 	}
 	c.failures++
-	c.avoidTil = clock.Now().Add(avoidFor)
+	c.avoidUntil = clock.Now().Add(avoidFor)
 }
 
 // Commit asks for a transaction, straight or through a peer.
 func (c *Client) Commit(ctx context.Context, t table.Transaction) (table.Committed, error) {
 	var done table.Committed
-	err := c.either(ctx, "commit", peerTimeout,
+	err := c.directThenPeers(ctx, "commit", peerTimeout,
 		func(ctx context.Context) (time.Duration, error) {
 			var err error
 			done, err = c.direct.Commit(ctx, t)
@@ -143,7 +143,7 @@
 // Read reads a range, straight or through a peer.
 func (c *Client) Read(ctx context.Context, r table.Range) (table.Page, error) {
 	var page table.Page
-	err := c.either(ctx, "read", peerReadTimeout,
+	err := c.directThenPeers(ctx, "read", peerReadTimeout,
 		func(ctx context.Context) (time.Duration, error) {
 			var err error
 			page, err = c.direct.Read(ctx, r)
@@ -159,20 +159,20 @@
 
 // Changes reads what has changed; only straight, since it waits.
 func (c *Client) Changes(ctx context.Context, tableName string, after int64, wait time.Duration) (table.Page, error) {
-	ctx, cancel := patience.WithSilence(ctx, wait+directTimeout, wait+directMost)
+	ctx, cancel := patience.WithSilence(ctx, wait+directTimeout, wait+directLimit)
 	defer cancel()
 	page, err := c.direct.Changes(ctx, tableName, after, wait)
-	c.count("changes", err)
+	c.countCall("changes", err)
 	if err == nil {
-		c.worked(page.StoreTime)
+		c.recordAnswer(page.StoreTime)
 	}
 	return page, err
 }
 
-// either tries both ways. What is known of the outcome is the weaker of what
+// directThenPeers tries both ways. What is known of the outcome is the weaker of what
 // the tries tell: once one may have taken effect, nothing is "not run". Where no
 // peer is known the straight way is taken, whatever it did before.
-func (c *Client) either(ctx context.Context, what string, peerLimit time.Duration, straight func(context.Context) (time.Duration, error), through func(context.Context, Peer) (time.Duration, error)) error {
+func (c *Client) directThenPeers(ctx context.Context, what string, peerLimit time.Duration, straight func(context.Context) (time.Duration, error), through func(context.Context, Peer) (time.Duration, error)) error {
 	var unknown, last error
 	keep := func(err error) {
 		last = err
@@ -181,10 +181,10 @@
 		}
 	}
 	peers := c.peers()
-	if !c.avoid() || len(peers) == 0 {
-		err := c.straight(ctx, straight)
-		c.directDone(err)
-		c.count(what, err)
+	if !c.peersFirst() || len(peers) == 0 {
+		err := c.callDirect(ctx, straight)
+		c.recordDirect(err)
+		c.countCall(what, err)
 		if err == nil {
 			return nil
 		}
@@ -194,8 +194,8 @@
 		if ctx.Err() != nil {
 			break
 		}
-		err := c.through(ctx, peerLimit, func(ctx context.Context) (time.Duration, error) { return through(ctx, p) })
-		c.count(what+".peer", err)
+		err := c.callPeer(ctx, peerLimit, func(ctx context.Context) (time.Duration, error) { return through(ctx, p) })
+		c.countCall(what+".peer", err)
 		if err == nil {
 			return nil
 		}
@@ -210,29 +210,29 @@
 	return fault.New(fault.NotRun, "table", "no peer was asked within the time there was", "ask again")
 }
 
-// straight makes a call of the table itself, for as long as something comes of it.
-func (c *Client) straight(ctx context.Context, call func(context.Context) (time.Duration, error)) error {
-	ctx, cancel := patience.WithSilence(ctx, directTimeout, directMost)
+// callDirect makes a call of the table itself, for as long as something comes of it.
+func (c *Client) callDirect(ctx context.Context, call func(context.Context) (time.Duration, error)) error {
+	ctx, cancel := patience.WithSilence(ctx, directTimeout, directLimit)
 	defer cancel()
-	return c.made(call(ctx))
+	return c.recordOutcome(call(ctx))
 }
 
-// through makes a call through a peer, within a limit.
-func (c *Client) through(ctx context.Context, limit time.Duration, call func(context.Context) (time.Duration, error)) error {
+// callPeer makes a call through a peer, within a limit.
+func (c *Client) callPeer(ctx context.Context, limit time.Duration, call func(context.Context) (time.Duration, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	return c.made(call(ctx))
+	return c.recordOutcome(call(ctx))
 }
 
-// made takes the store's clock from a call that worked.
-func (c *Client) made(store time.Duration, err error) error {
+// recordOutcome takes the store's clock from a call that worked.
+func (c *Client) recordOutcome(store time.Duration, err error) error {
 	if err == nil {
-		c.worked(store)
+		c.recordAnswer(store)
 	}
 	return err
 }
 
-func (c *Client) count(what string, err error) {
+func (c *Client) countCall(what string, err error) {
 	outcome := "ok"
 	if err != nil {
 		outcome = string(fault.CodeOf(err))
--- a/pkg/connection/store/store_test.go
+++ b/pkg/connection/store/store_test.go
@@ -14,27 +14,27 @@
 	"github.com/wrenferry/wrenferry/pkg/table"
 )
 
-// losing is a table that makes commits and loses their answers, and reads.
-type losing struct{ reads int }
+// answerLosingTable is a table that makes commits and loses their answers, and reads.
+type answerLosingTable struct{ reads int }
 
-func (l *losing) Commit(context.Context, table.Transaction) (table.Committed, error) {
+func (l *answerLosingTable) Commit(context.Context, table.Transaction) (table.Committed, error) {
 	return table.Committed{}, fault.New(fault.Unknown, "table", "the answer was lost", "read it")
 }
 
-func (l *losing) Read(context.Context, table.Range) (table.Page, error) {
+func (l *answerLosingTable) Read(context.Context, table.Range) (table.Page, error) {
 	l.reads++
 	return table.Page{}, nil
 }
 
-func (l *losing) Changes(context.Context, string, int64, time.Duration) (table.Page, error) {
+func (l *answerLosingTable) Changes(context.Context, string, int64, time.Duration) (table.Page, error) {
 	return table.Page{}, nil
 }
 
 // Two commits without an answer send the next calls to peers first. Where no
 // peer is known the straight way is the only one, so it is taken.
-func TestAHostWithoutPeersAsksTheTableStraightAlsoAfterFailures(t *testing.T) {
+func TestWithoutPeersTheTableIsCalledDirectlyAfterFailures(t *testing.T) {
 	t.Parallel()
-	l := &losing{}
+	l := &answerLosingTable{}
 	c := store.New(l, func() []store.Peer { return nil }, metrics.NewRegistry(), clock.Now())
 	for range 2 {
 		_, err := c.Commit(t.Context(), table.Transaction{})
