--- a/pkg/connection/fleetpeer/client.go
+++ b/pkg/connection/fleetpeer/client.go
@@ -1,8 +1,8 @@
 // Package fleetpeer is the connection between entry hosts of a fleet, over
 // gRPC: a client for each address, and the serving side.
 //
-// Nothing here decides anything. A peer that does not answer costs its caller
-// a bounded wait and no more.
+// The package makes no decisions. A peer that does not answer costs its caller
+// a bounded wait only.
 package fleetpeer
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Clients holds a connection for each address that was asked for.
+// Clients holds one gRPC connection for each address that To was called with.
 type Clients struct {
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -29,13 +29,13 @@
 	conns map[string]*grpc.ClientConn
 }
 
-// NewClients returns no connections yet. dial opens one; it should notice a
-// peer that has gone dark.
+// NewClients returns a Clients without connections. dial opens a connection, which should
+// fail when its peer stops acknowledging data.
 func NewClients(dial func(ctx context.Context, network, address string) (net.Conn, error)) *Clients {
 	return &Clients{dial: dial, conns: map[string]*grpc.ClientConn{}}
 }
 
-// To returns the client for an address.
+// To returns the client of the peer at the address, and opens its connection when first used.
 func (c *Clients) To(address string) (*Peer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,17 +63,17 @@
 	return &Peer{FleetClient: wire.NewFleetClient(conn), address: address}, nil
 }
 
-// bufferSize keeps the memory of a connection small: messages between peers
-// are a few KB.
+// bufferSize is the size in bytes of a connection's read and write buffers. It is small
+// to save memory: messages between peers are a few KB.
 const bufferSize = 8 << 10
 
-// Keep closes the connections to addresses that are not wanted any more.
+// Keep closes the connections to all addresses that are not in wanted.
 func (c *Clients) Keep(wanted map[string]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, conn := range c.conns {
 		if !wanted[address] {
-			_ = conn.Close() // nobody uses it
+			_ = conn.Close() // no caller uses this connection any more
 			delete(c.conns, address)
 		}
 	}
@@ -85,8 +85,8 @@
 	address string
 }
 
-// CommitFor asks the peer to commit a transaction in our stead. The error has the
-// code NotRun if the peer can't have been asked.
+// CommitFor asks the peer to commit a transaction on behalf of this host. The error has the
+// code NotRun if the request was certainly not sent to the peer.
 func (p *Peer) CommitFor(ctx context.Context, t table.Transaction) (table.Committed, error) {
 	ctx, mark := sent.WatchRPC(ctx)
 	reply, err := p.Commit(ctx, encodeTransaction(t))
@@ -105,7 +105,7 @@
 	}, nil
 }
 
-// ReadFor asks the peer to read a range in our stead.
+// ReadFor asks the peer to read a range on behalf of this host.
 func (p *Peer) ReadFor(ctx context.Context, r table.Range) (table.Page, error) {
 	reply, err := p.Read(ctx, &wire.TableRead{Table: r.Table, Part: r.Part, From: r.From, To: r.To, Limit: int32(r.Limit)})
 	if err != nil {
--- a/pkg/connection/fleetpeer/client_test.go
+++ b/pkg/connection/fleetpeer/client_test.go
@@ -15,7 +15,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// unresponsivePeer is a peer that takes a call in and never answers it.
+// unresponsivePeer is a peer that receives a call and never answers it.
 type unresponsivePeer struct {
 	wire.UnimplementedFleetServer
 	received chan struct{}
@@ -48,22 +48,23 @@
 	return l
 }
 
-// Callers of a hall that is cut off ask elsewhere only if they are told that nothing has run.
+// Clients of a disconnected hall retry in another hall only after an answer that nothing has run.
+// So a commit that did not reach any peer must be reported as NotRun.
 func TestCommitReportsNotRunOnlyWhenThePeerWasNotReached(t *testing.T) {
 	t.Parallel()
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("no listener at the address", func(t *testing.T) {
 		t.Parallel()
 		l := listen(t)
 		address := l.Addr().String()
 		must.NoError(t, l.Close())
 		must.Eq(t, fault.NotRun, fault.CodeOf(commit(t, address, 5*time.Second)))
 	})
-	t.Run("nobody answers the connection", func(t *testing.T) {
+	t.Run("connection accepted, no server", func(t *testing.T) {
 		t.Parallel()
-		l := listen(t) // it is accepted by the kernel, and no server speaks
+		l := listen(t) // the kernel accepts the connection, and no server answers on it
 		must.Eq(t, fault.NotRun, fault.CodeOf(commit(t, l.Addr().String(), 300*time.Millisecond)))
 	})
-	t.Run("the peer was asked", func(t *testing.T) {
+	t.Run("peer received the call", func(t *testing.T) {
 		t.Parallel()
 		l := listen(t)
 		server := grpc.NewServer()
--- a/pkg/connection/fleetpeer/server.go
+++ b/pkg/connection/fleetpeer/server.go
@@ -9,7 +9,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Control is the control thread, as far as peers speak to it.
+// Control is the part of the control thread that peers call.
 type Control interface {
 	Accepted(spec *wire.JobSpec)
 	Cancelled(cell, id string)
@@ -20,61 +20,61 @@
 	Yield(cell string)
 }
 
-// Table is the table as this host reaches it straight.
+// Table is the table service, called directly by this host.
 type Table interface {
 	table.Reader
 	Commit(ctx context.Context, t table.Transaction) (table.Committed, error)
 }
 
-// Server answers peers.
+// Server serves the calls of peers.
 type Server struct {
 	wire.UnimplementedFleetServer
 	Control Control
 	Table   Table
 }
 
-// Accepted takes a job that another host put into the table.
+// Accepted passes on a job that another host has written to the table, and returns the cell's load.
 func (s *Server) Accepted(ctx context.Context, m *wire.AcceptedJob) (*wire.CellLoad, error) {
 	s.Control.Accepted(m.GetSpec())
 	return s.Control.LoadFor(ctx, &wire.CellRef{Cell: m.GetSpec().GetCell()}), nil
 }
 
-// Cancelled takes word of a cancel that stands in the table.
+// Cancelled passes on that a cancellation of a job is in the table.
 func (s *Server) Cancelled(_ context.Context, m *wire.JobRef) (*wire.Empty, error) {
 	s.Control.Cancelled(m.GetCell(), m.GetId())
 	return &wire.Empty{}, nil
 }
 
-// Returned takes word of what became of tasks that this host's cell has lent.
+// Returned passes on the results of tasks that a cell of this host has delegated.
 func (s *Server) Returned(_ context.Context, m *wire.ReturnedTasks) (*wire.Empty, error) {
 	s.Control.Returned(m)
 	return &wire.Empty{}, nil
 }
 
-// State tells a job's state, if this host leads its cell.
+// State returns the phase of a job if this host leads its cell.
 func (s *Server) State(ctx context.Context, m *wire.JobRef) (*wire.JobStateReply, error) {
 	phase, known := s.Control.Phase(ctx, m.GetCell(), m.GetId())
 	return &wire.JobStateReply{Known: known, Phase: phase}, nil
 }
 
-// Load tells a cell's load, if this host leads it.
+// Load returns the load of a cell if this host leads it.
 func (s *Server) Load(ctx context.Context, m *wire.CellRef) (*wire.CellLoad, error) {
 	return s.Control.LoadFor(ctx, m), nil
 }
 
-// TakeOver asks this host to take a seat that is being released.
+// TakeOver asks this host to take over the leadership of a cell that its leader is releasing.
 func (s *Server) TakeOver(_ context.Context, m *wire.CellRef) (*wire.Empty, error) {
 	s.Control.TakeOver(m.GetCell())
 	return &wire.Empty{}, nil
 }
 
-// Yield asks this host to release a cell of another hall.
+// Yield asks this host to release the leadership of a cell of another hall.
 func (s *Server) Yield(_ context.Context, m *wire.CellRef) (*wire.Empty, error) {
 	s.Control.Yield(m.GetCell())
 	return &wire.Empty{}, nil
 }
 
-// Commit commits in a peer's stead.
+// Commit commits a transaction on behalf of a peer.
 func (s *Server) Commit(ctx context.Context, m *wire.TableCommit) (*wire.TableCommitReply, error) {
 	done, err := s.Table.Commit(ctx, decodeTransaction(m))
 	if err != nil {
@@ -85,7 +85,7 @@
 	}, nil
 }
 
-// Read reads in a peer's stead.
+// Read reads a range on behalf of a peer.
 func (s *Server) Read(ctx context.Context, m *wire.TableRead) (*wire.TableReadReply, error) {
 	page, err := s.Table.Read(ctx, table.Range{Table: m.GetTable(), Part: m.GetPart(), From: m.GetFrom(), To: m.GetTo(), Limit: int(m.GetLimit())})
 	if err != nil {
--- a/pkg/connection/life/life.go
+++ b/pkg/connection/life/life.go
@@ -1,12 +1,12 @@
-// Package life binds HTTP requests to one life of the process at the other end.
+// Package life binds HTTP requests to one incarnation of a server process.
 //
-// A process may start again at the address, and under the name, that it had, and know nothing
-// of before. A connection ends with a life. So whoever makes a connection asks at once, on that
-// very connection, which life it has reached; and a request that is for one life is written only
-// to a connection that reaches it. Else its body is never sent, so that nothing was asked.
+// A restarted process may have the address and name of its predecessor, but none of its state.
+// A connection does not outlive the incarnation that accepted it. So the dialer asks on each
+// new connection for the incarnation, and the body of a bound request is sent only on a
+// connection to its incarnation. On any other connection the request is not executed.
 //
-// Data flows: Bind puts into a call's context which life it is for, and how to ask; Dialer asks
-// when a connection is made; Body, read once a connection was chosen, sends or refuses.
+// Bind stores the incarnation and the function that asks for it in the call's context; Dialer
+// asks on each new connection; Body sends or refuses once net/http has chosen a connection.
 package life
 
 import (
@@ -20,50 +20,54 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// ErrOther says that a request was not sent, since another life than the one that it was
-// for is at the other end, or since that could not be found out.
+// ErrOther reports that a request was not sent: its connection leads to another incarnation,
+// or the incarnation is not known.
 var ErrOther = fault.New(fault.NotRun, "", "another life answers there", "look anew")
 
-// Ask finds out on a new connection which life is at the other end; 0: it does not say.
+// Ask returns the incarnation at the other end of a new connection, identified by the time at
+// which its process was born, or 0 when the process does not report it.
 type Ask func(ctx context.Context, c net.Conn) (born int64, err error)
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 const (
-	// Any is the life of a call that is for whoever answers, and of a process that does not say.
+	// Any is the incarnation of a call that any incarnation may answer, and of a process that
+	// does not report its incarnation.
 	Any = 0
-	// unknownIncarnation is that of a connection on which nobody has said yet.
+	// unknownIncarnation marks a connection on which no answer has named the incarnation yet.
 	unknownIncarnation = -1
-	// Refused is that of a process which would not say: no call for a certain life is for it.
+	// Refused marks a connection whose process refused to name its incarnation: no call that
+	// is bound to a certain incarnation is sent on it.
 	Refused = -2
 )
 
-// incarnationConn is a connection that knows which life it reaches.
+// incarnationConn is a connection together with the incarnation at its other end.
 type incarnationConn struct {
 	net.Conn
 	born atomic.Int64
 }
 
-// Binding is what one call is bound to.
+// Binding is the incarnation that one call is bound to, and the state of this call.
 type Binding struct {
-	born  int64
-	ask   Ask
+	born         int64
+	ask          Ask
 	otherReached atomic.Bool
-	// chosen is the connection that the call was given.
+	// chosen is the connection that net/http has chosen for the call.
 	chosen atomic.Pointer[incarnationConn]
 }
 
 type key struct{}
 
-// Bind binds the call that is made with the returned context to a life.
+// Bind returns a context that binds the call made with it to an incarnation, or to none if born
+// is Any.
 func Bind(ctx context.Context, born int64, ask Ask) (context.Context, *Binding) {
 	b := &Binding{born: born, ask: ask}
 	ctx = context.WithValue(ctx, key{}, b)
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: b.connChosen}), b
 }
 
-// Of is the binding of a call; nil: it has none.
+// Of returns the binding in a call's context, or nil.
 func Of(ctx context.Context) *Binding {
 	b, _ := ctx.Value(key{}).(*Binding)
 	return b
@@ -74,24 +78,25 @@
 	b.chosen.Store(c)
 }
 
-// Other says whether the call was not made, since it was for another life.
+// Other returns whether the call was not sent because its connection does not lead to the
+// incarnation that the call is bound to.
 func (b *Binding) Other() bool { return b.otherReached.Load() }
 
-// Unasked says whether nobody had said yet who is at the other end of the connection that the
-// call was given. Another one may do.
+// Unasked returns whether the incarnation at the other end of the chosen connection is still
+// unknown. A retry may get another connection.
 func (b *Binding) Unasked() bool {
 	c := b.chosen.Load()
 	return c != nil && c.born.Load() == unknownIncarnation
 }
 
-// Learn takes in which life has answered the call.
+// Learn records for the chosen connection which incarnation has answered the call.
 func (b *Binding) Learn(born int64) {
 	if c := b.chosen.Load(); c != nil {
 		c.born.CompareAndSwap(unknownIncarnation, born)
 	}
 }
 
-// reachesBoundIncarnation says whether the connection that was chosen reaches the life that the call is for.
+// reachesBoundIncarnation returns whether the call may be sent on the chosen connection.
 func (b *Binding) reachesBoundIncarnation() bool {
 	c := b.chosen.Load()
 	if b.born == Any || c == nil {
@@ -101,8 +106,8 @@
 	return reached == b.born || reached == Any
 }
 
-// Dialer makes connections that know which life they reach, as soon as a call that is for a
-// certain one wants to know.
+// Dialer returns a dial function that records the incarnation at the other end of a connection.
+// It asks for it only when the call is bound to a certain incarnation.
 func Dialer(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		plain, err := dial(ctx, network, address)
@@ -117,7 +122,7 @@
 		}
 		born, err := b.ask(ctx, plain)
 		if err != nil {
-			_ = plain.Close() // the cause is told
+			_ = plain.Close() // the error of ask is returned
 			return nil, err
 		}
 		c.born.Store(born)
@@ -125,18 +130,20 @@
 	}
 }
 
-// body is a request's body that is sent to its life only.
+// body is a request body that is sent only to the incarnation of its binding.
 type body struct {
 	io.Reader
 	binding *Binding
 }
 
-// Body returns the body of a bound call. It is read when the call has its connection.
+// Body returns the request body of a bound call. net/http reads it once it has chosen a
+// connection.
 func (b *Binding) Body(data []byte) io.ReadCloser {
 	return &body{Reader: bytes.NewReader(data), binding: b}
 }
 
-// Read gives what is to be sent, or nothing at all.
+// Read reads the data, or returns ErrOther before the first byte when the connection does not
+// lead to the bound incarnation.
 func (r *body) Read(p []byte) (int, error) {
 	if !r.binding.reachesBoundIncarnation() {
 		r.binding.otherReached.Store(true)
@@ -145,5 +152,5 @@
 	return r.Reader.Read(p)
 }
 
-// Close is for io.Closer.
+// Close does nothing: the data is in memory.
 func (r *body) Close() error { return nil }
--- a/pkg/connection/patience/patience.go
+++ b/pkg/connection/patience/patience.go
@@ -1,10 +1,9 @@
-// Package patience bounds a call by the silence of the other side instead of by the
-// length of the call.
+// Package patience ends a call when no data has arrived for a given time, rather than
+// after a fixed total time.
 //
-// Load pattern: an answer of 250 kB on a link of 2 Mbit/s takes a second, and longer
-// beside other traffic. Ended after a fixed time it is asked for again from its start,
-// and the link carries nothing but beginnings of it, for as long as the process lives.
-// An answer that still comes is therefore waited for; one that stands still is not.
+// An answer of 250 kB takes a second on a link of 2 Mbit/s, and longer beside other
+// traffic. A fixed timeout would end the call, its retry would start from the first byte,
+// and the link would carry nothing but first parts of the answer for the life of the process.
 package patience
 
 import (
@@ -14,8 +13,8 @@
 
 type key struct{}
 
-// WithSilence returns a context that ends when Heard was not called for so long, and
-// after most in any case.
+// WithSilence returns a context that ends when Heard has not been called for the time
+// silence, and after the time most in any case.
 func WithSilence(ctx context.Context, silence, most time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	timer := time.AfterFunc(silence, cancel)
@@ -26,8 +25,8 @@
 	}
 }
 
-// Heard says that something came for the call of a context. On one that is not bounded
-// by silence it does nothing.
+// Heard restarts the idle timeout of a context that WithSilence returned. It does nothing
+// for any other context.
 func Heard(ctx context.Context) {
 	if heard, ok := ctx.Value(key{}).(func()); ok {
 		heard()
--- a/pkg/connection/patience/patience_test.go
+++ b/pkg/connection/patience/patience_test.go
@@ -19,7 +19,7 @@
 		must.NoError(t, ctx.Err())
 		patience.Heard(ctx)
 	}
-	<-ctx.Done() // and silence ends it
+	<-ctx.Done() // ended by the idle timeout
 }
 
 func TestTotalTimeIsBounded(t *testing.T) {
@@ -28,5 +28,5 @@
 	defer cancel()
 	<-ctx.Done()
 	must.ErrorIs(t, ctx.Err(), context.DeadlineExceeded)
-	patience.Heard(context.Background()) // is nothing
+	patience.Heard(context.Background()) // has no effect
 }
--- a/pkg/connection/peer/peers.go
+++ b/pkg/connection/peer/peers.go
@@ -1,8 +1,8 @@
 // Package peer is the connection between entry hosts, over gRPC: a client for each host in the
 // platform's list, and the serving side. The gateway, the settings store and operators call it.
 //
-// It decides nothing: peers hand over settings, answer for keys, and pass on news. A peer that
-// can't be reached costs its caller a bounded wait and no more.
+// Peers exchange settings, answer questions about idempotency keys, and forward notices. The
+// package makes no decisions. An unreachable peer costs its caller a bounded wait only.
 package peer
 
 import (
@@ -18,28 +18,28 @@
 )
 
 const (
-	// keyAnswerTimeout is how long a peer may take to answer for a key.
+	// keyAnswerTimeout bounds the wait for the peers' answers about a key.
 	keyAnswerTimeout = 250 * time.Millisecond
-	// notifyTimeout is how long a peer may take to take news in.
+	// notifyTimeout bounds all other calls to peers.
 	notifyTimeout = time.Second
-	// departedRetention is how long a peer that left the list still counts as one that
-	// can't be reached: the longest key window.
+	// departedRetention is the time for which a peer that has left the host list still counts
+	// as unreachable: the longest window of an idempotency key.
 	departedRetention = time.Hour
 )
 
-// Peers is the set of the other entry hosts. It is safe for many goroutines.
+// Peers is the set of the other entry hosts. It is safe for concurrent use.
 type Peers struct {
 	name string
 	hall string
 
-	mu       sync.Mutex
-	known    map[string]*peer
-	departed map[string]time.Time
-	hasHostList   bool
+	mu          sync.Mutex
+	known       map[string]*peer
+	departed    map[string]time.Time
+	hasHostList bool
 	wakeOwnLoop func()
 }
 
-// peer is one other entry host.
+// peer is the connection to one other entry host.
 type peer struct {
 	name    string
 	hall    string
@@ -48,13 +48,14 @@
 	client  wire.PeerClient
 }
 
-// NewPeers returns the empty set of the named entry host. wakeSelf wakes the
-// control loop of this process.
+// NewPeers returns an empty set of peers for the entry host with this name and hall.
+// wakeSelf wakes the control loop of this process.
 func NewPeers(name, hall string, wakeSelf func()) *Peers {
 	return &Peers{name: name, hall: hall, known: map[string]*peer{}, departed: map[string]time.Time{}, wakeOwnLoop: wakeSelf}
 }
 
-// SetHosts takes in the entry hosts of the host list.
+// SetHosts opens connections to the entry hosts that are new in the host list, and closes
+// those to hosts that are no longer in it.
 func (p *Peers) SetHosts(now time.Time, hosts []*wire.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +96,7 @@
 		grpc.WithNoProxy(),
 	)
 	if err != nil {
-		return // not an address: the next list may have a better one
+		return // invalid address; the next host list may have a valid one
 	}
 	p.known[id] = &peer{name: h.GetName(), hall: h.GetHall(), address: h.GetControl(), conn: conn, client: wire.NewPeerClient(conn)}
 }
@@ -110,7 +111,7 @@
 	return out
 }
 
-// callEach calls every peer at once, and waits for all.
+// callEach calls f for all peers concurrently, and returns when all calls have returned.
 func (p *Peers) callEach(ctx context.Context, timeout time.Duration, f func(context.Context, *peer)) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -123,15 +124,16 @@
 
 // ------------------------------------------------------------------- keys
 
-// Asked sums up what the other entry hosts said of a key.
+// Asked summarizes the answers of the other entry hosts about an idempotency key.
 type Asked struct {
-	// MaybeRan: at least one has, or had, the key and may have run it.
+	// MaybeRan: at least one host has or had a request with the key that may have run.
 	MaybeRan bool
-	// Unsure: at least one could not be reached, or is younger than the window.
+	// Unsure: at least one host could not be reached, or its process is younger than the
+	// key's window.
 	Unsure bool
 }
 
-// Ask asks every peer about a key, in this host's name.
+// Ask asks all peers about a key. It sets q.Asker to this host.
 func (p *Peers) Ask(ctx context.Context, q *wire.AskRequest) Asked {
 	var mu sync.Mutex
 	window := time.Duration(q.GetWindowMs()) * time.Millisecond
@@ -148,8 +150,8 @@
 	return asked
 }
 
-// membershipIncomplete says whether there may be, or have been, entry hosts within the
-// window that can't be asked.
+// membershipIncomplete returns whether entry hosts that can't be asked may have existed
+// within the window: a peer has left the host list, or no list has been read yet.
 func (p *Peers) membershipIncomplete(now time.Time, window time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,23 +165,23 @@
 
 // ------------------------------------------------------------------- news
 
-// notify passes news on without waiting.
+// notify calls f for all peers in the background.
 func (p *Peers) notify(f func(context.Context, *peer)) {
 	go p.callEach(context.Background(), notifyTimeout, f)
 }
 
-// Offer hands a settings version to every peer.
+// Offer sends a version of the settings to all peers.
 func (p *Peers) Offer(row *wire.SettingsRow) {
 	p.notify(func(ctx context.Context, known *peer) { _, _ = known.client.Offer(ctx, row) })
 }
 
-// SpreadLeaving tells every peer that a backend server is leaving.
+// SpreadLeaving notifies all peers that a backend server is leaving.
 func (p *Peers) SpreadLeaving(service, name string) {
 	notice := &wire.LeavingNotice{Service: service, Name: name, ReportedBy: p.name}
 	p.notify(func(ctx context.Context, known *peer) { _, _ = known.client.Leaving(ctx, notice) })
 }
 
-// WakeLeader tells the entry hosts of a hall that its inbox has something.
+// WakeLeader notifies the entry hosts of a hall that the hall's inbox has new entries.
 func (p *Peers) WakeLeader(hall string) {
 	if hall == p.hall {
 		p.wakeOwnLoop()
@@ -191,8 +193,8 @@
 	})
 }
 
-// Fetch returns the highest settings version above the given one that any peer
-// has, or nil.
+// Fetch returns the settings of the highest version above have that any peer holds,
+// or nil if there are none.
 func (p *Peers) Fetch(ctx context.Context, have int64) *wire.SettingsRow {
 	var mu sync.Mutex
 	var best *wire.SettingsRow
@@ -207,7 +209,8 @@
 	return best
 }
 
-// Explain asks every peer; those that lead a hall answer.
+// Explain asks all peers for the facts about a name, and returns the answers of those
+// that lead a hall and know facts.
 func (p *Peers) Explain(ctx context.Context, name string) []*wire.Answer {
 	var mu sync.Mutex
 	var answers []*wire.Answer
--- a/pkg/connection/peer/server.go
+++ b/pkg/connection/peer/server.go
@@ -7,30 +7,30 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Settings is what the server needs of the settings in force.
+// Settings provides and updates the settings in force, for the server.
 type Settings interface {
 	Row() *wire.SettingsRow
 	Accept(row *wire.SettingsRow) bool
 }
 
-// Leaving takes in the news of a leaving backend server.
+// Leaving marks backend servers as leaving.
 type Leaving interface {
 	SetLeaving(service, name string) bool
 }
 
-// Control is what the server needs of the control loop.
+// Control is the part of the control loop that the server calls.
 type Control interface {
 	Wake()
 	Leads() bool
 	Facts(ctx context.Context, name string) ([]*wire.Fact, error)
 }
 
-// Keys is what this host knows of keys.
+// Keys answers peers' questions about idempotency keys from this host's records.
 type Keys interface {
 	Answer(now time.Time, q *wire.AskRequest) *wire.AskReply
 }
 
-// Server answers the other entry hosts.
+// Server serves the calls of the other entry hosts.
 type Server struct {
 	wire.UnimplementedPeerServer
 	Name     string
@@ -41,18 +41,19 @@
 	Control  Control
 }
 
-// Ask answers for a key, and leaves a promise.
+// Ask answers whether this host has seen a key. If not, this host promises to ask its peers
+// before it runs a request with the key.
 func (s *Server) Ask(_ context.Context, q *wire.AskRequest) (*wire.AskReply, error) {
 	return s.Keys.Answer(time.Now(), q), nil
 }
 
-// Offer takes in a settings version.
+// Offer accepts a version of the settings, and returns the version in force.
 func (s *Server) Offer(_ context.Context, row *wire.SettingsRow) (*wire.Have, error) {
 	s.Settings.Accept(row)
 	return &wire.Have{Version: s.Settings.Row().GetVersion()}, nil
 }
 
-// Fetch hands over the settings in force if they are newer than the asker's.
+// Fetch returns the settings in force if they are newer than the caller's, and else an empty row.
 func (s *Server) Fetch(_ context.Context, have *wire.Have) (*wire.SettingsRow, error) {
 	row := s.Settings.Row()
 	if row.GetVersion() <= have.GetVersion() {
@@ -61,13 +62,13 @@
 	return row, nil
 }
 
-// Leaving takes in that a backend server is leaving.
+// Leaving marks a backend server as leaving.
 func (s *Server) Leaving(_ context.Context, n *wire.LeavingNotice) (*wire.Have, error) {
 	s.Gateway.SetLeaving(n.GetService(), n.GetName())
 	return &wire.Have{}, nil
 }
 
-// Wake makes the leader read its inbox.
+// Wake makes this process read its inbox, if it leads its hall.
 func (s *Server) Wake(_ context.Context, _ *wire.Have) (*wire.Have, error) {
 	if s.Control.Leads() {
 		s.Control.Wake()
@@ -75,7 +76,7 @@
 	return &wire.Have{}, nil
 }
 
-// Explain answers if this process leads its hall.
+// Explain returns the facts about a name if this process leads its hall, and else an empty answer.
 func (s *Server) Explain(ctx context.Context, q *wire.Question) (*wire.Answer, error) {
 	if !s.Control.Leads() {
 		return &wire.Answer{}, nil
--- a/pkg/connection/platform/platform.go
+++ b/pkg/connection/platform/platform.go
@@ -1,9 +1,8 @@
-// Package platform speaks to what the users' platform provides: the
-// transactional table and the lagging list of hosts.
+// Package platform is the client of the users' platform: its transactional table
+// and its host list, which lags behind the actual hosts.
 //
-// Every call ends within the client's time limit. An error of Commit says that
-// nobody knows whether the transaction took effect; conflicts are no error but
-// part of the reply.
+// Every call ends within callTimeout. After an error of Commit the outcome of the
+// transaction is unknown. A conflict is not an error; the reply reports it.
 package platform
 
 import (
@@ -22,11 +21,11 @@
 )
 
 const (
-	// callTimeout is how long one call may take.
+	// callTimeout bounds the total time of one call.
 	callTimeout = 3 * time.Second
-	// connections bounds the connections of one process to the platform.
+	// connections is the maximum number of connections of one process to the platform.
 	connections = 16
-	// pageRows is how many rows one reading of a range asks for.
+	// pageRows is the maximum number of rows per page of a range read.
 	pageRows = 2000
 )
 
@@ -36,13 +35,13 @@
 	call *protohttp.Client
 }
 
-// NewClient returns a client for the platform at an address like
-// "127.0.0.1:7000", calling as the named process.
+// NewClient returns a client of the platform at the address, such as
+// "127.0.0.1:7000". from is the name that the process gives in its calls.
 func NewClient(address, from string) *Client {
 	return &Client{base: "http://" + address, call: protohttp.NewClient(from, connections)}
 }
 
-// Commit asks for one transaction.
+// Commit executes one transaction.
 func (c *Client) Commit(ctx context.Context, req *wire.CommitRequest) (*wire.CommitReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -50,7 +49,7 @@
 	return reply, c.call.Call(ctx, c.base+CommitPath, req, reply)
 }
 
-// Read reads rows by key, or one page of a range. Absent keys are left out.
+// Read reads rows by key, or one page of a range. The reply omits absent keys.
 func (c *Client) Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -58,7 +57,7 @@
 	return reply, c.call.Call(ctx, c.base+ReadPath, req, reply)
 }
 
-// Hosts reads the list of hosts.
+// Hosts returns the platform's host list.
 func (c *Client) Hosts(ctx context.Context) ([]*wire.Host, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -67,14 +66,13 @@
 	return reply.GetHosts(), err
 }
 
-// reader is what ReadAll needs.
+// reader reads rows of the table, for ReadAll and ReadOne.
 type reader interface {
 	Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error)
 }
 
-// ReadAll reads a whole range, page by page. Pages are read one after another,
-// so the range is not one snapshot; its readers hold a condition on what they
-// go on to write.
+// ReadAll reads all rows with a key prefix. It reads page after page, so the result
+// is not one snapshot: callers put conditions on the rows that they write afterwards.
 func ReadAll(ctx context.Context, t reader, prefix string) ([]*wire.Row, error) {
 	var all []*wire.Row
 	after := ""
@@ -91,7 +89,7 @@
 	}
 }
 
-// ReadOne reads one row; it is nil when the row is absent.
+// ReadOne returns the row with the key, or nil when the row is absent.
 func ReadOne(ctx context.Context, t reader, key string) (*wire.Row, error) {
 	reply, err := t.Read(ctx, &wire.ReadRequest{Keys: []string{key}})
 	if err != nil || len(reply.GetRows()) == 0 {
--- a/pkg/connection/protohttp/protohttp.go
+++ b/pkg/connection/protohttp/protohttp.go
@@ -1,6 +1,6 @@
-// Package protohttp carries protocol-buffer messages over plain HTTP: one POST,
-// one message each way. The platform's services and the workers are spoken to
-// in this way.
+// Package protohttp sends protocol-buffer messages over plain HTTP: one POST, with
+// one message in the request and one in the reply. The clients of the platform and
+// of the workers use it.
 package protohttp
 
 import (
@@ -15,12 +15,12 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// The headers and the media type of a call.
+// The header and media type of a call, and the size limit of a message.
 const (
 	// FromHeader names the calling process.
 	FromHeader = "Wrenferry-From"
 	mediaType  = "application/x-protobuf"
-	// maxMessage bounds what is read of one message.
+	// maxMessage is the maximum size in bytes that is read of one message.
 	maxMessage = 64 << 20
 )
 
@@ -30,7 +30,8 @@
 	http *http.Client
 }
 
-// NewClient returns a client that allows so many connections to one address.
+// NewClient returns a client that names its process as from, and opens at most the
+// given number of connections to one address.
 func NewClient(from string, connections int) *Client {
 	return &Client{from: from, http: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: connections,
@@ -38,9 +39,9 @@
 	}}}
 }
 
-// Call posts a message and reads the answer into out. An error with the code
-// NotRun means that the message was never sent; any other, that nobody knows
-// whether the other side took it in.
+// Call posts the message in and decodes the reply into out. An error with the code
+// NotRun means that the message was not sent. After any other error the caller can't
+// know whether the server has processed the message.
 func (c *Client) Call(ctx context.Context, url string, in, out proto.Message) error {
 	body, err := proto.Marshal(in)
 	if err != nil {
@@ -78,7 +79,7 @@
 	return fault.New(fault.NotRun, url, "no connection", "").WithCause(err)
 }
 
-// Receive reads the message of a call on the serving side.
+// Receive decodes the message of a request on the server's side.
 func Receive(r *http.Request, in proto.Message) error {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxMessage))
 	if err != nil {
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// Answer writes the answer of a call on the serving side.
+// Answer writes the reply to a request on the server's side.
 func Answer(w http.ResponseWriter, out proto.Message) error {
 	body, err := proto.Marshal(out)
 	if err != nil {
--- a/pkg/connection/runner/call.go
+++ b/pkg/connection/runner/call.go
@@ -11,26 +11,26 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// Client makes calls to backend servers. Calls and streams have connections of
-// their own, so that standing streams never keep calls waiting.
+// Client makes calls to backend servers. Calls and streams use separate connections,
+// so that long-lived streams never make calls wait.
 type Client struct {
-	calls   *http.Client
-	streams *http.Client
-	maxStreams    int
+	calls      *http.Client
+	streams    *http.Client
+	maxStreams int
 }
 
-// NewClient returns a client that holds at most so many connections to one
-// server: its 64 are shared by all entry hosts. Streams have the smaller half.
+// NewClient returns a client that opens at most the given number of connections to one
+// server: a server's 64 connections are shared by all entry hosts. Streams get the smaller half.
 func NewClient(connections int) *Client {
 	streams := max(1, connections/2)
 	return &Client{
-		calls:   newHTTPClient(max(1, connections-streams)),
-		streams: newHTTPClient(streams),
-		maxStreams:    streams,
+		calls:      newHTTPClient(max(1, connections-streams)),
+		streams:    newHTTPClient(streams),
+		maxStreams: streams,
 	}
 }
 
-// MostStreams is how many streams may stand to one server.
+// MostStreams returns the maximum number of open streams to one server.
 func (c *Client) MostStreams() int { return c.maxStreams }
 
 func newHTTPClient(connections int) *http.Client {
@@ -44,22 +44,22 @@
 	}
 }
 
-// Answer is a server's whole answer.
+// Answer is a server's complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 	Report Report
-	// Refused says that the server refused before anything ran.
+	// Refused means that the server refused the request before running anything.
 	Refused bool
 }
 
-// MaxAnswer bounds the answer of a server.
+// MaxAnswer is the maximum size of a server's answer in bytes.
 const MaxAnswer = 64 << 20
 
-// Call sends one request to one server, once, and reads the whole answer. When
-// it fails, the fault's code says NotRun if the server surely did not begin, and
-// Unknown otherwise.
+// Call sends one request to one server, without retry, and reads the complete answer.
+// On failure the fault's code is NotRun if the server certainly did not start the request,
+// and Unknown otherwise.
 func (c *Client) Call(ctx context.Context, address, service, kind, key string, header http.Header, body []byte) (*Answer, error) {
 	ctx, mark := sent.Watch(ctx)
 	url := "http://" + address + CallPath + service + "/" + kind
@@ -80,12 +80,12 @@
 	return readAnswer(resp, address)
 }
 
-// singleReadBody is a body that can't be read again. net/http sends a request with an
-// Idempotency-Key a second time by itself when it can rewind the body; whether
-// to try again is not its decision here.
+// singleReadBody is a body that can't be rewound. net/http retries a request with an
+// Idempotency-Key on its own when it can rewind the body; here the gateway decides
+// about retries.
 type singleReadBody struct{ io.Reader }
 
-// Close does nothing: the body is in memory.
+// Close does nothing: the data is in memory.
 func (singleReadBody) Close() error { return nil }
 
 func sendError(mark *sent.Mark, address string, err error) error {
@@ -113,7 +113,7 @@
 	return a, nil
 }
 
-// parseReport reads what the server said of itself.
+// parseReport returns the server's state from the status and headers of an answer.
 func parseReport(resp *http.Response) Report {
 	r := Report{Free: -1, Leaving: resp.Header.Get(LeavingHeader) != ""}
 	if n, err := strconv.Atoi(resp.Header.Get(FreeHeader)); err == nil {
@@ -128,7 +128,7 @@
 	return r
 }
 
-// Stream opens a standing stream from where the caller left off. The caller
+// Stream opens a long-lived event stream that continues after lastEventID. The caller
 // closes the response's body.
 func (c *Client) Stream(ctx context.Context, address, service, kind, lastEventID string) (*http.Response, error) {
 	url := "http://" + address + StreamPath + service + "/" + kind
--- a/pkg/connection/runner/candidate.go
+++ b/pkg/connection/runner/candidate.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Candidate is one backend server as this entry host sees it.
+// Candidate is the state of one backend server, as known to this entry host, for a Picker.
 type Candidate struct {
 	Name  string
 	Local bool // in this entry host's own hall
-	// Slots is how many requests the server runs at once.
+	// Slots is the number of requests that the server runs at once.
 	Slots int
-	// Own is what this host has outstanding there.
+	// Own is the number of this host's outstanding requests to the server.
 	Own int
-	// Others is what the server reported beyond that, at ReportedAt.
+	// Others is the number of other requests that the server reported at ReportedAt.
 	Others     int
 	ReportedAt time.Time
-	// Latency is the server's recent answer time, as of LatencyAt.
+	// Latency is the moving average of the server's answer times, as of LatencyAt.
 	Latency   time.Duration
 	LatencyAt time.Time
-	// Sent counts what this host ever sent there.
+	// Sent is the number of requests that this host has sent to the server so far.
 	Sent int64
 }
 
-// Picker is one policy. Pick returns the index of the candidate, or -1 when all
-// are full. It may keep state and belongs to one service.
+// Picker is a load-balancing policy for one service; it may keep state. Pick returns
+// the index of the chosen candidate, or -1 when all are full.
 type Picker interface {
 	Pick(now time.Time, list []Candidate, random *rand.Rand) int
 }
 
-// reportHalfLife is how fast a report loses weight. Requests last a fraction of
-// a second, so a report says little after one.
+// reportHalfLife is the time in which the weight of a server's report halves. Requests
+// last a fraction of a second, so a report that is a second old says little.
 const reportHalfLife = 200 * time.Millisecond
 
-// Load estimates how many requests a server has.
+// Load returns the estimated number of requests at the server.
 func (c Candidate) Load(now time.Time) float64 {
 	if c.ReportedAt.IsZero() {
 		return float64(c.Own)
@@ -43,7 +43,7 @@
 	return float64(c.Own) + float64(c.Others)*math.Exp2(-halves)
 }
 
-// Full says whether a server is taken to have no free slot.
+// Full returns whether the estimated load leaves no free slot at the server.
 func (c Candidate) Full(now time.Time) bool {
 	return c.Load(now) > float64(c.Slots)-0.5
 }
--- a/pkg/connection/runner/pool.go
+++ b/pkg/connection/runner/pool.go
@@ -8,9 +8,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Pool is what one entry host knows of one service's backend servers, from the
-// host list, from their answers, and from operators and peers. It is safe for
-// use by many goroutines.
+// Pool holds what one entry host knows about the backend servers of one service: from
+// the host list, from the servers' answers, and from operators and peers. It is safe for
+// concurrent use.
 type Pool struct {
 	hall string
 
@@ -21,53 +21,55 @@
 	picker  Picker
 	policy  string
 	random  *rand.Rand
-	freed   chan struct{} // closed and replaced whenever a slot may be free
+	freed   chan struct{} // closed and replaced whenever a slot may have become free
 }
 
-// server is one backend server as this entry host sees it.
+// server is the state of one backend server, as known to this entry host.
 type server struct {
 	name    string
 	address string
 	local   bool
 	listed  bool
 
-	leaving    bool
-	slots      int
-	outstanding        int
-	streams    int
-	otherLoad     int
-	reportedAt time.Time
-	latency    time.Duration
-	latencyAt  time.Time // of the newest answer, or when it was first open
-	sent       int64
+	leaving     bool
+	slots       int
+	outstanding int
+	streams     int
+	otherLoad   int
+	reportedAt  time.Time
+	latency     time.Duration
+	latencyAt   time.Time // time of the newest answer, or when the server could first be chosen
+	sent        int64
 
-	failures int
+	failures     int
 	ejectedUntil time.Time
-	probing  bool
+	probing      bool
 }
 
 const (
-	// defaultSlots is taken for a server that has not said how many it has.
+	// defaultSlots is the number of slots assumed for each server.
 	defaultSlots = 8
-	// initialLatency is taken for a server that has not answered yet.
+	// initialLatency is assumed for a server that has not answered yet.
 	initialLatency = 20 * time.Millisecond
-	// latencyWeight is the weight of the newest answer time.
+	// latencyWeight is the weight of the newest answer time in the moving average.
 	latencyWeight = 0.1
-	// failuresToEject is how many failures in a row take a server out.
+	// failuresToEject is the number of consecutive failures after which a server is
+	// ejected: it gets only probes, unless all servers are ejected.
 	failuresToEject = 5
-	// minEjection and outMost bound how long it stays out; each time doubles.
+	// minEjection and maxEjection bound the time of an ejection, which doubles with
+	// each failed probe.
 	minEjection = time.Second
-	maxEjection  = 30 * time.Second
+	maxEjection = 30 * time.Second
 )
 
-// NewPool returns an empty pool for an entry host in the hall. pickers returns the picker of a
-// policy by its name.
+// NewPool returns an empty pool for an entry host in the hall. pickers returns a new Picker for
+// the name of a policy.
 func NewPool(hall string, random *rand.Rand, pickers func(policy string) Picker) *Pool {
 	return &Pool{hall: hall, pickers: pickers, servers: map[string]*server{}, random: random, freed: make(chan struct{})}
 }
 
-// SetHosts takes in the service's part of the host list. A server that the list
-// no longer has takes no new work; what is in flight there goes on.
+// SetHosts updates the pool from the host list's entries of the service. A server that is
+// no longer in the list gets no new requests; requests in flight there continue.
 func (p *Pool) SetHosts(hosts []*wire.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,8 +97,8 @@
 	p.notifyFreed()
 }
 
-// SetLeaving marks a server as leaving: it gets nothing new. It says whether
-// that was news. A server that comes back does so under a new address.
+// SetLeaving marks a server as leaving, so that it gets no new requests. It returns
+// whether the server was known and not yet marked. A server that returns has a new address.
 func (p *Pool) SetLeaving(name string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +110,7 @@
 	return true
 }
 
-// Counts says how many servers there are, and how many of them take new work.
+// Counts returns the number of listed servers, and the number of those that are not leaving.
 func (p *Pool) Counts() (all, open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,9 +125,9 @@
 	return all, open
 }
 
-// Room estimates, for the limits, how many slots turn over for this host and how
-// long a request takes. A full service still turns over, so this host's part of
-// all slots is taken to be its part of the load.
+// Room returns estimates for the concurrency limits: this host's share of the service's slots,
+// and the mean latency of a request. A full service still completes requests, so this host's
+// share of the slots is taken to be its share of the load.
 func (p *Pool) Room(now time.Time) (slots int, latency time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -160,8 +162,8 @@
 	stream  bool
 }
 
-// Acquire chooses a server and counts the request as outstanding there. Names
-// in except are left out. It returns nil when no server has room.
+// Acquire chooses a server that is not in except, and counts the request as outstanding
+// there. It returns nil when no server has a free slot.
 func (p *Pool) Acquire(now time.Time, policy string, except map[string]bool) *Lease {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,9 +190,9 @@
 	return &Lease{pool: p, server: s, Name: s.name, Address: s.address, begin: now}
 }
 
-// AcquireStream chooses a server for a standing stream: a stream holds a
-// connection and no slot, so it goes where this host has the fewest, in the own
-// hall first. It returns nil when every server has as many as this host may open.
+// AcquireStream chooses a server for a long-lived stream. A stream holds a connection but no
+// slot, so it goes to the server with the fewest streams of this host, in this host's hall
+// if possible. It returns nil when every server has most streams of this host.
 func (p *Pool) AcquireStream(now time.Time, most int, except map[string]bool) *Lease {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -214,8 +216,8 @@
 	return s.streams < other.streams
 }
 
-// selectable lists the servers that may be chosen. Servers that fail everything are
-// left out, unless that would leave none.
+// selectable returns the servers that may be chosen. It omits ejected servers, unless
+// all are ejected.
 func (p *Pool) selectable(now time.Time, except map[string]bool) []*server {
 	var healthy, out []*server
 	for _, name := range p.order {
@@ -235,7 +237,7 @@
 	return out
 }
 
-// isAvailable says whether a server is in, or is due for one probe.
+// isAvailable returns whether the server is not ejected, or is due for one probe.
 func (s *server) isAvailable(now time.Time) bool {
 	if s.failures < failuresToEject {
 		return true
@@ -264,31 +266,32 @@
 
 // ---------------------------------------------------------------- answers
 
-// Verdict is what an answer says of a server.
+// Verdict classifies the outcome of a request for the health of its server.
 type Verdict int
 
 // The verdicts.
 const (
 	// Worked: the server answered.
 	Worked Verdict = iota
-	// Failed: it did not answer, or with a failure of its own.
+	// Failed: the server did not answer, or answered with a server error.
 	Failed
-	// Busy: it refused for want of a slot, which is no failure.
+	// Busy: the server refused for lack of a free slot, which is not a failure.
 	Busy
-	// Abandoned: the caller went away; nothing is learnt.
+	// Abandoned: the caller has gone; the outcome tells nothing about the server.
 	Abandoned
 )
 
-// Report is what came back with an answer.
+// Report is the state of a server as derived from one answer.
 type Report struct {
 	Verdict Verdict
-	// Free is how many slots the server said are free, or -1.
+	// Free is the number of free slots that the server reported, or -1 if it reported none.
 	Free int
-	// Leaving is set when the server said that it takes no new work.
+	// Leaving means that the server has announced that it takes no new work.
 	Leaving bool
 }
 
-// Done ends a lease. It says whether it is news that the server is leaving.
+// Done ends the lease and applies the report to the server. It returns whether the report
+// is the first to say that the server is leaving.
 func (l *Lease) Done(now time.Time, r Report) bool {
 	p := l.pool
 	p.mu.Lock()
@@ -329,7 +332,8 @@
 	}
 }
 
-// ejectionTime doubles with each failed probe.
+// ejectionTime returns the time of an ejection after the number of failed probes; it doubles
+// with each.
 func ejectionTime(probes int) time.Duration {
 	span := minEjection << min(probes, 5)
 	return min(span, maxEjection)
--- a/pkg/connection/runner/protocol.go
+++ b/pkg/connection/runner/protocol.go
@@ -1,21 +1,21 @@
-// Package runner speaks to the backend servers of services: it knows their interface, keeps
-// what each has said of itself, and sends calls and streams. The gateway calls it.
+// Package runner is the gateway's client of the backend servers of services. It defines their
+// HTTP interface, keeps the state that each server reports, and sends calls and streams.
 //
-// It does not choose among servers: a Picker does, which the gateway hands to each pool.
+// The choice among servers is made by a Picker, which the gateway passes to each pool.
 package runner
 
-// The interface that a backend server offers. A server without these headers
-// works too: it is then known by what the entry host itself has sent it.
+// The HTTP interface of a backend server. The headers are optional: without them
+// the entry host knows a server's load only from its own outstanding requests.
 const (
 	// CallPath and StreamPath are followed by SERVICE/KIND.
 	CallPath   = "/call/"
 	StreamPath = "/stream/"
-	// FreeHeader is in each answer: how many slots are free.
+	// FreeHeader, in each answer, is the number of free slots.
 	FreeHeader = "Wrenferry-Free"
-	// LeavingHeader is in an answer of a server that takes no new work.
+	// LeavingHeader, in an answer, means that the server takes no new work.
 	LeavingHeader = "Wrenferry-Leaving"
-	// RefusedHeader says that the server refused before anything ran.
+	// RefusedHeader, in an answer, means that the server refused the request before running anything.
 	RefusedHeader = "Wrenferry-Refused"
-	// KeyHeader carries the caller's key.
+	// KeyHeader, in a request, is the caller's idempotency key.
 	KeyHeader = "Idempotency-Key"
 )
--- a/pkg/connection/sent/rpc.go
+++ b/pkg/connection/sent/rpc.go
@@ -6,26 +6,26 @@
 	"google.golang.org/grpc/stats"
 )
 
-// The same question for calls over gRPC. Its client tells of a call's headers in the
-// goroutine that makes the call, before it returns; one that fails for want of a
-// connection, or that waits for one until its time is over, has had none.
+// Marks of gRPC calls. The gRPC client reports the sending of a call's headers in the
+// goroutine that makes the call, before the call returns. A call that gets no connection
+// before it fails or times out sends no headers.
 
 type rpcKey struct{}
 
-// WatchRPC returns a context to make one gRPC call with, and its mark. The connection
-// needs a Handler.
+// WatchRPC returns a context for one gRPC call, and the mark of this call. The connection
+// must have a Handler as its stats handler.
 func WatchRPC(ctx context.Context) (context.Context, *Mark) {
 	m := &Mark{}
 	return context.WithValue(ctx, rpcKey{}, m), m
 }
 
-// Handler sets the marks of a gRPC connection's calls.
+// Handler is a gRPC stats handler that sets the marks of a connection's calls.
 type Handler struct{}
 
-// TagRPC leaves a call's context as it is.
+// TagRPC returns the call's context unchanged.
 func (Handler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
-// HandleRPC takes in what becomes of a call.
+// HandleRPC sets the call's mark when the call's headers are sent.
 func (Handler) HandleRPC(ctx context.Context, s stats.RPCStats) {
 	if _, headers := s.(*stats.OutHeader); !headers {
 		return
@@ -35,8 +35,8 @@
 	}
 }
 
-// TagConn leaves a connection's context as it is.
+// TagConn returns the connection's context unchanged.
 func (Handler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
 
-// HandleConn takes nothing in.
+// HandleConn ignores the events of connections.
 func (Handler) HandleConn(context.Context, stats.ConnStats) {}
--- a/pkg/connection/sent/sent.go
+++ b/pkg/connection/sent/sent.go
@@ -1,8 +1,8 @@
-// Package sent knows whether an HTTP request can have reached the other side.
+// Package sent traces whether a request can have reached the server.
 //
-// "Not run" may be said only when it is sure, so the question is asked of the
-// connection itself: as long as the headers have not been written whole, the
-// other side can't have begun.
+// A client may report "not run" only when that is certain. The connection itself
+// decides: until all headers of the request have been written, the server can't
+// have begun to process it.
 package sent
 
 import (
@@ -11,18 +11,18 @@
 	"sync/atomic"
 )
 
-// Mark is set once a request may have reached the other side.
+// Mark records whether a request may have reached the server.
 type Mark struct{ wrote atomic.Bool }
 
-// Maybe says whether the other side may have the request.
+// Maybe returns whether the server may have received the request.
 func (m *Mark) Maybe() bool { return m.wrote.Load() }
 
-// Watch returns a context to make one request with, and its mark.
+// Watch returns a context for one HTTP request, and the mark of this request.
 func Watch(ctx context.Context) (context.Context, *Mark) {
 	m := &Mark{}
 	trace := &httptrace.ClientTrace{
-		// The hook is called before the headers leave the write buffer, so the
-		// mark can only be set too early, never too late.
+		// net/http calls this hook before the headers leave the write buffer, so the
+		// mark can be set too early but never too late.
 		WroteHeaders: func() { m.wrote.Store(true) },
 	}
 	return httptrace.WithClientTrace(ctx, trace), m
--- a/pkg/connection/store/store.go
+++ b/pkg/connection/store/store.go
@@ -1,9 +1,9 @@
-// Package store is a process's way to the table: straight, and through a peer
-// when the table turns this host away or can't be reached from it.
+// Package store is a process's access to the table: by direct calls, and through a
+// peer when the table refuses calls of this host or is unreachable from it.
 //
-// All transactions of wrenferry may be asked for twice: their conditions make
-// the second one a conflict. So what got no answer straight is asked for again
-// through a peer. The store's clock is read off every answer.
+// All transactions of wrenferry may be sent twice: their conditions turn the second
+// one into a conflict. So a direct call without an answer is retried through a peer.
+// Each answer carries the store's clock, which the client keeps.
 package store
 
 import (
@@ -20,64 +20,65 @@
 	"github.com/wrenferry/wrenferry/pkg/table"
 )
 
-// Direct is the table's own client.
+// Direct is the client that calls the table service itself.
 type Direct interface {
 	table.Reader
 	Commit(ctx context.Context, t table.Transaction) (table.Committed, error)
 	Changes(ctx context.Context, tableName string, after int64, wait time.Duration) (table.Page, error)
 }
 
-// Peer asks the table in our stead.
+// Peer is another entry host, which calls the table on behalf of this one.
 type Peer interface {
 	CommitFor(ctx context.Context, t table.Transaction) (table.Committed, error)
 	ReadFor(ctx context.Context, r table.Range) (table.Page, error)
 }
 
 const (
-	// directTimeout is how long the table may say nothing: fifty times what an ordinary
-	// call takes, and above what a slow table takes.
+	// directTimeout is the idle timeout of a direct call: fifty times the duration of an
+	// ordinary call, and above that of a call to a slow table.
 	directTimeout = 900 * time.Millisecond
-	// directLimit bounds a call whose answer still comes: eight times what the longest
-	// known row (a manifest of 1,000 queues, 250 kB) takes on a link of 2 Mbit/s.
+	// directLimit bounds the total time of a direct call: eight times the transfer time of the
+	// longest known row (a manifest of 1,000 queues, 250 kB) on a link of 2 Mbit/s.
 	directLimit = 8 * time.Second
-	// peerTimeout bounds a transaction through a peer, and peerReadTimeout a reading:
-	// its answer may be as long as a manifest.
+	// peerTimeout bounds a transaction through a peer. peerReadTimeout bounds a read through
+	// a peer, whose answer may be as long as a manifest.
 	peerTimeout     = 700 * time.Millisecond
 	peerReadTimeout = 2 * time.Second
-	// failuresToAvoid straight calls in a row send the next ones to peers
-	// first, for avoidFor.
+	// After failuresToAvoid consecutive failures of direct calls, calls go to peers
+	// first for the time avoidFor.
 	failuresToAvoid = 2
 	avoidFor        = time.Second
 )
 
-// Client is safe for many goroutines.
+// Client calls the table directly or through peers. It is safe for concurrent use.
 type Client struct {
 	direct  Direct
 	peers   func() []Peer
 	metrics metrics.Registry
 
 	clock atomic.Pointer[clockReading]
-	// lastAnswerAt is when a call was last answered, straight or not.
+	// lastAnswerAt is the time of the last answer, direct or through a peer, in nanoseconds
+	// since start.
 	lastAnswerAt atomic.Int64
 
-	mu       sync.Mutex
-	failures int
+	mu         sync.Mutex
+	failures   int
 	avoidUntil time.Time
-	start    time.Time
+	start      time.Time
 }
 
-// clockReading is a reading of the store's clock.
+// clockReading is the store's clock at a time of this host's clock.
 type clockReading struct {
 	storeTime time.Duration
 	readAt    time.Time
 }
 
-// New returns a client. peers lists those that may be asked, best first.
+// New returns a client. peers returns the peers that may be called, in order of preference.
 func New(direct Direct, peers func() []Peer, registry metrics.Registry, now time.Time) *Client {
 	return &Client{direct: direct, peers: peers, metrics: registry, start: now}
 }
 
-// Now is the store's clock, as far as it is known.
+// Now returns the store's clock, extrapolated from the newest answer, or 0 before the first answer.
 func (c *Client) Now(now time.Time) time.Duration {
 	r := c.clock.Load()
 	if r == nil {
@@ -86,7 +87,8 @@
 	return r.storeTime + now.Sub(r.readAt)
 }
 
-// SinceWorked is how long no call has been answered.
+// SinceWorked returns the time since the last answered call, or since the client's start if there
+// is none.
 func (c *Client) SinceWorked(now time.Time) time.Duration {
 	return now.Sub(c.start) - time.Duration(c.lastAnswerAt.Load())
 }
@@ -97,15 +99,15 @@
 	c.lastAnswerAt.Store(int64(now.Sub(c.start)))
 }
 
-// Avoiding says whether straight calls have been failing.
+// Avoiding returns whether the last failuresToAvoid direct calls have failed.
 func (c *Client) Avoiding() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failures >= failuresToAvoid
 }
 
-// peersFirst says whether to ask peers first; a straight call is tried again when
-// the time is over.
+// peersFirst returns whether calls go to peers first. A direct call is tried again when
+// avoidFor has passed since the last failure.
 func (c *Client) peersFirst() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,7 +125,7 @@
 	c.avoidUntil = clock.Now().Add(avoidFor)
 }
 
-// Commit asks for a transaction, straight or through a peer.
+// Commit executes a transaction, directly or through a peer.
 func (c *Client) Commit(ctx context.Context, t table.Transaction) (table.Committed, error) {
 	var done table.Committed
 	err := c.directThenPeers(ctx, "commit", peerTimeout,
@@ -140,7 +142,7 @@
 	return done, err
 }
 
-// Read reads a range, straight or through a peer.
+// Read reads a range, directly or through a peer.
 func (c *Client) Read(ctx context.Context, r table.Range) (table.Page, error) {
 	var page table.Page
 	err := c.directThenPeers(ctx, "read", peerReadTimeout,
@@ -157,7 +159,8 @@
 	return page, err
 }
 
-// Changes reads what has changed; only straight, since it waits.
+// Changes returns the changes of a table after a version. It waits up to wait for a change,
+// so it is called directly only.
 func (c *Client) Changes(ctx context.Context, tableName string, after int64, wait time.Duration) (table.Page, error) {
 	ctx, cancel := patience.WithSilence(ctx, wait+directTimeout, wait+directLimit)
 	defer cancel()
@@ -169,9 +172,9 @@
 	return page, err
 }
 
-// directThenPeers tries both ways. What is known of the outcome is the weaker of what
-// the tries tell: once one may have taken effect, nothing is "not run". Where no
-// peer is known the straight way is taken, whatever it did before.
+// directThenPeers calls the table directly, unless peersFirst, and then through each peer until
+// a call succeeds. If all fail and any of them may have taken effect, its error is returned, not
+// one with the code NotRun. Without peers the direct call is made even after failures.
 func (c *Client) directThenPeers(ctx context.Context, what string, peerLimit time.Duration, straight func(context.Context) (time.Duration, error), through func(context.Context, Peer) (time.Duration, error)) error {
 	var unknown, last error
 	keep := func(err error) {
@@ -210,21 +213,22 @@
 	return fault.New(fault.NotRun, "table", "no peer was asked within the time there was", "ask again")
 }
 
-// callDirect makes a call of the table itself, for as long as something comes of it.
+// callDirect makes a call to the table service itself. The call goes on while data arrives, up to
+// directLimit.
 func (c *Client) callDirect(ctx context.Context, call func(context.Context) (time.Duration, error)) error {
 	ctx, cancel := patience.WithSilence(ctx, directTimeout, directLimit)
 	defer cancel()
 	return c.recordOutcome(call(ctx))
 }
 
-// callPeer makes a call through a peer, within a limit.
+// callPeer makes a call through a peer within the time limit.
 func (c *Client) callPeer(ctx context.Context, limit time.Duration, call func(context.Context) (time.Duration, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return c.recordOutcome(call(ctx))
 }
 
-// recordOutcome takes the store's clock from a call that worked.
+// recordOutcome records the store's clock if the call has succeeded. It returns err.
 func (c *Client) recordOutcome(store time.Duration, err error) error {
 	if err == nil {
 		c.recordAnswer(store)
--- a/pkg/connection/store/store_test.go
+++ b/pkg/connection/store/store_test.go
@@ -14,7 +14,7 @@
 	"github.com/wrenferry/wrenferry/pkg/table"
 )
 
-// answerLosingTable is a table that makes commits and loses their answers, and reads.
+// answerLosingTable is a table that executes commits but loses their answers. Reads succeed.
 type answerLosingTable struct{ reads int }
 
 func (l *answerLosingTable) Commit(context.Context, table.Transaction) (table.Committed, error) {
@@ -30,8 +30,8 @@
 	return table.Page{}, nil
 }
 
-// Two commits without an answer send the next calls to peers first. Where no
-// peer is known the straight way is the only one, so it is taken.
+// After two commits without an answer, calls go to peers first. A host that knows no
+// peer must still call the table directly.
 func TestWithoutPeersTheTableIsCalledDirectlyAfterFailures(t *testing.T) {
 	t.Parallel()
 	l := &answerLosingTable{}
--- a/pkg/wire/values.go
+++ b/pkg/wire/values.go
@@ -1,8 +1,8 @@
-// Package wire holds everything that wrenferry sends or stores: messages and rows, generated
-// from the two schemas here, and what their values say of themselves. It decides nothing.
+// Package wire defines all messages that wrenferry sends and all rows that it stores. They are
+// generated from the two schemas here; this file adds methods that derive from their values alone.
 package wire
 
-// Terminal says whether a phase is one that a job never leaves.
+// Terminal returns whether a job in this phase stays in it forever.
 func (p JobPhase) Terminal() bool {
 	switch p {
 	case JobPhase_JOB_PHASE_COMPLETED, JobPhase_JOB_PHASE_FAILED, JobPhase_JOB_PHASE_CANCELLED:
@@ -12,8 +12,8 @@
 	}
 }
 
-// ImageOf names what a step's tasks run: tasks of one image behave alike. A step
-// that names none is taken for one of its queue's.
+// ImageOf returns the image of a step's tasks. Tasks of one image are taken to behave alike.
+// A step without an image gets its queue's name as its image.
 func (j *JobSpec) ImageOf(step *StepSpec) string {
 	if step.GetImage() != "" {
 		return step.GetImage()
