--- a/pkg/connection/life/life.go
+++ b/pkg/connection/life/life.go
@@ -22,7 +22,7 @@
 
 // ErrOther reports that a request was not sent: its connection leads to another incarnation,
 // or the incarnation is not known.
-var ErrOther = fault.New(fault.NotRun, "", "another life answers there", "look anew")
+var ErrOther = fault.New(fault.NotRun, "", "another incarnation answers at the address", "poll the worker again")
 
 // Ask returns the incarnation at the other end of a new connection, identified by the time at
 // which its process was born, or 0 when the process does not report it.
--- a/standins/main.go
+++ b/standins/main.go
@@ -1,6 +1,6 @@
-// Command standins is a test-support program: it runs one stand-in for a part of
-// the outside (the platform, a worker, or a runner of a service) as a process of
-// its own. It is built by the tests and ships with nothing.
+// Command standins is a test-support program. It runs one stand-in for a system that
+// wrenferry calls (the platform, a worker, or a backend server of a service) as a separate
+// process. The tests build it; it is not part of a release.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/wrenferry/wrenferry/pkg/standin"
 )
 
-// flags are what the command line sets, for all kinds of stand-in.
+// flags holds the values of the command line's flags, for all kinds of stand-in.
 type flags struct {
 	listen       string
 	name         string
@@ -47,14 +47,14 @@
 	set.BoolVar(&f.noFences.Sequence, "no-sequence", false, "a worker that obeys old messages")
 	set.BoolVar(&f.noFences.Lease, "no-lease", false, "a worker that goes on when its lease is over")
 	root.AddCommand(
-		sub("platform", "the table, the objects and the list of hosts", func() (http.Handler, error) {
+		standinCommand("platform", "the table, the objects and the list of hosts", func() (http.Handler, error) {
 			return standin.NewPlatform(f.lag), nil
 		}, f),
-		sub("worker", "a worker", func() (http.Handler, error) {
+		standinCommand("worker", "a worker", func() (http.Handler, error) {
 			size := ledger.Size{Millicores: f.millicores, MemoryMB: f.memoryMB, Accelerators: f.accelerators}
 			return standin.NewWorker(f.name, f.platform, f.record, size, ledger.Size{}, f.noFences)
 		}, f),
-		sub("runner", "one backend server of a service", func() (http.Handler, error) {
+		standinCommand("runner", "one backend server of a service", func() (http.Handler, error) {
 			return standin.NewRunner(f.name, f.record, f.slots)
 		}, f),
 	)
@@ -63,7 +63,7 @@
 	}
 }
 
-func sub(name, short string, build func() (http.Handler, error), f *flags) *cobra.Command {
+func standinCommand(name, short string, build func() (http.Handler, error), f *flags) *cobra.Command {
 	return &cobra.Command{Use: name, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		handler, err := build()
 		if err != nil {
