--- a/pkg/connection/fleetpeer/client_test.go
+++ b/pkg/connection/fleetpeer/client_test.go
@@ -27,7 +27,8 @@
 	return nil, ctx.Err()
 }
 
-func commit(t *testing.T, address string, span time.Duration) error {
+// commitError returns the error of a commit through the peer at the address.
+func commitError(t *testing.T, address string, span time.Duration) error {
 	t.Helper()
 	clients := fleetpeer.NewClients((&net.Dialer{}).DialContext)
 	defer clients.Keep(nil)
@@ -57,12 +58,12 @@
 		l := listen(t)
 		address := l.Addr().String()
 		must.NoError(t, l.Close())
-		must.Eq(t, fault.NotRun, fault.CodeOf(commit(t, address, 5*time.Second)))
+		must.Eq(t, fault.NotRun, fault.CodeOf(commitError(t, address, 5*time.Second)))
 	})
 	t.Run("connection accepted, no server", func(t *testing.T) {
 		t.Parallel()
 		l := listen(t) // the kernel accepts the connection, and no server answers on it
-		must.Eq(t, fault.NotRun, fault.CodeOf(commit(t, l.Addr().String(), 300*time.Millisecond)))
+		must.Eq(t, fault.NotRun, fault.CodeOf(commitError(t, l.Addr().String(), 300*time.Millisecond)))
 	})
 	t.Run("peer received the call", func(t *testing.T) {
 		t.Parallel()
@@ -72,7 +73,7 @@
 		wire.RegisterFleetServer(server, s)
 		go func() { _ = server.Serve(l) }()
 		defer server.Stop()
-		must.Eq(t, fault.Unknown, fault.CodeOf(commit(t, l.Addr().String(), 2*time.Second)))
+		must.Eq(t, fault.Unknown, fault.CodeOf(commitError(t, l.Addr().String(), 2*time.Second)))
 		<-s.received
 	})
 }
--- a/pkg/connection/patience/patience.go
+++ b/pkg/connection/patience/patience.go
@@ -14,12 +14,12 @@
 type key struct{}
 
 // WithSilence returns a context that ends when Heard has not been called for the time
-// silence, and after the time most in any case.
-func WithSilence(ctx context.Context, silence, most time.Duration) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(ctx, most)
-	timer := time.AfterFunc(silence, cancel)
-	heard := func() { timer.Reset(silence) }
-	return context.WithValue(ctx, key{}, heard), func() {
+// idle, and after the time total in any case.
+func WithSilence(ctx context.Context, idle, total time.Duration) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(ctx, total)
+	timer := time.AfterFunc(idle, cancel)
+	restart := func() { timer.Reset(idle) }
+	return context.WithValue(ctx, key{}, restart), func() {
 		timer.Stop()
 		cancel()
 	}
@@ -28,7 +28,7 @@
 // Heard restarts the idle timeout of a context that WithSilence returned. It does nothing
 // for any other context.
 func Heard(ctx context.Context) {
-	if heard, ok := ctx.Value(key{}).(func()); ok {
-		heard()
+	if restart, ok := ctx.Value(key{}).(func()); ok {
+		restart()
 	}
 }
--- a/pkg/connection/peer/peers.go
+++ b/pkg/connection/peer/peers.go
@@ -137,17 +137,17 @@
 func (p *Peers) Ask(ctx context.Context, q *wire.AskRequest) Asked {
 	var mu sync.Mutex
 	window := time.Duration(q.GetWindowMs()) * time.Millisecond
-	asked := Asked{Unsure: p.membershipIncomplete(time.Now(), window)}
+	answers := Asked{Unsure: p.membershipIncomplete(time.Now(), window)}
 	q.Asker = p.name
 	p.callEach(ctx, keyAnswerTimeout, func(ctx context.Context, known *peer) {
 		reply, err := known.client.Ask(ctx, q)
 		mu.Lock()
 		defer mu.Unlock()
 		young := reply.GetSeen() == wire.Seen_SEEN_PROMISED && reply.GetAgeMs() < window.Milliseconds()
-		asked.Unsure = asked.Unsure || err != nil || young
-		asked.MaybeRan = asked.MaybeRan || reply.GetSeen() == wire.Seen_SEEN_MAYBE_RAN
+		answers.Unsure = answers.Unsure || err != nil || young
+		answers.MaybeRan = answers.MaybeRan || reply.GetSeen() == wire.Seen_SEEN_MAYBE_RAN
 	})
-	return asked
+	return answers
 }
 
 // membershipIncomplete returns whether entry hosts that can't be asked may have existed
--- a/pkg/connection/platform/platform.go
+++ b/pkg/connection/platform/platform.go
@@ -23,8 +23,8 @@
 const (
 	// callTimeout bounds the total time of one call.
 	callTimeout = 3 * time.Second
-	// connections is the maximum number of connections of one process to the platform.
-	connections = 16
+	// maxConnections is the maximum number of connections of one process to the platform.
+	maxConnections = 16
 	// pageRows is the maximum number of rows per page of a range read.
 	pageRows = 2000
 )
@@ -38,7 +38,7 @@
 // NewClient returns a client of the platform at the address, such as
 // "127.0.0.1:7000". from is the name that the process gives in its calls.
 func NewClient(address, from string) *Client {
-	return &Client{base: "http://" + address, call: protohttp.NewClient(from, connections)}
+	return &Client{base: "http://" + address, call: protohttp.NewClient(from, maxConnections)}
 }
 
 // Commit executes one transaction.
--- a/pkg/connection/protohttp/protohttp.go
+++ b/pkg/connection/protohttp/protohttp.go
@@ -72,6 +72,8 @@
 	return nil
 }
 
+// sendError returns the fault of a call that got no answer: NotRun if it was certainly not
+// sent, and else Unavailable.
 func sendError(mark *sent.Mark, url string, err error) error {
 	if mark.Maybe() {
 		return fault.New(fault.Unavailable, url, "no answer", "").WithCause(err)
--- a/pkg/connection/runner/call.go
+++ b/pkg/connection/runner/call.go
@@ -33,6 +33,8 @@
 // MostStreams returns the maximum number of open streams to one server.
 func (c *Client) MostStreams() int { return c.maxStreams }
 
+// newHTTPClient returns an HTTP client with at most the given number of connections to one
+// server, which does not follow redirects.
 func newHTTPClient(connections int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -88,6 +90,8 @@
 // Close does nothing: the data is in memory.
 func (singleReadBody) Close() error { return nil }
 
+// sendError returns the fault of a request that got no answer: NotRun if it was certainly not
+// sent, and else Unknown.
 func sendError(mark *sent.Mark, address string, err error) error {
 	if mark.Maybe() {
 		return fault.New(fault.Unknown, address, "no whole answer", "").WithCause(err)
--- a/pkg/connection/runner/pool.go
+++ b/pkg/connection/runner/pool.go
@@ -192,13 +192,13 @@
 
 // AcquireStream chooses a server for a long-lived stream. A stream holds a connection but no
 // slot, so it goes to the server with the fewest streams of this host, in this host's hall
-// if possible. It returns nil when every server has most streams of this host.
-func (p *Pool) AcquireStream(now time.Time, most int, except map[string]bool) *Lease {
+// if possible. It returns nil when every server has maxStreams streams of this host.
+func (p *Pool) AcquireStream(now time.Time, maxStreams int, except map[string]bool) *Lease {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best *server
 	for _, s := range p.selectable(now, except) {
-		if s.streams < most && (best == nil || s.betterForStream(best)) {
+		if s.streams < maxStreams && (best == nil || s.betterForStream(best)) {
 			best = s
 		}
 	}
@@ -209,6 +209,7 @@
 	return &Lease{pool: p, server: best, Name: best.name, Address: best.address, begin: now, stream: true}
 }
 
+// betterForStream returns whether s is preferred to other for a new stream.
 func (s *server) betterForStream(other *server) bool {
 	if s.local != other.local {
 		return s.local
@@ -259,6 +260,7 @@
 	return p.freed
 }
 
+// notifyFreed wakes the goroutines that wait for a free slot. The pool must be locked.
 func (p *Pool) notifyFreed() {
 	close(p.freed)
 	p.freed = make(chan struct{})
@@ -309,6 +311,8 @@
 	return news
 }
 
+// applyReport updates the server's load, latency and failures after a request that took the
+// time took.
 func (s *server) applyReport(now time.Time, took time.Duration, r Report) {
 	s.probing = false
 	if r.Free >= 0 {
--- a/pkg/connection/store/store.go
+++ b/pkg/connection/store/store.go
@@ -93,6 +93,7 @@
 	return now.Sub(c.start) - time.Duration(c.lastAnswerAt.Load())
 }
 
+// recordAnswer records the time of an answer, and the store's clock that it carried.
 func (c *Client) recordAnswer(store time.Duration) {
 	now := clock.Now()
 	c.clock.Store(&clockReading{storeTime: store, readAt: now})
@@ -114,6 +115,7 @@
 	return c.failures >= failuresToAvoid && clock.Now().Before(c.avoidUntil)
 }
 
+// recordDirect counts consecutive failures of direct calls.
 func (c *Client) recordDirect(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,9 +177,9 @@
 // directThenPeers calls the table directly, unless peersFirst, and then through each peer until
 // a call succeeds. If all fail and any of them may have taken effect, its error is returned, not
 // one with the code NotRun. Without peers the direct call is made even after failures.
-func (c *Client) directThenPeers(ctx context.Context, what string, peerLimit time.Duration, straight func(context.Context) (time.Duration, error), through func(context.Context, Peer) (time.Duration, error)) error {
+func (c *Client) directThenPeers(ctx context.Context, operation string, peerLimit time.Duration, direct func(context.Context) (time.Duration, error), viaPeer func(context.Context, Peer) (time.Duration, error)) error {
 	var unknown, last error
-	keep := func(err error) {
+	recordError := func(err error) {
 		last = err
 		if fault.CodeOf(err) != fault.NotRun {
 			unknown = err
@@ -185,24 +187,24 @@
 	}
 	peers := c.peers()
 	if !c.peersFirst() || len(peers) == 0 {
-		err := c.callDirect(ctx, straight)
+		err := c.callDirect(ctx, direct)
 		c.recordDirect(err)
-		c.countCall(what, err)
+		c.countCall(operation, err)
 		if err == nil {
 			return nil
 		}
-		keep(err)
+		recordError(err)
 	}
 	for _, p := range peers {
 		if ctx.Err() != nil {
 			break
 		}
-		err := c.callPeer(ctx, peerLimit, func(ctx context.Context) (time.Duration, error) { return through(ctx, p) })
-		c.countCall(what+".peer", err)
+		err := c.callPeer(ctx, peerLimit, func(ctx context.Context) (time.Duration, error) { return viaPeer(ctx, p) })
+		c.countCall(operation+".peer", err)
 		if err == nil {
 			return nil
 		}
-		keep(err)
+		recordError(err)
 	}
 	switch {
 	case unknown != nil:
@@ -236,10 +238,11 @@
 	return err
 }
 
-func (c *Client) countCall(what string, err error) {
+// countCall counts a call in the metric of its operation and outcome.
+func (c *Client) countCall(operation string, err error) {
 	outcome := "ok"
 	if err != nil {
 		outcome = string(fault.CodeOf(err))
 	}
-	metrics.GetOrRegisterCounter("store."+what+"."+outcome, c.metrics).Inc(1)
+	metrics.GetOrRegisterCounter("store."+operation+"."+outcome, c.metrics).Inc(1)
 }
--- a/standins/main.go
+++ b/standins/main.go
@@ -63,6 +63,7 @@
 	}
 }
 
+// standinCommand returns the command that serves the handler that build returns.
 func standinCommand(name, short string, build func() (http.Handler, error), f *flags) *cobra.Command {
 	return &cobra.Command{Use: name, Short: short, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		handler, err := build()
