--- a/pkg/connection/fleetpeer/client_test.go
+++ b/pkg/connection/fleetpeer/client_test.go
@@ -15,19 +15,20 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// silent is a peer that takes a call in and never answers it.
-type silent struct {
+// unresponsivePeer is a peer that receives a call and never answers it.
+type unresponsivePeer struct {
 	wire.UnimplementedFleetServer
-	asked chan struct{}
+	received chan struct{}
 }
 
-func (s silent) Commit(ctx context.Context, _ *wire.TableCommit) (*wire.TableCommitReply, error) {
-	s.asked <- struct{}{}
+func (s unresponsivePeer) Commit(ctx context.Context, _ *wire.TableCommit) (*wire.TableCommitReply, error) {
+	s.received <- struct{}{}
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func commit(t *testing.T, address string, span time.Duration) error {
+// commitError returns the error of a commit through the peer at the address.
+func commitError(t *testing.T, address string, span time.Duration) error {
 	t.Helper()
 	clients := fleetpeer.NewClients((&net.Dialer{}).DialContext)
 	defer clients.Keep(nil)
@@ -48,30 +49,31 @@
 	return l
 }
 
-// Callers of a hall that is cut off ask elsewhere only if they are told that nothing has run.
-func TestACommitThatReachedNoPeerIsNotRun(t *testing.T) {
+// Clients of a disconnected hall retry in another hall only after an answer that nothing has run.
+// So a commit that did not reach any peer must be reported as NotRun.
+func TestCommitReportsNotRunOnlyWhenThePeerWasNotReached(t *testing.T) {
 	t.Parallel()
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("no listener at the address", func(t *testing.T) {
 		t.Parallel()
 		l := listen(t)
 		address := l.Addr().String()
 		must.NoError(t, l.Close())
-		must.Eq(t, fault.NotRun, fault.CodeOf(commit(t, address, 5*time.Second)))
+		must.Eq(t, fault.NotRun, fault.CodeOf(commitError(t, address, 5*time.Second)))
 	})
-	t.Run("nobody answers the connection", func(t *testing.T) {
+	t.Run("connection accepted, no server", func(t *testing.T) {
 		t.Parallel()
-		l := listen(t) // it is accepted by the kernel, and no server speaks
-		must.Eq(t, fault.NotRun, fault.CodeOf(commit(t, l.Addr().String(), 300*time.Millisecond)))
+		l := listen(t) // the kernel accepts the connection, and no server answers on it
+		must.Eq(t, fault.NotRun, fault.CodeOf(commitError(t, l.Addr().String(), 300*time.Millisecond)))
 	})
-	t.Run("the peer was asked", func(t *testing.T) {
+	t.Run("peer received the call", func(t *testing.T) {
 		t.Parallel()
 		l := listen(t)
 		server := grpc.NewServer()
-		s := silent{asked: make(chan struct{}, 1)}
+		s := unresponsivePeer{received: make(chan struct{}, 1)}
 		wire.RegisterFleetServer(server, s)
 		go func() { _ = server.Serve(l) }()
 		defer server.Stop()
-		must.Eq(t, fault.Unknown, fault.CodeOf(commit(t, l.Addr().String(), 2*time.Second)))
-		<-s.asked
+		must.Eq(t, fault.Unknown, fault.CodeOf(commitError(t, l.Addr().String(), 2*time.Second)))
+		<-s.received
 	})
 }
--- a/pkg/connection/patience/patience_test.go
+++ b/pkg/connection/patience/patience_test.go
@@ -10,7 +10,7 @@
 	"github.com/wrenferry/wrenferry/pkg/connection/patience"
 )
 
-func TestACallThatIsHeardGoesOn(t *testing.T) {
+func TestReceivedDataExtendsTheCall(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := patience.WithSilence(context.Background(), 300*time.Millisecond, time.Minute)
 	defer cancel()
@@ -19,14 +19,14 @@
 		must.NoError(t, ctx.Err())
 		patience.Heard(ctx)
 	}
-	<-ctx.Done() // and silence ends it
+	<-ctx.Done() // ended by the idle timeout
 }
 
-func TestTheWholeIsBounded(t *testing.T) {
+func TestTotalTimeIsBounded(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := patience.WithSilence(context.Background(), time.Minute, 20*time.Millisecond)
 	defer cancel()
 	<-ctx.Done()
 	must.ErrorIs(t, ctx.Err(), context.DeadlineExceeded)
-	patience.Heard(context.Background()) // is nothing
+	patience.Heard(context.Background()) // has no effect
 }
--- a/pkg/connection/runner/call.go
+++ b/pkg/connection/runner/call.go
@@ -11,29 +11,31 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// Client makes calls to backend servers. Calls and streams have connections of
-// their own, so that standing streams never keep calls waiting.
+// Client makes calls to backend servers. Calls and streams use separate connections,
+// so that long-lived streams never make calls wait.
 type Client struct {
-	calls   *http.Client
-	streams *http.Client
-	most    int
+	calls      *http.Client
+	streams    *http.Client
+	maxStreams int
 }
 
-// NewClient returns a client that holds at most so many connections to one
-// server: its 64 are shared by all entry hosts. Streams have the smaller half.
+// NewClient returns a client that opens at most the given number of connections to one
+// server: a server's 64 connections are shared by all entry hosts. Streams get the smaller half.
 func NewClient(connections int) *Client {
 	streams := max(1, connections/2)
 	return &Client{
-		calls:   limited(max(1, connections-streams)),
-		streams: limited(streams),
-		most:    streams,
+		calls:      newHTTPClient(max(1, connections-streams)),
+		streams:    newHTTPClient(streams),
+		maxStreams: streams,
 	}
 }
 
-// MostStreams is how many streams may stand to one server.
-func (c *Client) MostStreams() int { return c.most }
+// MostStreams returns the maximum number of open streams to one server.
+func (c *Client) MostStreams() int { return c.maxStreams }
 
-func limited(connections int) *http.Client {
+// newHTTPClient returns an HTTP client with at most the given number of connections to one
+// server, which does not follow redirects.
+func newHTTPClient(connections int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			MaxConnsPerHost:     connections,
@@ -44,26 +46,26 @@
 	}
 }
 
-// Answer is a server's whole answer.
+// Answer is a server's complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 	Report Report
-	// Refused says that the server refused before anything ran.
+	// Refused means that the server refused the request before running anything.
 	Refused bool
 }
 
-// MaxAnswer bounds the answer of a server.
+// MaxAnswer is the maximum size of a server's answer in bytes.
 const MaxAnswer = 64 << 20
 
-// Call sends one request to one server, once, and reads the whole answer. When
-// it fails, the fault's code says NotRun if the server surely did not begin, and
-// Unknown otherwise.
+// Call sends one request to one server, without retry, and reads the complete answer.
+// On failure the fault's code is NotRun if the server certainly did not start the request,
+// and Unknown otherwise.
 func (c *Client) Call(ctx context.Context, address, service, kind, key string, header http.Header, body []byte) (*Answer, error) {
 	ctx, mark := sent.Watch(ctx)
 	url := "http://" + address + CallPath + service + "/" + kind
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, once{bytes.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, singleReadBody{bytes.NewReader(body)})
 	if err != nil {
 		return nil, fault.New(fault.NotRun, address, "not an address", "").WithCause(err)
 	}
@@ -74,28 +76,30 @@
 	}
 	resp, err := c.calls.Do(req)
 	if err != nil {
-		return nil, failure(mark, address, err)
+		return nil, sendError(mark, address, err)
 	}
 	defer resp.Body.Close()
-	return read(resp, address)
+	return readAnswer(resp, address)
 }
 
-// once is a body that can't be read again. net/http sends a request with an
-// Idempotency-Key a second time by itself when it can rewind the body; whether
-// to try again is not its decision here.
-type once struct{ io.Reader }
+// singleReadBody is a body that can't be rewound. net/http retries a request with an
+// Idempotency-Key on its own when it can rewind the body; here the gateway decides
+// about retries.
+type singleReadBody struct{ io.Reader }
 
-// Close does nothing: the body is in memory.
-func (once) Close() error { return nil }
+// Close does nothing: the data is in memory.
+func (singleReadBody) Close() error { return nil }
 
-func failure(mark *sent.Mark, address string, err error) error {
+// sendError returns the fault of a request that got no answer: NotRun if it was certainly not
+// sent, and else Unknown.
+func sendError(mark *sent.Mark, address string, err error) error {
 	if mark.Maybe() {
 		return fault.New(fault.Unknown, address, "no whole answer", "").WithCause(err)
 	}
 	return fault.New(fault.NotRun, address, "the request was not sent", "").WithCause(err)
 }
 
-func read(resp *http.Response, address string) (*Answer, error) {
+func readAnswer(resp *http.Response, address string) (*Answer, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswer+1))
 	if err != nil {
 		return nil, fault.New(fault.Unknown, address, "the answer broke off", "").WithCause(err)
@@ -108,13 +112,13 @@
 		Header:  resp.Header,
 		Body:    body,
 		Refused: resp.Header.Get(RefusedHeader) != "",
-		Report:  report(resp),
+		Report:  parseReport(resp),
 	}
 	return a, nil
 }
 
-// report reads what the server said of itself.
-func report(resp *http.Response) Report {
+// parseReport returns the server's state from the status and headers of an answer.
+func parseReport(resp *http.Response) Report {
 	r := Report{Free: -1, Leaving: resp.Header.Get(LeavingHeader) != ""}
 	if n, err := strconv.Atoi(resp.Header.Get(FreeHeader)); err == nil {
 		r.Free = n
@@ -128,7 +132,7 @@
 	return r
 }
 
-// Stream opens a standing stream from where the caller left off. The caller
+// Stream opens a long-lived event stream that continues after lastEventID. The caller
 // closes the response's body.
 func (c *Client) Stream(ctx context.Context, address, service, kind, lastEventID string) (*http.Response, error) {
 	url := "http://" + address + StreamPath + service + "/" + kind
--- a/pkg/connection/store/store.go
+++ b/pkg/connection/store/store.go
@@ -1,9 +1,9 @@
-// Package store is a process's way to the table: straight, and through a peer
-// when the table turns this host away or can't be reached from it.
+// Package store is a process's access to the table: by direct calls, and through a
+// peer when the table refuses calls of this host or is unreachable from it.
 //
-// All transactions of wrenferry may be asked for twice: their conditions make
-// the second one a conflict. So what got no answer straight is asked for again
-// through a peer. The store's clock is read off every answer.
+// All transactions of wrenferry may be sent twice: their conditions turn the second
+// one into a conflict. So a direct call without an answer is retried through a peer.
+// Each answer carries the store's clock, which the client keeps.
 package store
 
 import (
@@ -20,99 +20,103 @@
 	"github.com/wrenferry/wrenferry/pkg/table"
 )
 
-// Direct is the table's own client.
+// Direct is the client that calls the table service itself.
 type Direct interface {
 	table.Reader
 	Commit(ctx context.Context, t table.Transaction) (table.Committed, error)
 	Changes(ctx context.Context, tableName string, after int64, wait time.Duration) (table.Page, error)
 }
 
-// Peer asks the table in our stead.
+// Peer is another entry host, which calls the table on behalf of this one.
 type Peer interface {
 	CommitFor(ctx context.Context, t table.Transaction) (table.Committed, error)
 	ReadFor(ctx context.Context, r table.Range) (table.Page, error)
 }
 
 const (
-	// directTimeout is how long the table may say nothing: fifty times what an ordinary
-	// call takes, and above what a slow table takes.
+	// directTimeout is the idle timeout of a direct call: fifty times the duration of an
+	// ordinary call, and above that of a call to a slow table.
 	directTimeout = 900 * time.Millisecond
-	// directMost bounds a call whose answer still comes: eight times what the longest
-	// known row (a manifest of 1,000 queues, 250 kB) takes on a link of 2 Mbit/s.
-	directMost = 8 * time.Second
-	// peerTimeout bounds a transaction through a peer, and peerReadTimeout a reading:
-	// its answer may be as long as a manifest.
+	// directLimit bounds the total time of a direct call: eight times the transfer time of the
+	// longest known row (a manifest of 1,000 queues, 250 kB) on a link of 2 Mbit/s.
+	directLimit = 8 * time.Second
+	// peerTimeout bounds a transaction through a peer. peerReadTimeout bounds a read through
+	// a peer, whose answer may be as long as a manifest.
 	peerTimeout     = 700 * time.Millisecond
 	peerReadTimeout = 2 * time.Second
-	// failuresToAvoid straight calls in a row send the next ones to peers
-	// first, for avoidFor.
+	// After failuresToAvoid consecutive failures of direct calls, calls go to peers
+	// first for the time avoidFor.
 	failuresToAvoid = 2
 	avoidFor        = time.Second
 )
 
-// Client is safe for many goroutines.
+// Client calls the table directly or through peers. It is safe for concurrent use.
 type Client struct {
 	direct  Direct
 	peers   func() []Peer
 	metrics metrics.Registry
 
-	clock atomic.Pointer[reading]
-	// workedAt is when a call was last answered, straight or not.
-	workedAt atomic.Int64
+	clock atomic.Pointer[clockReading]
+	// lastAnswerAt is the time of the last answer, direct or through a peer, in nanoseconds
+	// since start.
+	lastAnswerAt atomic.Int64
 
-	mu       sync.Mutex
-	failures int
-	avoidTil time.Time
-	start    time.Time
+	mu         sync.Mutex
+	failures   int
+	avoidUntil time.Time
+	start      time.Time
 }
 
-// reading is a reading of the store's clock.
-type reading struct {
-	store time.Duration
-	at    time.Time
+// clockReading is the store's clock at a time of this host's clock.
+type clockReading struct {
+	storeTime time.Duration
+	readAt    time.Time
 }
 
-// New returns a client. peers lists those that may be asked, best first.
+// New returns a client. peers returns the peers that may be called, in order of preference.
 func New(direct Direct, peers func() []Peer, registry metrics.Registry, now time.Time) *Client {
 	return &Client{direct: direct, peers: peers, metrics: registry, start: now}
 }
 
-// Now is the store's clock, as far as it is known.
+// Now returns the store's clock, extrapolated from the newest answer, or 0 before the first answer.
 func (c *Client) Now(now time.Time) time.Duration {
 	r := c.clock.Load()
 	if r == nil {
 		return 0
 	}
-	return r.store + now.Sub(r.at)
+	return r.storeTime + now.Sub(r.readAt)
 }
 
-// SinceWorked is how long no call has been answered.
+// SinceWorked returns the time since the last answered call, or since the client's start if there
+// is none.
 func (c *Client) SinceWorked(now time.Time) time.Duration {
-	return now.Sub(c.start) - time.Duration(c.workedAt.Load())
+	return now.Sub(c.start) - time.Duration(c.lastAnswerAt.Load())
 }
 
-func (c *Client) worked(store time.Duration) {
+// recordAnswer records the time of an answer, and the store's clock that it carried.
+func (c *Client) recordAnswer(store time.Duration) {
 	now := clock.Now()
-	c.clock.Store(&reading{store: store, at: now})
-	c.workedAt.Store(int64(now.Sub(c.start)))
+	c.clock.Store(&clockReading{storeTime: store, readAt: now})
+	c.lastAnswerAt.Store(int64(now.Sub(c.start)))
 }
 
-// Avoiding says whether straight calls have been failing.
+// Avoiding returns whether the last failuresToAvoid direct calls have failed.
 func (c *Client) Avoiding() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failures >= failuresToAvoid
 }
 
-// avoid says whether to ask peers first; a straight call is tried again when
-// the time is over.
-func (c *Client) avoid() bool {
+// peersFirst returns whether calls go to peers first. A direct call is tried again when
+// avoidFor has passed since the last failure.
+func (c *Client) peersFirst() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failures >= failuresToAvoid && clock.Now().Before(c.avoidTil)
+	return c.failures >= failuresToAvoid && clock.Now().Before(c.avoidUntil)
 }
 
-func (c *Client) directDone(err error) {
+// recordDirect counts consecutive failures of direct calls.
+func (c *Client) recordDirect(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err == nil {
@@ -120,13 +124,13 @@
 		return
 	}
 	c.failures++
-	c.avoidTil = clock.Now().Add(avoidFor)
+	c.avoidUntil = clock.Now().Add(avoidFor)
 }
 
-// Commit asks for a transaction, straight or through a peer.
+// Commit executes a transaction, directly or through a peer.
 func (c *Client) Commit(ctx context.Context, t table.Transaction) (table.Committed, error) {
 	var done table.Committed
-	err := c.either(ctx, "commit", peerTimeout,
+	err := c.directThenPeers(ctx, "commit", peerTimeout,
 		func(ctx context.Context) (time.Duration, error) {
 			var err error
 			done, err = c.direct.Commit(ctx, t)
@@ -140,10 +144,10 @@
 	return done, err
 }
 
-// Read reads a range, straight or through a peer.
+// Read reads a range, directly or through a peer.
 func (c *Client) Read(ctx context.Context, r table.Range) (table.Page, error) {
 	var page table.Page
-	err := c.either(ctx, "read", peerReadTimeout,
+	err := c.directThenPeers(ctx, "read", peerReadTimeout,
 		func(ctx context.Context) (time.Duration, error) {
 			var err error
 			page, err = c.direct.Read(ctx, r)
@@ -157,49 +161,50 @@
 	return page, err
 }
 
-// Changes reads what has changed; only straight, since it waits.
+// Changes returns the changes of a table after a version. It waits up to wait for a change,
+// so it is called directly only.
 func (c *Client) Changes(ctx context.Context, tableName string, after int64, wait time.Duration) (table.Page, error) {
-	ctx, cancel := patience.WithSilence(ctx, wait+directTimeout, wait+directMost)
+	ctx, cancel := patience.WithSilence(ctx, wait+directTimeout, wait+directLimit)
 	defer cancel()
 	page, err := c.direct.Changes(ctx, tableName, after, wait)
-	c.count("changes", err)
+	c.countCall("changes", err)
 	if err == nil {
-		c.worked(page.StoreTime)
+		c.recordAnswer(page.StoreTime)
 	}
 	return page, err
 }
 
-// either tries both ways. What is known of the outcome is the weaker of what
-// the tries tell: once one may have taken effect, nothing is "not run". Where no
-// peer is known the straight way is taken, whatever it did before.
-func (c *Client) either(ctx context.Context, what string, peerLimit time.Duration, straight func(context.Context) (time.Duration, error), through func(context.Context, Peer) (time.Duration, error)) error {
+// directThenPeers calls the table directly, unless peersFirst, and then through each peer until
+// a call succeeds. If all fail and any of them may have taken effect, its error is returned, not
+// one with the code NotRun. Without peers the direct call is made even after failures.
+func (c *Client) directThenPeers(ctx context.Context, operation string, peerLimit time.Duration, direct func(context.Context) (time.Duration, error), viaPeer func(context.Context, Peer) (time.Duration, error)) error {
 	var unknown, last error
-	keep := func(err error) {
+	recordError := func(err error) {
 		last = err
 		if fault.CodeOf(err) != fault.NotRun {
 			unknown = err
 		}
 	}
 	peers := c.peers()
-	if !c.avoid() || len(peers) == 0 {
-		err := c.straight(ctx, straight)
-		c.directDone(err)
-		c.count(what, err)
+	if !c.peersFirst() || len(peers) == 0 {
+		err := c.callDirect(ctx, direct)
+		c.recordDirect(err)
+		c.countCall(operation, err)
 		if err == nil {
 			return nil
 		}
-		keep(err)
+		recordError(err)
 	}
 	for _, p := range peers {
 		if ctx.Err() != nil {
 			break
 		}
-		err := c.through(ctx, peerLimit, func(ctx context.Context) (time.Duration, error) { return through(ctx, p) })
-		c.count(what+".peer", err)
+		err := c.callPeer(ctx, peerLimit, func(ctx context.Context) (time.Duration, error) { return viaPeer(ctx, p) })
+		c.countCall(operation+".peer", err)
 		if err == nil {
 			return nil
 		}
-		keep(err)
+		recordError(err)
 	}
 	switch {
 	case unknown != nil:
@@ -210,32 +215,34 @@
 	return fault.New(fault.NotRun, "table", "no peer was asked within the time there was", "ask again")
 }
 
-// straight makes a call of the table itself, for as long as something comes of it.
-func (c *Client) straight(ctx context.Context, call func(context.Context) (time.Duration, error)) error {
-	ctx, cancel := patience.WithSilence(ctx, directTimeout, directMost)
+// callDirect makes a call to the table service itself. The call goes on while data arrives, up to
+// directLimit.
+func (c *Client) callDirect(ctx context.Context, call func(context.Context) (time.Duration, error)) error {
+	ctx, cancel := patience.WithSilence(ctx, directTimeout, directLimit)
 	defer cancel()
-	return c.made(call(ctx))
+	return c.recordOutcome(call(ctx))
 }
 
-// through makes a call through a peer, within a limit.
-func (c *Client) through(ctx context.Context, limit time.Duration, call func(context.Context) (time.Duration, error)) error {
+// callPeer makes a call through a peer within the time limit.
+func (c *Client) callPeer(ctx context.Context, limit time.Duration, call func(context.Context) (time.Duration, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	return c.made(call(ctx))
+	return c.recordOutcome(call(ctx))
 }
 
-// made takes the store's clock from a call that worked.
-func (c *Client) made(store time.Duration, err error) error {
+// recordOutcome records the store's clock if the call has succeeded. It returns err.
+func (c *Client) recordOutcome(store time.Duration, err error) error {
 	if err == nil {
-		c.worked(store)
+		c.recordAnswer(store)
 	}
 	return err
 }
 
-func (c *Client) count(what string, err error) {
+// countCall counts a call in the metric of its operation and outcome.
+func (c *Client) countCall(operation string, err error) {
 	outcome := "ok"
 	if err != nil {
 		outcome = string(fault.CodeOf(err))
 	}
-	metrics.GetOrRegisterCounter("store."+what+"."+outcome, c.metrics).Inc(1)
+	metrics.GetOrRegisterCounter("store."+operation+"."+outcome, c.metrics).Inc(1)
 }
