--- a/pkg/process/control/control.go
+++ b/pkg/process/control/control.go
@@ -42,12 +42,12 @@
 }
 
 const (
-	// tickEvery is how often time alone moves the state.
-	tickEvery = 20 * time.Millisecond
-	// eventBuffer is how many answers may wait for the control goroutine.
-	eventBuffer = 4096
-	// inboxPage is how many inbox rows are pulled in at once.
-	inboxPage = 200
+	// tickInterval is how often time alone moves the state.
+	tickInterval = 20 * time.Millisecond
+	// eventQueueLength is how many answers may wait for the control goroutine.
+	eventQueueLength = 4096
+	// inboxPageSize is how many inbox rows are pulled in at once.
+	inboxPageSize = 200
 )
 
 // Loop is the control goroutine of one hall.
@@ -71,7 +71,7 @@
 		workers:  workers,
 		log:      log,
 		metrics:  registry,
-		events:   make(chan func(time.Time) []hall.Effect, eventBuffer),
+		events:   make(chan func(time.Time) []hall.Effect, eventQueueLength),
 	}
 	l.status.Store(&Status{Hall: hallName})
 	return l
@@ -134,7 +134,7 @@
 
 // Serve runs the control goroutine until the context ends.
 func (l *Loop) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	steps := metrics.GetOrRegisterTimer("control.step", l.metrics)
 	for {
@@ -146,19 +146,19 @@
 			begin := time.Now()
 			effects = l.state.Step(begin, hall.Tick{})
 			steps.UpdateSince(begin)
-			l.publish()
+			l.publishStatus()
 		case f := <-l.events:
 			begin := time.Now()
 			effects = f(begin)
 			steps.UpdateSince(begin)
 		}
 		for _, e := range effects {
-			l.perform(ctx, e)
+			l.startEffect(ctx, e)
 		}
 	}
 }
 
-func (l *Loop) publish() {
+func (l *Loop) publishStatus() {
 	l.status.Store(&Status{
 		Hall:     l.hallName,
 		Leading:  l.state.Leading(),
@@ -171,46 +171,46 @@
 
 // ---------------------------------------------------------------- effects
 
-// perform begins an effect; its answer comes back as an event.
-func (l *Loop) perform(ctx context.Context, e hall.Effect) {
+// startEffect begins an effect; its answer comes back as an event.
+func (l *Loop) startEffect(ctx context.Context, e hall.Effect) {
 	switch e := e.(type) {
 	case hall.Note:
-		l.record(e.Fact)
+		l.recordFact(e.Fact)
 	case hall.Commit:
 		go l.commit(ctx, e)
 	case hall.ReadLeader:
 		go l.readLeader(ctx)
 	case hall.Load:
-		go func() { l.answer(ctx, l.load(ctx)) }()
+		go func() { l.postResult(ctx, l.loadHall(ctx)) }()
 	case hall.ReadInbox:
-		go func() { l.answer(ctx, l.readInbox(ctx, e.Hall)) }()
+		go func() { l.postResult(ctx, l.readInbox(ctx, e.Hall)) }()
 	case hall.Sync:
 		go l.sync(ctx, e)
 	}
 }
 
-// answer brings an event to the control goroutine, unless the process is
+// postResult brings an event to the control goroutine, unless the process is
 // ending.
-func (l *Loop) answer(ctx context.Context, e hall.Event) {
+func (l *Loop) postResult(ctx context.Context, e hall.Event) {
 	select {
 	case l.events <- func(now time.Time) []hall.Effect { return l.state.Step(now, e) }:
 	case <-ctx.Done():
 	}
 }
 
-func (l *Loop) record(f hall.Fact) {
+func (l *Loop) recordFact(f hall.Fact) {
 	metrics.GetOrRegisterCounter("reason."+string(f.Reason), l.metrics).Inc(1)
 	entry := l.log.WithFields(logrus.Fields{"object": f.Object, "reason": f.Reason})
-	if loud[f.Reason] {
+	if loggedAtInfo[f.Reason] {
 		entry.Info(f.Detail)
 		return
 	}
 	entry.Debug(f.Detail)
 }
 
-// loud lists the reasons that change the state of the hall or of a worker. The
+// loggedAtInfo lists the reasons that change the state of the hall or of a worker. The
 // rest is counted, and logged at debug level only.
-var loud = map[hall.Reason]bool{
+var loggedAtInfo = map[hall.Reason]bool{
 	hall.ClaimedLeadership: true, hall.LostLeadership: true, hall.ReleasedLeadership: true,
 	hall.LoadedState: true, hall.TenureOver: true, hall.WorkerReached: true, hall.WorkerLost: true,
 	hall.WorkerRestarted: true, hall.WorkerAside: true, hall.WorkerBack: true, hall.CommitConflict: true,
@@ -220,7 +220,7 @@
 	metrics.GetOrRegisterCounter("table.commits", l.metrics).Inc(1)
 	sentAt := time.Now()
 	reply, err := l.table.Commit(ctx, e.Request)
-	l.answer(ctx, hall.Committed{
+	l.postResult(ctx, hall.Committed{
 		ID: e.ID, SentAt: sentAt, Revision: reply.GetRevision(), Conflicts: reply.GetConflicts(), Err: err,
 	})
 }
@@ -234,19 +234,19 @@
 		answer.Revision = row.GetRevision()
 		answer.Err = rows.Decode(row, answer.Row)
 	}
-	l.answer(ctx, answer)
+	l.postResult(ctx, answer)
 }
 
 func (l *Loop) sync(ctx context.Context, e hall.Sync) {
 	metrics.GetOrRegisterCounter("workers.messages", l.metrics).Inc(1)
 	reply, err := l.workers.Sync(ctx, e.Address, e.Request)
-	l.answer(ctx, hall.Synced{
+	l.postResult(ctx, hall.Synced{
 		Worker: e.Worker, Epoch: e.Request.GetEpoch(), Sequence: e.Request.GetSequence(), Reply: reply, Err: err,
 	})
 }
 
-// load reads the hall's tasks, their jobs, and its workers' incarnations.
-func (l *Loop) load(ctx context.Context) hall.Loaded {
+// loadHall reads the hall's tasks, their jobs, and its workers' incarnations.
+func (l *Loop) loadHall(ctx context.Context) hall.Loaded {
 	var out hall.Loaded
 	taskRows, err := platform.ReadAll(ctx, l.table, rows.TaskPrefix(l.hallName))
 	if err != nil {
@@ -301,7 +301,7 @@
 
 func (l *Loop) readInbox(ctx context.Context, name string) hall.InboxRead {
 	out := hall.InboxRead{Hall: name}
-	reply, err := l.table.Read(ctx, &wire.ReadRequest{Prefix: rows.InboxPrefix(name), Limit: inboxPage})
+	reply, err := l.table.Read(ctx, &wire.ReadRequest{Prefix: rows.InboxPrefix(name), Limit: inboxPageSize})
 	if err != nil {
 		return hall.InboxRead{Hall: name, Err: err}
 	}
--- a/pkg/process/current/current.go
+++ b/pkg/process/current/current.go
@@ -36,11 +36,11 @@
 }
 
 const (
-	// pollEvery is how often the table is read; versions are to be in force
+	// tablePollInterval is how often the table is read; versions are to be in force
 	// everywhere within five seconds.
-	pollEvery = time.Second
-	// fetchEvery is how often peers are asked while the table doesn't answer.
-	fetchEvery = 2 * time.Second
+	tablePollInterval = time.Second
+	// peerFetchInterval is how often peers are asked while the table doesn't answer.
+	peerFetchInterval = 2 * time.Second
 )
 
 // Store holds the version in force. It is safe for many goroutines.
@@ -53,10 +53,10 @@
 	mu       sync.Mutex // held by accept
 	row      atomic.Pointer[wire.SettingsRow]
 	tree     atomic.Pointer[settings.Tree]
-	services atomic.Pointer[map[string]string]
-	read     atomic.Int64 // when the table last answered, Unix ms
+	serviceStates atomic.Pointer[map[string]string]
+	tableReadAtMS     atomic.Int64 // when the table last answered, Unix ms
 	watchers []func(*settings.Tree)
-	reverts  bool
+	allowOlder  bool
 }
 
 // NewStore returns a store with the empty version 0, in which nothing is
@@ -69,7 +69,7 @@
 	s := &Store{table: table, peers: peers, log: log, metrics: registry}
 	s.tree.Store(empty)
 	s.row.Store(&wire.SettingsRow{Body: "{}"})
-	s.services.Store(&map[string]string{})
+	s.serviceStates.Store(&map[string]string{})
 	return s, nil
 }
 
@@ -82,7 +82,7 @@
 
 // Unsafe lets a lower version replace a higher one, for a test that shows why
 // that must not be.
-func (s *Store) Unsafe(reverts bool) { s.reverts = reverts }
+func (s *Store) Unsafe(reverts bool) { s.allowOlder = reverts }
 
 // Current returns the version in force. A request takes it once and keeps it.
 func (s *Store) Current() *settings.Tree { return s.tree.Load() }
@@ -93,7 +93,7 @@
 // ServiceState returns what operators asked of a service; without a word from
 // them it is started.
 func (s *Store) ServiceState(service string) string {
-	if state, ok := (*s.services.Load())[service]; ok {
+	if state, ok := (*s.serviceStates.Load())[service]; ok {
 		return state
 	}
 	return "started"
@@ -101,7 +101,7 @@
 
 // Age is how long ago the table last confirmed the version.
 func (s *Store) Age(now time.Time) time.Duration {
-	read := s.read.Load()
+	read := s.tableReadAtMS.Load()
 	if read == 0 {
 		return -1
 	}
@@ -114,7 +114,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	same := row.GetVersion() == s.Current().Version()
-	if same || (row.GetVersion() < s.Current().Version() && !s.reverts) {
+	if same || (row.GetVersion() < s.Current().Version() && !s.allowOlder) {
 		return false
 	}
 	tree, err := settings.Parse("settings", row.GetBody())
@@ -141,11 +141,11 @@
 
 // Serve keeps the version current until the context ends.
 func (s *Store) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(pollEvery)
+	ticker := time.NewTicker(tablePollInterval)
 	defer ticker.Stop()
 	var fetched time.Time
 	for {
-		if !s.poll(ctx) && time.Since(fetched) >= fetchEvery {
+		if !s.poll(ctx) && time.Since(fetched) >= peerFetchInterval {
 			fetched = time.Now()
 			if row := s.peers.Fetch(ctx, s.Current().Version()); row != nil {
 				s.Accept(row)
@@ -170,15 +170,15 @@
 	if err != nil {
 		return false
 	}
-	s.read.Store(time.Now().UnixMilli())
-	s.setServices(services)
+	s.tableReadAtMS.Store(time.Now().UnixMilli())
+	s.setServiceStates(services)
 	if s.Accept(row) {
 		s.peers.Offer(row)
 	}
 	return true
 }
 
-func (s *Store) setServices(list []*wire.Row) {
+func (s *Store) setServiceStates(list []*wire.Row) {
 	states := make(map[string]string, len(list))
 	for _, r := range list {
 		service := &wire.ServiceRow{}
@@ -186,7 +186,7 @@
 			states[service.GetName()] = service.GetState()
 		}
 	}
-	s.services.Store(&states)
+	s.serviceStates.Store(&states)
 }
 
 // ReadCurrent reads the version in force from the table; without one it is the
--- a/pkg/process/current/edit.go
+++ b/pkg/process/current/edit.go
@@ -15,9 +15,9 @@
 // Edits. Each carries an id of its own. Whoever gets no answer asks again with
 // the same id and learns whether it was accepted; nothing is accepted twice.
 
-// editTries is how often an edit without an answer is looked into before the
+// maxEditAttempts is how often an edit without an answer is looked into before the
 // operator is told that nobody knows.
-const editTries = 3
+const maxEditAttempts = 3
 
 // Edit is one operator's change of the tree.
 type Edit struct {
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	var err error
-	for range editTries {
+	for range maxEditAttempts {
 		var row *wire.SettingsRow
 		row, err = s.tryEdit(ctx, now, e)
 		if err == nil {
@@ -62,11 +62,11 @@
 			return nil, err
 		}
 	}
-	if earlier, err := s.earlier(ctx, present, e); earlier != nil || err != nil {
+	if earlier, err := s.acceptedEdit(ctx, present, e); earlier != nil || err != nil {
 		return earlier, err
 	}
 	if present.GetVersion() != e.Base {
-		return nil, conflict(present, e)
+		return nil, conflictError(present, e)
 	}
 	row := &wire.SettingsRow{
 		Version: e.Base + 1, Body: e.Text, EditId: e.ID, Actor: e.Actor, AtUnixMs: now.UnixMilli(),
@@ -81,8 +81,8 @@
 	return row, nil
 }
 
-// earlier looks for an edit with this id among those accepted since its base.
-func (s *Store) earlier(ctx context.Context, present *wire.SettingsRow, e Edit) (*wire.SettingsRow, error) {
+// acceptedEdit looks for an edit with this id among those accepted since its base.
+func (s *Store) acceptedEdit(ctx context.Context, present *wire.SettingsRow, e Edit) (*wire.SettingsRow, error) {
 	if present.GetVersion() <= e.Base {
 		return nil, nil
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-func conflict(present *wire.SettingsRow, e Edit) error {
+func conflictError(present *wire.SettingsRow, e Edit) error {
 	return fault.New(fault.Conflict, "settings",
 		fmt.Sprintf("version %d by %s has come in since version %d, from which this edit started", present.GetVersion(), present.GetActor(), e.Base),
 		"wrenferry settings diff shows what changed; edit again from the new version")
--- a/pkg/process/daemon/daemon.go
+++ b/pkg/process/daemon/daemon.go
@@ -34,15 +34,15 @@
 )
 
 const (
-	// runnerConnections is what each backend server takes, from all entry hosts
+	// connectionsPerServer is what each backend server takes, from all entry hosts
 	// together.
-	runnerConnections = 64
-	// maxHeader bounds the headers of a call; larger ones get status 431.
-	maxHeader = 64 << 10
+	connectionsPerServer = 64
+	// maxHeaderBytes bounds the headers of a call; larger ones get status 431.
+	maxHeaderBytes = 64 << 10
 	// headerTimeout bounds how long a caller may take to send them.
 	headerTimeout = 10 * time.Second
-	// releaseLimit is how long a planned stop waits to give up the leadership.
-	releaseLimit = 5 * time.Second
+	// releaseTimeout is how long a planned stop waits to give up the leadership.
+	releaseTimeout = 5 * time.Second
 )
 
 // Daemon is one entry host.
@@ -56,12 +56,12 @@
 	peers     *peer.Peers
 	loop      *control.Loop
 	gateway   *gateway.Gateway
-	operators *operators.Server
+	operatorsAPI *operators.Server
 	hosts     atomic.Pointer[[]*wire.Host]
 
-	callers *parts.HTTP
-	admin   *parts.HTTP
-	control *parts.GRPC
+	callersServer *parts.HTTP
+	operatorsServer   *parts.HTTP
+	peersServer *parts.GRPC
 }
 
 // Option changes how a Daemon is made.
@@ -108,20 +108,20 @@
 	}
 	d.store = store
 	store.Unsafe(o.unsafe.NoMonotonic)
-	state := hall.New(config.Hall, holder, config.Control, hall.WithUnsafe(o.unsafe.Hall), hall.WithOthers(others(config)))
+	state := hall.New(config.Hall, holder, config.Control, hall.WithUnsafe(o.unsafe.Hall), hall.WithOthers(otherHalls(config)))
 	d.loop = control.NewLoop(config.Hall, state, d.table, worker.NewClient(config.Name), d.log, d.metrics)
 	d.gateway = gateway.New(gateway.Config{
 		Hall: config.Hall, Settings: store, Peers: d.peers, Table: d.table, Keys: keys,
-		Connections: max(1, runnerConnections/max(1, config.EntryHosts)), Metrics: d.metrics, Unsafe: o.unsafe.Gateway,
+		Connections: max(1, connectionsPerServer/max(1, config.EntryHosts)), Metrics: d.metrics, Unsafe: o.unsafe.Gateway,
 	})
-	d.operators = &operators.Server{
+	d.operatorsAPI = &operators.Server{
 		Name: config.Name, Hall: config.Hall, Table: d.table, Control: d.loop, Peers: d.peers, Settings: store,
 		Gateway: d.gateway, Metrics: d.metrics, Hosts: func() []*wire.Host { return *d.hosts.Load() },
 	}
 	return d, d.listen(keys)
 }
 
-func others(config Config) []string {
+func otherHalls(config Config) []string {
 	var list []string
 	for _, h := range config.Halls {
 		if h != config.Hall {
@@ -135,32 +135,32 @@
 	callers := http.NewServeMux()
 	d.gateway.Routes(callers)
 	admin := http.NewServeMux()
-	d.operators.Routes(admin)
+	d.operatorsAPI.Routes(admin)
 	d.gateway.Routes(admin) // operators start jobs as callers do
 	peers := grpc.NewServer()
 	wire.RegisterPeerServer(peers, &peer.Server{
 		Name: d.config.Name, Hall: d.config.Hall, Keys: keys, Settings: d.store, Gateway: d.gateway, Control: d.loop,
 	})
 	var err error
-	if d.callers, err = newServer("callers", d.config.Callers, callers); err != nil {
+	if d.callersServer, err = newServer("callers", d.config.Callers, callers); err != nil {
 		return err
 	}
-	if d.admin, err = newServer("operators", d.config.Operators, admin); err != nil {
+	if d.operatorsServer, err = newServer("operators", d.config.Operators, admin); err != nil {
 		return err
 	}
 	listener, err := parts.Listen("control", d.config.Control)
 	if err != nil {
 		return err
 	}
-	d.control = &parts.GRPC{Server: peers, Listener: listener}
+	d.peersServer = &parts.GRPC{Server: peers, Listener: listener}
 	return nil
 }
 
 // CallersAddress is where callers are served.
-func (d *Daemon) CallersAddress() string { return d.callers.Listener.Addr().String() }
+func (d *Daemon) CallersAddress() string { return d.callersServer.Listener.Addr().String() }
 
 // OperatorsAddress is where operators are served.
-func (d *Daemon) OperatorsAddress() string { return d.admin.Listener.Addr().String() }
+func (d *Daemon) OperatorsAddress() string { return d.operatorsServer.Listener.Addr().String() }
 
 // Run runs the entry host until the context ends, and then stops it as planned.
 func (d *Daemon) Run(ctx context.Context) error {
@@ -173,14 +173,14 @@
 	}})
 	supervisor.Add(d.loop)
 	supervisor.Add(d.store)
-	supervisor.Add(&hostReader{daemon: d})
-	supervisor.Add(d.callers)
-	supervisor.Add(d.admin)
-	supervisor.Add(d.control)
+	supervisor.Add(&hostListReader{daemon: d})
+	supervisor.Add(d.callersServer)
+	supervisor.Add(d.operatorsServer)
+	supervisor.Add(d.peersServer)
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	ended := supervisor.ServeBackground(running)
-	d.operators.SetReady(true)
+	d.operatorsAPI.SetReady(true)
 	d.log.WithField("callers", d.CallersAddress()).Info("entry host started")
 	select {
 	case err := <-ended:
@@ -188,7 +188,7 @@
 	case <-ctx.Done():
 	}
 	if !d.unsafe.NoDrain {
-		d.stop()
+		d.plannedStop()
 	}
 	cancel()
 	<-ended
@@ -196,20 +196,20 @@
 	return nil
 }
 
-// stop is the planned stop: say that the host is leaving, let the balancer see
+// plannedStop is the planned stop: say that the host is leaving, let the balancer see
 // it, finish what is in flight, give the leadership up.
-func (d *Daemon) stop() {
+func (d *Daemon) plannedStop() {
 	d.log.Info("planned stop begins")
-	d.operators.SetReady(false)
+	d.operatorsAPI.SetReady(false)
 	d.loop.Tell(hall.Drain{})
 	time.Sleep(d.config.DrainWait)
 	d.gateway.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), d.config.DrainLimit)
 	defer cancel()
-	if err := d.callers.Server.Shutdown(ctx); err != nil {
+	if err := d.callersServer.Server.Shutdown(ctx); err != nil {
 		d.log.WithError(err).Warn("the drain limit passed with calls in flight")
 	}
-	deadline := time.Now().Add(releaseLimit)
+	deadline := time.Now().Add(releaseTimeout)
 	for !d.loop.Status().Released && time.Now().Before(deadline) {
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -222,25 +222,25 @@
 		return nil, err
 	}
 	return &parts.HTTP{Listener: listener, Server: &http.Server{
-		Handler: handler, MaxHeaderBytes: maxHeader, ReadHeaderTimeout: headerTimeout,
+		Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout,
 	}}, nil
 }
 
 // ------------------------------------------------------------------ hosts
 
-// hostsEvery is how often the host list is read.
-const hostsEvery = 500 * time.Millisecond
+// hostPollInterval is how often the host list is read.
+const hostPollInterval = 500 * time.Millisecond
 
-// hostReader reads the platform's list of hosts and hands it to all that use
+// hostListReader reads the platform's list of hosts and hands it to all that use
 // it. While the platform is away the last list stays.
-type hostReader struct{ daemon *Daemon }
+type hostListReader struct{ daemon *Daemon }
 
 // String names the part for the supervisor.
-func (h *hostReader) String() string { return "host list reader" }
+func (h *hostListReader) String() string { return "host list reader" }
 
 // Serve reads until the context ends.
-func (h *hostReader) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(hostsEvery)
+func (h *hostListReader) Serve(ctx context.Context) error {
+	ticker := time.NewTicker(hostPollInterval)
 	defer ticker.Stop()
 	for {
 		h.read(ctx)
@@ -252,7 +252,7 @@
 	}
 }
 
-func (h *hostReader) read(ctx context.Context) {
+func (h *hostListReader) read(ctx context.Context) {
 	d := h.daemon
 	list, err := d.table.Hosts(ctx)
 	if err != nil {
--- a/pkg/process/operators/operators.go
+++ b/pkg/process/operators/operators.go
@@ -68,24 +68,24 @@
 	mux.HandleFunc("GET /healthz/live", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("live\n")) })
 	mux.HandleFunc("GET /healthz/ready", s.serveReady)
 	mux.HandleFunc("GET /metrics", s.serveMetrics)
-	mux.HandleFunc("GET /v1/status", answer(s.status))
-	mux.HandleFunc("GET /v1/hosts", answer(s.hosts))
-	mux.HandleFunc("GET /v1/settings", answer(s.showSettings))
-	mux.HandleFunc("PUT /v1/settings", answer(s.editSettings))
-	mux.HandleFunc("POST /v1/settings/check", answer(s.checkSettings))
-	mux.HandleFunc("GET /v1/settings/history", answer(s.history))
-	mux.HandleFunc("GET /v1/settings/origins", answer(s.origins))
-	mux.HandleFunc("GET /v1/services", answer(s.services))
-	mux.HandleFunc("POST /v1/services/{name}/{verb}", answer(s.setService))
-	mux.HandleFunc("GET /v1/job-list", answer(s.jobs))
-	mux.HandleFunc("POST /v1/job-list/{key}/{verb}", answer(s.endJob))
-	mux.HandleFunc("GET /v1/audit", answer(s.audit))
-	mux.HandleFunc("GET /v1/explain/{name...}", answer(s.explain))
-}
-
-// answer turns a function into a handler: its result as JSON, its failure as a
+	mux.HandleFunc("GET /v1/status", jsonHandler(s.status))
+	mux.HandleFunc("GET /v1/hosts", jsonHandler(s.listHosts))
+	mux.HandleFunc("GET /v1/settings", jsonHandler(s.showSettings))
+	mux.HandleFunc("PUT /v1/settings", jsonHandler(s.editSettings))
+	mux.HandleFunc("POST /v1/settings/check", jsonHandler(s.checkSettings))
+	mux.HandleFunc("GET /v1/settings/history", jsonHandler(s.listHistory))
+	mux.HandleFunc("GET /v1/settings/origins", jsonHandler(s.listOrigins))
+	mux.HandleFunc("GET /v1/services", jsonHandler(s.listServices))
+	mux.HandleFunc("POST /v1/services/{name}/{verb}", jsonHandler(s.setServiceState))
+	mux.HandleFunc("GET /v1/job-list", jsonHandler(s.listJobs))
+	mux.HandleFunc("POST /v1/job-list/{key}/{verb}", jsonHandler(s.endJob))
+	mux.HandleFunc("GET /v1/audit", jsonHandler(s.listAudit))
+	mux.HandleFunc("GET /v1/explain/{name...}", jsonHandler(s.explain))
+}
+
+// jsonHandler turns a function into a handler: its result as JSON, its failure as a
 // problem.
-func answer[T any](f func(r *http.Request) (T, error)) http.HandlerFunc {
+func jsonHandler[T any](f func(r *http.Request) (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		result, err := f(r)
 		status := http.StatusOK
@@ -163,7 +163,7 @@
 	Leaving bool   `json:"leaving"`
 }
 
-func (s *Server) hosts(*http.Request) ([]HostView, error) {
+func (s *Server) listHosts(*http.Request) ([]HostView, error) {
 	list := s.Hosts()
 	views := make([]HostView, 0, len(list))
 	for _, h := range list {
@@ -183,9 +183,9 @@
 
 // ------------------------------------------------------------------ audit
 
-// actor is who asks. The platform's balancer or the operator's command line
+// requestActor is who asks. The platform's balancer or the operator's command line
 // fills it in; wrenferry keeps no accounts.
-func actor(r *http.Request) string {
+func requestActor(r *http.Request) string {
 	if name := r.Header.Get(ActorHeader); name != "" {
 		return name
 	}
--- a/pkg/process/operators/settings.go
+++ b/pkg/process/operators/settings.go
@@ -18,8 +18,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// maxSettings bounds the text of a tree.
-const maxSettings = 4 << 20
+// maxSettingsBytes bounds the text of a tree.
+const maxSettingsBytes = 4 << 20
 
 // SettingsView is one version of the settings.
 type SettingsView struct {
@@ -30,7 +30,7 @@
 	Text    string    `json:"text,omitempty"`
 }
 
-func viewOf(row *wire.SettingsRow, text bool) SettingsView {
+func settingsView(row *wire.SettingsRow, text bool) SettingsView {
 	v := SettingsView{Version: row.GetVersion(), Actor: row.GetActor(), At: time.UnixMilli(row.GetAtUnixMs()), EditID: row.GetEditId()}
 	if text {
 		v.Text = row.GetBody()
@@ -41,7 +41,7 @@
 func (s *Server) showSettings(r *http.Request) (SettingsView, error) {
 	text := r.URL.Query().Get("version")
 	if text == "" {
-		return viewOf(s.Settings.Row(), true), nil
+		return settingsView(s.Settings.Row(), true), nil
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
@@ -58,7 +58,7 @@
 	if err := rows.Decode(row, out); err != nil {
 		return SettingsView{}, err
 	}
-	return viewOf(out, true), nil
+	return settingsView(out, true), nil
 }
 
 // EditBody is the body of an edit.
@@ -70,16 +70,16 @@
 
 func (s *Server) editSettings(r *http.Request) (SettingsView, error) {
 	var body EditBody
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxSettings)).Decode(&body); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxSettingsBytes)).Decode(&body); err != nil {
 		return SettingsView{}, fault.New(fault.BadInput, "body", "not an edit", "send {text, base, editId}").WithCause(err)
 	}
 	if body.EditID == "" {
 		body.EditID = uuid.NewString()
 	}
 	row, err := s.Settings.Edit(r.Context(), time.Now(), current.Edit{
-		Text: body.Text, Base: body.Base, ID: body.EditID, Actor: actor(r),
+		Text: body.Text, Base: body.Base, ID: body.EditID, Actor: requestActor(r),
 	})
-	return viewOf(row, false), err
+	return settingsView(row, false), err
 }
 
 // CheckView is the answer to a check that found nothing wrong.
@@ -88,7 +88,7 @@
 }
 
 func (s *Server) checkSettings(r *http.Request) (CheckView, error) {
-	text, err := io.ReadAll(io.LimitReader(r.Body, maxSettings))
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxSettingsBytes))
 	if err != nil {
 		return CheckView{}, fault.New(fault.BadInput, "body", "it broke off", "send it whole").WithCause(err)
 	}
@@ -99,7 +99,7 @@
 	return CheckView{Kinds: tree.KindNames()}, nil
 }
 
-func (s *Server) history(r *http.Request) ([]SettingsView, error) {
+func (s *Server) listHistory(r *http.Request) ([]SettingsView, error) {
 	list, err := platform.ReadAll(r.Context(), s.Table, rows.HistoryPrefix)
 	if err != nil {
 		return nil, err
@@ -110,11 +110,11 @@
 		if err := rows.Decode(row, out); err != nil {
 			return nil, err
 		}
-		views = append(views, viewOf(out, false))
+		views = append(views, settingsView(out, false))
 	}
 	return views, nil
 }
 
-func (s *Server) origins(r *http.Request) ([]settings.Origin, error) {
+func (s *Server) listOrigins(r *http.Request) ([]settings.Origin, error) {
 	return s.Settings.Current().Origins(r.URL.Query().Get("branch"))
 }
--- a/pkg/process/operators/work.go
+++ b/pkg/process/operators/work.go
@@ -19,14 +19,14 @@
 
 // --------------------------------------------------------------- services
 
-func (s *Server) services(*http.Request) ([]gateway.ServiceView, error) {
+func (s *Server) listServices(*http.Request) ([]gateway.ServiceView, error) {
 	views := s.Gateway.View()
 	slices.SortFunc(views, func(a, b gateway.ServiceView) int { return cmp.Compare(a.Service, b.Service) })
 	return views, nil
 }
 
-// verbStates maps the operators' verbs to the states that they set.
-var verbStates = map[string]string{
+// stateByVerb maps the operators' verbs to the states that they set.
+var stateByVerb = map[string]string{
 	"start": gateway.Started,
 	"drain": gateway.Draining,
 	"stop":  gateway.Stopped,
@@ -38,9 +38,9 @@
 	State   string `json:"state"`
 }
 
-func (s *Server) setService(r *http.Request) (ServiceState, error) {
+func (s *Server) setServiceState(r *http.Request) (ServiceState, error) {
 	name, verb := r.PathValue("name"), r.PathValue("verb")
-	state, ok := verbStates[verb]
+	state, ok := stateByVerb[verb]
 	if !ok {
 		return ServiceState{}, fault.New(fault.NotFound, verb, "no such verb for a service", "use start, drain or stop")
 	}
@@ -50,7 +50,7 @@
 	now := time.Now()
 	_, err := s.Table.Commit(r.Context(), &wire.CommitRequest{Puts: []*wire.Row{
 		rows.Put(rows.Service(name), &wire.ServiceRow{Name: name, State: state}),
-		auditRow(now, actor(r), "service "+verb, name, state),
+		auditRow(now, requestActor(r), "service "+verb, name, state),
 	}})
 	if err != nil {
 		return ServiceState{}, fault.New(fault.Unknown, name, "the table did not answer", "ask again: the verb may be repeated").WithCause(err)
@@ -60,11 +60,11 @@
 
 // ------------------------------------------------------------------- jobs
 
-// jobPage bounds what one listing shows.
-const jobPage = 1000
+// jobPageSize bounds what one listing shows.
+const jobPageSize = 1000
 
-func (s *Server) jobs(r *http.Request) ([]gateway.JobView, error) {
-	reply, err := s.Table.Read(r.Context(), &wire.ReadRequest{Prefix: "job/", After: rows.Job(r.URL.Query().Get("after")), Limit: jobPage})
+func (s *Server) listJobs(r *http.Request) ([]gateway.JobView, error) {
+	reply, err := s.Table.Read(r.Context(), &wire.ReadRequest{Prefix: "job/", After: rows.Job(r.URL.Query().Get("after")), Limit: jobPageSize})
 	if err != nil {
 		return nil, err
 	}
@@ -79,16 +79,16 @@
 	return views, nil
 }
 
-// jobVerbs maps the operators' verbs to those of the inbox.
-var jobVerbs = map[string]string{"stop": rows.Cancel, "drain": rows.Drain}
+// inboxVerbByVerb maps the operators' verbs to those of the inbox.
+var inboxVerbByVerb = map[string]string{"stop": rows.Cancel, "drain": rows.Drain}
 
 func (s *Server) endJob(r *http.Request) (gateway.JobView, error) {
 	key, verb := r.PathValue("key"), r.PathValue("verb")
-	inboxVerb, ok := jobVerbs[verb]
+	inboxVerb, ok := inboxVerbByVerb[verb]
 	if !ok {
 		return gateway.JobView{}, fault.New(fault.NotFound, verb, "no such verb for a job", "use drain or stop")
 	}
-	job, err := s.Gateway.EndJob(r.Context(), key, inboxVerb, auditRow(time.Now(), actor(r), "job "+verb, key, ""))
+	job, err := s.Gateway.EndJob(r.Context(), key, inboxVerb, auditRow(time.Now(), requestActor(r), "job "+verb, key, ""))
 	if err != nil {
 		return gateway.JobView{}, err
 	}
@@ -106,7 +106,7 @@
 	Detail string    `json:"detail"`
 }
 
-func (s *Server) audit(r *http.Request) ([]AuditView, error) {
+func (s *Server) listAudit(r *http.Request) ([]AuditView, error) {
 	query := r.URL.Query()
 	list, err := platform.ReadAll(r.Context(), s.Table, rows.AuditPrefix)
 	if err != nil {
@@ -144,7 +144,7 @@
 // host knows of services and kinds.
 func (s *Server) explain(r *http.Request) ([]FactView, error) {
 	name := r.PathValue("name")
-	facts := s.explainRequests(name)
+	facts := s.explainService(name)
 	if s.Control.Status().Leading {
 		own, err := s.Control.Explain(r.Context(), name)
 		if err != nil {
@@ -160,14 +160,14 @@
 		}
 	}
 	if len(facts) == 0 {
-		return s.explainEnded(r, name)
+		return s.explainEndedJob(r, name)
 	}
 	slices.SortStableFunc(facts, func(a, b FactView) int { return a.At.Compare(b.At) })
 	return facts, nil
 }
 
-// explainEnded looks for a job that no leader has in memory.
-func (s *Server) explainEnded(r *http.Request, name string) ([]FactView, error) {
+// explainEndedJob looks for a job that no leader has in memory.
+func (s *Server) explainEndedJob(r *http.Request, name string) ([]FactView, error) {
 	row, err := platform.ReadOne(r.Context(), s.Table, rows.Job(name))
 	if err != nil {
 		return nil, err
@@ -183,8 +183,8 @@
 	return []FactView{{time.Now(), v.Hall, "job/" + name, "now", strings.TrimSpace(v.State + " " + v.Reason)}}, nil
 }
 
-// explainRequests says how this entry host treats a service or a kind of call.
-func (s *Server) explainRequests(name string) []FactView {
+// explainService says how this entry host treats a service or a kind of call.
+func (s *Server) explainService(name string) []FactView {
 	now := time.Now()
 	var facts []FactView
 	for _, v := range s.Gateway.View() {
--- a/pkg/version/settings/keys.go
+++ b/pkg/version/settings/keys.go
@@ -95,9 +95,9 @@
 
 // ---------------------------------------------------------------- values
 
-// parse turns a literal from the file into a number: an integer as it is, a
+// parseLiteral turns a literal from the file into a number: an integer as it is, a
 // duration in milliseconds, a boolean as 0 or 1, a choice as its index.
-func (k Key) parse(literal string) (int64, bool) {
+func (k Key) parseLiteral(literal string) (int64, bool) {
 	switch k.Type {
 	case Duration:
 		return k.parseDuration(literal)
--- a/pkg/version/settings/parse.go
+++ b/pkg/version/settings/parse.go
@@ -22,7 +22,7 @@
 // ----------------------------------------------------------------- nodes
 
 // The words that open a level of the tree, outermost first. The root has none.
-var levels = []string{"teams", "services", "kinds"}
+var levelKeys = []string{"teams", "services", "kinds"}
 
 // value is one setting as written, with where it stands.
 type value struct {
@@ -66,34 +66,34 @@
 
 // ---------------------------------------------------------------- parser
 
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
 // parser collects problems, so that one reading reports them all.
 type parser struct {
 	file     string
 	text     []byte
 	problems Problems
-	services map[string]string
+	servicePaths map[string]string
 }
 
 // Parse reads a whole file. The file is taken whole or refused whole: any
 // problem makes the error a fault whose cause is a Problems.
 func Parse(file, text string) (*Tree, error) {
-	p := &parser{file: file, text: []byte(text), services: map[string]string{}}
+	p := &parser{file: file, text: []byte(text), servicePaths: map[string]string{}}
 	syntax, err := hujson.Parse(p.text)
 	if err != nil {
-		p.syntaxError(err)
-		return nil, p.fault()
+		p.addSyntaxError(err)
+		return nil, p.asFault()
 	}
-	root := p.node(&syntax, "", 0)
+	root := p.parseNode(&syntax, "", 0)
 	if len(p.problems) > 0 {
-		return nil, p.fault()
+		return nil, p.asFault()
 	}
 	t := &Tree{text: text, root: root}
 	t.resolveAll()
 	p.checkFleet(t.Fleet())
 	if len(p.problems) > 0 {
-		return nil, p.fault()
+		return nil, p.asFault()
 	}
 	return t, nil
 }
@@ -101,18 +101,18 @@
 // checkFleet looks at values that must agree with each other.
 func (p *parser) checkFleet(f Fleet) {
 	if f.Lease > f.Tenure {
-		p.problem(0, fmt.Sprintf("lease %s is longer than tenure %s", f.Lease, f.Tenure),
+		p.addProblem(0, fmt.Sprintf("lease %s is longer than tenure %s", f.Lease, f.Tenure),
 			"make tenure at least as long as lease")
 	}
 }
 
-func (p *parser) fault() error {
+func (p *parser) asFault() error {
 	sort.SliceStable(p.problems, func(i, j int) bool { return p.problems[i].Line < p.problems[j].Line })
 	return fault.New(fault.BadInput, "settings", fmt.Sprintf("%d problem(s), nothing was changed:\n%s",
 		len(p.problems), p.problems.Error()), "")
 }
 
-func (p *parser) syntaxError(err error) {
+func (p *parser) addSyntaxError(err error) {
 	line, column := 1, 1
 	message := err.Error()
 	if _, e := fmt.Sscanf(message, "hujson: line %d, column %d:", &line, &column); e == nil {
@@ -122,19 +122,19 @@
 	p.problems = append(p.problems, Problem{p.file, line, column, "not JSON with comments: " + message, "mend the syntax"})
 }
 
-func (p *parser) problem(offset int, message, remedy string) {
+func (p *parser) addProblem(offset int, message, remedy string) {
 	before := string(p.text[:offset])
 	line := strings.Count(before, "\n") + 1
 	column := offset - strings.LastIndex(before, "\n")
 	p.problems = append(p.problems, Problem{p.file, line, column, message, remedy})
 }
 
-// node reads one branch at the given depth (0 is the root).
-func (p *parser) node(v *hujson.Value, path string, depth int) *node {
+// parseNode reads one branch at the given depth (0 is the root).
+func (p *parser) parseNode(v *hujson.Value, path string, depth int) *node {
 	n := &node{path: path, values: map[string]value{}, children: map[string]*node{}}
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		p.problem(v.StartOffset, pathName(path)+" is not an object", "write it as { ... }")
+		p.addProblem(v.StartOffset, pathName(path)+" is not an object", "write it as { ... }")
 		return n
 	}
 	seen := map[string]bool{}
@@ -142,69 +142,69 @@
 		m := &object.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
 		if seen[name] {
-			p.problem(m.Name.StartOffset, fmt.Sprintf("%q stands twice in %s", name, pathName(path)), "keep one of them")
+			p.addProblem(m.Name.StartOffset, fmt.Sprintf("%q stands twice in %s", name, pathName(path)), "keep one of them")
 			continue
 		}
 		seen[name] = true
-		if depth < len(levels) && name == levels[depth] {
-			p.children(n, &m.Value, depth)
+		if depth < len(levelKeys) && name == levelKeys[depth] {
+			p.parseChildren(n, &m.Value, depth)
 			continue
 		}
-		p.setting(n, name, m, depth)
+		p.parseSetting(n, name, m, depth)
 	}
 	return n
 }
 
-func (p *parser) children(n *node, v *hujson.Value, depth int) {
+func (p *parser) parseChildren(n *node, v *hujson.Value, depth int) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		p.problem(v.StartOffset, fmt.Sprintf("%q is not an object", levels[depth]), "write it as { \"name\": { ... } }")
+		p.addProblem(v.StartOffset, fmt.Sprintf("%q is not an object", levelKeys[depth]), "write it as { \"name\": { ... } }")
 		return
 	}
 	for i := range object.Members {
 		m := &object.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
-		if !nameForm.MatchString(name) {
-			p.problem(m.Name.StartOffset, fmt.Sprintf("%q is not a name", name), "use a to z, 0 to 9 and -, at most 63")
+		if !namePattern.MatchString(name) {
+			p.addProblem(m.Name.StartOffset, fmt.Sprintf("%q is not a name", name), "use a to z, 0 to 9 and -, at most 63")
 			continue
 		}
 		if n.children[name] != nil {
-			p.problem(m.Name.StartOffset, fmt.Sprintf("%q stands twice in %q", name, levels[depth]), "keep one of them")
+			p.addProblem(m.Name.StartOffset, fmt.Sprintf("%q stands twice in %q", name, levelKeys[depth]), "keep one of them")
 			continue
 		}
 		path := strings.TrimPrefix(n.path+"/"+name, "/")
-		if levels[depth] == "services" {
-			p.oneOwner(name, path, m.Name.StartOffset)
+		if levelKeys[depth] == "services" {
+			p.checkServiceUnique(name, path, m.Name.StartOffset)
 		}
-		n.children[name] = p.node(&m.Value, path, depth+1)
+		n.children[name] = p.parseNode(&m.Value, path, depth+1)
 	}
 }
 
-// oneOwner demands that a service's name is used by one team only, since
+// checkServiceUnique demands that a service's name is used by one team only, since
 // callers name the service and not the team.
-func (p *parser) oneOwner(name, path string, offset int) {
-	if other, ok := p.services[name]; ok {
-		p.problem(offset, fmt.Sprintf("service %q is already defined as %s", name, other), "give one of them another name")
+func (p *parser) checkServiceUnique(name, path string, offset int) {
+	if other, ok := p.servicePaths[name]; ok {
+		p.addProblem(offset, fmt.Sprintf("service %q is already defined as %s", name, other), "give one of them another name")
 	}
-	p.services[name] = path
+	p.servicePaths[name] = path
 }
 
-func (p *parser) setting(n *node, name string, m *hujson.ObjectMember, depth int) {
+func (p *parser) parseSetting(n *node, name string, m *hujson.ObjectMember, depth int) {
 	k, ok := KeyNamed(name)
 	if !ok {
-		p.problem(m.Name.StartOffset, fmt.Sprintf("unknown setting %q in %s", name, pathName(n.path)),
-			fmt.Sprintf("the nearest known one is %q", nearest(name, depth)))
+		p.addProblem(m.Name.StartOffset, fmt.Sprintf("unknown setting %q in %s", name, pathName(n.path)),
+			fmt.Sprintf("the nearest known one is %q", nearestWord(name, depth)))
 		return
 	}
 	if k.Root && depth > 0 {
-		p.problem(m.Name.StartOffset, fmt.Sprintf("%q may stand only at the root, not in %s", name, pathName(n.path)),
+		p.addProblem(m.Name.StartOffset, fmt.Sprintf("%q may stand only at the root, not in %s", name, pathName(n.path)),
 			"move it to the root")
 		return
 	}
 	literal := strings.TrimSpace(string(p.text[m.Value.StartOffset:m.Value.EndOffset]))
-	number, ok := k.parse(literal)
+	number, ok := k.parseLiteral(literal)
 	if !ok {
-		p.problem(m.Value.StartOffset, fmt.Sprintf("%q is %s, which is not a %s of %s", name, literal, k.Type, k.Range()),
+		p.addProblem(m.Value.StartOffset, fmt.Sprintf("%q is %s, which is not a %s of %s", name, literal, k.Type, k.Range()),
 			fmt.Sprintf("write for example %q: %s", name, k.Example))
 		return
 	}
@@ -218,11 +218,11 @@
 	return path
 }
 
-// nearest finds the known word with the fewest edits from a mistyped one.
-func nearest(name string, depth int) string {
+// nearestWord finds the known word with the fewest edits from a mistyped one.
+func nearestWord(name string, depth int) string {
 	words := []string{}
-	if depth < len(levels) {
-		words = append(words, levels[depth])
+	if depth < len(levelKeys) {
+		words = append(words, levelKeys[depth])
 	}
 	for _, k := range Keys {
 		words = append(words, k.Name)
--- a/pkg/version/settings/resolve.go
+++ b/pkg/version/settings/resolve.go
@@ -140,7 +140,7 @@
 	}
 	origins := make([]Origin, 0, len(Keys))
 	for _, k := range Keys {
-		v := lookUp(chain, k)
+		v := inheritedValue(chain, k)
 		origins = append(origins, Origin{Key: k.Name, Value: v.literal, From: v.origin})
 	}
 	return origins, nil
@@ -148,41 +148,41 @@
 
 // ------------------------------------------------------------ inheritance
 
-// lookUp finds a value: the innermost branch that sets it, else the default.
-func lookUp(chain []*node, k Key) value {
+// inheritedValue finds a value: the innermost branch that sets it, else the default.
+func inheritedValue(chain []*node, k Key) value {
 	for i := len(chain) - 1; i >= 0; i-- {
 		if v, ok := chain[i].values[k.Name]; ok {
 			return v
 		}
 	}
-	number, _ := k.parse(k.Default)
+	number, _ := k.parseLiteral(k.Default)
 	return value{literal: k.Default, number: number, origin: "default"}
 }
 
-// reader reads typed values off one chain of branches.
-type reader []*node
+// branchChain reads typed values off one chain of branches.
+type branchChain []*node
 
-func (r reader) number(name string) int64 {
+func (r branchChain) number(name string) int64 {
 	k, _ := KeyNamed(name)
-	return lookUp(r, k).number
+	return inheritedValue(r, k).number
 }
 
-func (r reader) duration(name string) time.Duration { return milliseconds(r.number(name)) }
+func (r branchChain) duration(name string) time.Duration { return milliseconds(r.number(name)) }
 
-func (r reader) choice(name string) string {
+func (r branchChain) choice(name string) string {
 	k, _ := KeyNamed(name)
 	return k.Choices[r.number(name)]
 }
 
 func (t *Tree) resolveAll() {
-	t.fleet = resolveFleet(reader{t.root})
+	t.fleet = resolveFleet(branchChain{t.root})
 	t.kinds = map[string]Kind{}
 	t.teams = map[string]Quota{}
 	for teamName, team := range t.root.children {
-		t.teams[teamName] = resolveQuota(reader{t.root, team})
+		t.teams[teamName] = resolveQuota(branchChain{t.root, team})
 		for serviceName, service := range team.children {
 			for kindName, kind := range service.children {
-				k := resolveKind(reader{t.root, team, service, kind})
+				k := resolveKind(branchChain{t.root, team, service, kind})
 				k.Team, k.Service, k.Name = teamName, serviceName, kindName
 				t.kinds[serviceName+"/"+kindName] = k
 			}
@@ -190,7 +190,7 @@
 	}
 }
 
-func resolveFleet(r reader) Fleet {
+func resolveFleet(r branchChain) Fleet {
 	return Fleet{
 		PlacePolicy:    r.choice("placePolicy"),
 		Lease:          r.duration("lease"),
@@ -202,7 +202,7 @@
 	}
 }
 
-func resolveQuota(r reader) Quota {
+func resolveQuota(r branchChain) Quota {
 	return Quota{
 		Millicores:   r.number("quotaMillicores"),
 		MemoryMB:     r.number("quotaMemoryMB"),
@@ -210,7 +210,7 @@
 	}
 }
 
-func resolveKind(r reader) Kind {
+func resolveKind(r branchChain) Kind {
 	return Kind{
 		Type:        r.choice("type"),
 		Deadline:    r.duration("deadline"),
--- a/pkg/version/settings/settings_test.go
+++ b/pkg/version/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/wrenferry/wrenferry/pkg/version/settings"
 )
 
-func TestInheritanceAndOrigin(t *testing.T) {
+func TestKindsInheritSettingsFromOuterBranches(t *testing.T) {
 	tree, err := settings.Parse("t", `{"deadline": "3s", "teams": {"a": {"priority": 7, "services": {"s": {"kinds": {"k": {"deadline": "1s"}, "l": {}}}}}}}`)
 	must.NoError(t, err)
 	k, err := tree.Kind("s", "k")
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestProblemsAreAllReportedWithTheirPlaces(t *testing.T) {
+func TestParseReportsProblemsWithPosition(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"{\n \"leese\": \"1s\"}", `t:2:2: unknown setting "leese"`},
 		{`{"lease": "9s", "tenure": "5s"}`, "lease 9s is longer than tenure 5s"},
