--- a/pkg/process/control/control.go
+++ b/pkg/process/control/control.go
@@ -1,8 +1,9 @@
-// Package control runs a hall's State: one goroutine feeds it events, and what it asks for is
-// done outside that goroutine and comes back as events. Package daemon starts it.
+// Package control runs the hall.State of one hall. The control goroutine passes events to the state. The effects that
+// the state returns, such as table calls, run in other goroutines, and their results come back as events. Package
+// daemon starts the loop.
 //
-// Everybody else sees the control state through Status, a snapshot which is replaced and never
-// changed, or by asking through Explain, which runs between two events. It decides nothing.
+// Other goroutines read the control state from Status, an immutable snapshot, or query it with Explain, which runs
+// between two events. All decisions are made by the hall.State, none by this package.
 package control
 
 import (
@@ -20,37 +21,43 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Table is what the loop needs of the platform's table.
+// Table is the part of the platform's table service that the loop calls.
 type Table interface {
 	Commit(ctx context.Context, req *wire.CommitRequest) (*wire.CommitReply, error)
 	Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error)
 }
 
-// Workers is what the loop needs of the workers.
+// Workers is the client of the workers that the loop calls.
 type Workers interface {
 	Sync(ctx context.Context, address string, req *wire.SyncRequest) (*wire.SyncReply, error)
 }
 
-// Status is a snapshot of the control state.
+// Status is an immutable snapshot of the control state.
 type Status struct {
-	Hall     string
-	Leading  bool
-	Leader   *wire.LeaderRow
-	Counts   hall.Counts
+	Hall string
+	// Leading means that this process leads the hall and has loaded its state.
+	Leading bool
+	// Leader is the leader row as this process last read it.
+	Leader *wire.LeaderRow
+	Counts hall.Counts
+	// Released means that this process is draining and no longer holds the leadership, so a planned stop may end.
 	Released bool
-	At       time.Time
+	// At is when the snapshot was taken.
+	At time.Time
 }
 
 const (
-	// tickInterval is how often time alone moves the state.
+	// tickInterval is the time between two hall.Tick events, which let the state act on timeouts.
 	tickInterval = 20 * time.Millisecond
-	// eventQueueLength is how many answers may wait for the control goroutine.
+	// eventQueueLength is the capacity of the queue of events for the control goroutine. A sender blocks while the
+	// queue is full.
 	eventQueueLength = 4096
-	// inboxPageSize is how many inbox rows are pulled in at once.
+	// inboxPageSize is the maximum number of inbox rows that one read returns.
 	inboxPageSize = 200
 )
 
-// Loop is the control goroutine of one hall.
+// Loop runs the control goroutine of one hall. Only that goroutine uses the state. Each queued function runs in it and
+// returns the effects to perform.
 type Loop struct {
 	hallName string
 	state    *hall.State
@@ -62,7 +69,7 @@
 	status   atomic.Pointer[Status]
 }
 
-// NewLoop returns a loop around a state. Serve runs it.
+// NewLoop returns a loop that runs a state. Serve starts it.
 func NewLoop(hallName string, state *hall.State, table Table, workers Workers, log *logrus.Entry, registry metrics.Registry) *Loop {
 	l := &Loop{
 		hallName: hallName,
@@ -77,18 +84,18 @@
 	return l
 }
 
-// Status returns the newest snapshot.
+// Status returns the latest snapshot.
 func (l *Loop) Status() *Status { return l.status.Load() }
 
-// Leads says whether this process led its hall at the newest snapshot.
+// Leads returns whether this process led its hall at the time of the latest snapshot.
 func (l *Loop) Leads() bool { return l.Status().Leading }
 
-// Tell hands an event to the control goroutine.
+// Tell queues an event for the control goroutine. It blocks while the queue is full.
 func (l *Loop) Tell(e hall.Event) {
 	l.events <- func(now time.Time) []hall.Effect { return l.state.Step(now, e) }
 }
 
-// Wake makes the leader read its inbox at once.
+// Wake makes the control goroutine read the hall's inbox at once if this process leads the hall.
 func (l *Loop) Wake() {
 	l.events <- func(now time.Time) []hall.Effect {
 		l.state.Wake()
@@ -96,7 +103,8 @@
 	}
 }
 
-// Explain asks the control goroutine about an object.
+// Explain returns the facts that the state holds about an object, by running the query in the control goroutine. It
+// returns an error if ctx ends first.
 func (l *Loop) Explain(ctx context.Context, name string) ([]hall.Fact, error) {
 	answer := make(chan []hall.Fact, 1)
 	ask := func(now time.Time) []hall.Effect {
@@ -116,7 +124,7 @@
 	}
 }
 
-// Facts is what Explain tells, as other entry hosts are told it.
+// Facts returns the result of Explain in the wire format, for another entry host.
 func (l *Loop) Facts(ctx context.Context, name string) ([]*wire.Fact, error) {
 	known, err := l.Explain(ctx, name)
 	if err != nil {
@@ -129,7 +137,7 @@
 	return facts, nil
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (l *Loop) String() string { return "control of hall " + l.hallName }
 
 // Serve runs the control goroutine until the context ends.
@@ -158,6 +166,7 @@
 	}
 }
 
+// publishStatus replaces the snapshot that Status returns.
 func (l *Loop) publishStatus() {
 	l.status.Store(&Status{
 		Hall:     l.hallName,
@@ -171,7 +180,8 @@
 
 // ---------------------------------------------------------------- effects
 
-// startEffect begins an effect; its answer comes back as an event.
+// startEffect starts an effect. Calls to the table or to workers run in their own goroutine, which posts the result as
+// an event. A note is recorded at once and has no result.
 func (l *Loop) startEffect(ctx context.Context, e hall.Effect) {
 	switch e := e.(type) {
 	case hall.Note:
@@ -189,8 +199,8 @@
 	}
 }
 
-// postResult brings an event to the control goroutine, unless the process is
-// ending.
+// postResult queues an effect's result for the control goroutine. It drops the result if ctx ends while the queue is
+// full.
 func (l *Loop) postResult(ctx context.Context, e hall.Event) {
 	select {
 	case l.events <- func(now time.Time) []hall.Effect { return l.state.Step(now, e) }:
@@ -198,6 +208,7 @@
 	}
 }
 
+// recordFact counts a fact by its reason and logs it.
 func (l *Loop) recordFact(f hall.Fact) {
 	metrics.GetOrRegisterCounter("reason."+string(f.Reason), l.metrics).Inc(1)
 	entry := l.log.WithFields(logrus.Fields{"object": f.Object, "reason": f.Reason})
@@ -208,14 +219,15 @@
 	entry.Debug(f.Detail)
 }
 
-// loggedAtInfo lists the reasons that change the state of the hall or of a worker. The
-// rest is counted, and logged at debug level only.
+// loggedAtInfo holds the reasons that are logged at info level: changes of the hall's leadership or of a worker's state,
+// and commit conflicts. Facts with other reasons are logged at debug level. All are counted.
 var loggedAtInfo = map[hall.Reason]bool{
 	hall.ClaimedLeadership: true, hall.LostLeadership: true, hall.ReleasedLeadership: true,
 	hall.LoadedState: true, hall.TenureOver: true, hall.WorkerReached: true, hall.WorkerLost: true,
 	hall.WorkerRestarted: true, hall.WorkerAside: true, hall.WorkerBack: true, hall.CommitConflict: true,
 }
 
+// commit sends a transaction to the table. SentAt is taken before the call, since a leader counts its tenure from then.
 func (l *Loop) commit(ctx context.Context, e hall.Commit) {
 	metrics.GetOrRegisterCounter("table.commits", l.metrics).Inc(1)
 	sentAt := time.Now()
@@ -225,6 +237,7 @@
 	})
 }
 
+// readLeader reads the hall's leader row. The result has no Row if the table has none.
 func (l *Loop) readLeader(ctx context.Context) {
 	answer := hall.LeaderRead{SentAt: time.Now()}
 	row, err := platform.ReadOne(ctx, l.table, rows.Leader(l.hallName))
@@ -237,6 +250,7 @@
 	l.postResult(ctx, answer)
 }
 
+// sync sends one message to a worker.
 func (l *Loop) sync(ctx context.Context, e hall.Sync) {
 	metrics.GetOrRegisterCounter("workers.messages", l.metrics).Inc(1)
 	reply, err := l.workers.Sync(ctx, e.Address, e.Request)
@@ -245,7 +259,7 @@
 	})
 }
 
-// loadHall reads the hall's tasks, their jobs, and its workers' incarnations.
+// loadHall reads the hall's tasks, their jobs and its workers' incarnations from the table.
 func (l *Loop) loadHall(ctx context.Context) hall.Loaded {
 	var out hall.Loaded
 	taskRows, err := platform.ReadAll(ctx, l.table, rows.TaskPrefix(l.hallName))
@@ -279,6 +293,7 @@
 	return out
 }
 
+// loadJobs reads the jobs with the given keys, with their revisions. Jobs that the table does not hold are left out.
 func (l *Loop) loadJobs(ctx context.Context, keys map[string]bool) ([]hall.JobAt, error) {
 	list := make([]string, 0, len(keys))
 	for key := range keys {
@@ -299,6 +314,7 @@
 	return jobs, nil
 }
 
+// readInbox reads the first inboxPageSize rows of a hall's inbox and the jobs that they refer to.
 func (l *Loop) readInbox(ctx context.Context, name string) hall.InboxRead {
 	out := hall.InboxRead{Hall: name}
 	reply, err := l.table.Read(ctx, &wire.ReadRequest{Prefix: rows.InboxPrefix(name), Limit: inboxPageSize})
--- a/pkg/process/current/current.go
+++ b/pkg/process/current/current.go
@@ -1,9 +1,8 @@
-// Package current holds the settings in force in this process.
+// Package current holds the settings version that is in force in this process.
 //
-// A version is accepted when it is in the table, and never before. It reaches a
-// process in three ways, whichever is first: the process reads the table every
-// second, a peer offers it, or, at the start, a peer hands over what it has. A
-// process never goes back to a lower version.
+// A version counts as accepted once it is committed in the table, not before. A process learns of a version by the
+// first of three ways: it reads the table every second, a peer offers the version, or, while the table does not answer,
+// the process fetches the version from its peers. A process never goes back to a lower version.
 package current
 
 import (
@@ -21,46 +20,46 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Table is what the store needs of the platform's table.
+// Table is the part of the platform's table service that the store calls.
 type Table interface {
 	Commit(ctx context.Context, req *wire.CommitRequest) (*wire.CommitReply, error)
 	Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error)
 }
 
-// Peers is what the store needs of the other entry hosts.
+// Peers is the client of the other entry hosts that the store calls.
 type Peers interface {
-	// Offer hands a version to all of them.
+	// Offer sends a version to all peers.
 	Offer(row *wire.SettingsRow)
-	// Fetch returns the highest version that any of them has, or nil.
+	// Fetch returns the highest version above have that a peer has, or nil.
 	Fetch(ctx context.Context, have int64) *wire.SettingsRow
 }
 
 const (
-	// tablePollInterval is how often the table is read; versions are to be in force
-	// everywhere within five seconds.
+	// tablePollInterval is the time between two reads of the table. An accepted version must be in force on all entry
+	// hosts within five seconds.
 	tablePollInterval = time.Second
-	// peerFetchInterval is how often peers are asked while the table doesn't answer.
+	// peerFetchInterval is the minimum time between two fetches from peers while the table does not answer.
 	peerFetchInterval = 2 * time.Second
 )
 
-// Store holds the version in force. It is safe for many goroutines.
+// Store holds the settings version in force. Apart from Watch and Unsafe, which must be called before Serve, its methods
+// are safe for concurrent use.
 type Store struct {
 	table   Table
 	peers   Peers
 	log     *logrus.Entry
 	metrics metrics.Registry
 
-	mu       sync.Mutex // held by accept
-	row      atomic.Pointer[wire.SettingsRow]
-	tree     atomic.Pointer[settings.Tree]
+	mu            sync.Mutex // held by Accept
+	row           atomic.Pointer[wire.SettingsRow]
+	tree          atomic.Pointer[settings.Tree]
 	serviceStates atomic.Pointer[map[string]string]
-	tableReadAtMS     atomic.Int64 // when the table last answered, Unix ms
-	watchers []func(*settings.Tree)
-	allowOlder  bool
+	tableReadAtMS atomic.Int64 // when the table last answered, Unix ms; 0 if it never did
+	watchers      []func(*settings.Tree)
+	allowOlder    bool
 }
 
-// NewStore returns a store with the empty version 0, in which nothing is
-// defined.
+// NewStore returns a store that holds version 0, an empty settings tree.
 func NewStore(table Table, peers Peers, log *logrus.Entry, registry metrics.Registry) (*Store, error) {
 	empty, err := settings.Parse("empty", "{}")
 	if err != nil {
@@ -73,25 +72,22 @@
 	return s, nil
 }
 
-// Watch calls f with each new version, and at once with the present one. It is
-// to be called before Serve.
+// Watch calls f at once with the version in force, and later with each new version. It must be called before Serve.
 func (s *Store) Watch(f func(*settings.Tree)) {
 	s.watchers = append(s.watchers, f)
 	f(s.Current())
 }
 
-// Unsafe lets a lower version replace a higher one, for a test that shows why
-// that must not be.
+// Unsafe sets whether a lower version may replace a higher one, for a test that shows why this must not happen.
 func (s *Store) Unsafe(reverts bool) { s.allowOlder = reverts }
 
-// Current returns the version in force. A request takes it once and keeps it.
+// Current returns the settings tree in force. A request calls it once and uses that tree until it ends.
 func (s *Store) Current() *settings.Tree { return s.tree.Load() }
 
-// Row returns the version in force as the table holds it.
+// Row returns the table row of the version in force.
 func (s *Store) Row() *wire.SettingsRow { return s.row.Load() }
 
-// ServiceState returns what operators asked of a service; without a word from
-// them it is started.
+// ServiceState returns the state that operators set for a service, or "started" if they set none.
 func (s *Store) ServiceState(service string) string {
 	if state, ok := (*s.serviceStates.Load())[service]; ok {
 		return state
@@ -99,7 +95,7 @@
 	return "started"
 }
 
-// Age is how long ago the table last confirmed the version.
+// Age returns the time since the table was last read, or -1 if it has not been read yet.
 func (s *Store) Age(now time.Time) time.Duration {
 	read := s.tableReadAtMS.Load()
 	if read == 0 {
@@ -108,8 +104,7 @@
 	return now.Sub(time.UnixMilli(read))
 }
 
-// Accept takes in a version if it is higher than the present one, and says
-// whether it did.
+// Accept puts a version in force if it is higher than the present one and can be parsed. It returns whether it did.
 func (s *Store) Accept(row *wire.SettingsRow) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,8 +114,7 @@
 	}
 	tree, err := settings.Parse("settings", row.GetBody())
 	if err != nil {
-		// It was checked before it was accepted, so an older program is running
-		// here than the one that accepted it.
+		// The version was checked before it was accepted, so the program that accepted it is newer than this one.
 		metrics.GetOrRegisterCounter("settings.unreadable", s.metrics).Inc(1)
 		s.log.WithError(err).WithField("version", row.GetVersion()).Error("settings version can't be read by this program")
 		return false
@@ -136,10 +130,10 @@
 	return true
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (s *Store) String() string { return "settings store" }
 
-// Serve keeps the version current until the context ends.
+// Serve polls the table until ctx ends. While the table does not answer, it fetches the version from peers.
 func (s *Store) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(tablePollInterval)
 	defer ticker.Stop()
@@ -159,7 +153,8 @@
 	}
 }
 
-// poll reads the table, and says whether it answered.
+// poll reads the settings version and the service states from the table. It returns whether the table answered. A new
+// version is offered to the peers.
 func (s *Store) poll(ctx context.Context) bool {
 	row, err := ReadCurrent(ctx, s.table)
 	if err != nil {
@@ -178,6 +173,7 @@
 	return true
 }
 
+// setServiceStates replaces the service states. It ignores rows that can't be decoded.
 func (s *Store) setServiceStates(list []*wire.Row) {
 	states := make(map[string]string, len(list))
 	for _, r := range list {
@@ -189,8 +185,7 @@
 	s.serviceStates.Store(&states)
 }
 
-// ReadCurrent reads the version in force from the table; without one it is the
-// empty version 0.
+// ReadCurrent returns the version that the table holds as current, or the empty version 0 if there is none.
 func ReadCurrent(ctx context.Context, t Table) (*wire.SettingsRow, error) {
 	row, err := platform.ReadOne(ctx, t, rows.SettingsCurrent)
 	if err != nil || row == nil {
--- a/pkg/process/current/edit.go
+++ b/pkg/process/current/edit.go
@@ -12,23 +12,24 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Edits. Each carries an id of its own. Whoever gets no answer asks again with
-// the same id and learns whether it was accepted; nothing is accepted twice.
+// Each edit has an id. A client that got no answer repeats the edit with the same id and learns whether it was
+// accepted, so no edit is accepted twice.
 
-// maxEditAttempts is how often an edit without an answer is looked into before the
-// operator is told that nobody knows.
+// maxEditAttempts is the number of times that an edit is attempted while it fails with fault.Unavailable or
+// fault.NotRun. After that, the operator gets an error that says that the outcome is unknown.
 const maxEditAttempts = 3
 
-// Edit is one operator's change of the tree.
+// Edit is an operator's replacement of the whole settings tree.
 type Edit struct {
 	Text  string
-	Base  int64 // the version that the operator started from
+	Base  int64 // the version that the operator edited
 	ID    string
 	Actor string
 }
 
-// Edit checks a new tree and has it accepted as the version after its base. In
-// the model (model/settings.pml): Operator.edit.
+// Edit checks a new tree, commits it as the version after e.Base, and offers it to the peers. It returns the row of the
+// accepted version, also if an earlier attempt with the same id committed it. It returns a Conflict if the version in
+// force is not e.Base, and Unknown if the outcome is not known. In the model (model/settings.pml): Operator.edit.
 func (s *Store) Edit(ctx context.Context, now time.Time, e Edit) (*wire.SettingsRow, error) {
 	if _, err := settings.Parse("settings", e.Text); err != nil {
 		return nil, err
@@ -51,6 +52,7 @@
 		"ask again with the same edit id: "+e.ID).WithCause(err)
 }
 
+// tryEdit attempts an edit once. It returns Unavailable if another edit is committed at the same time.
 func (s *Store) tryEdit(ctx context.Context, now time.Time, e Edit) (*wire.SettingsRow, error) {
 	held, err := platform.ReadOne(ctx, s.table, rows.SettingsCurrent)
 	if err != nil {
@@ -62,8 +64,8 @@
 			return nil, err
 		}
 	}
-	if earlier, err := s.acceptedEdit(ctx, present, e); earlier != nil || err != nil {
-		return earlier, err
+	if accepted, err := s.acceptedEdit(ctx, present, e); accepted != nil || err != nil {
+		return accepted, err
 	}
 	if present.GetVersion() != e.Base {
 		return nil, conflictError(present, e)
@@ -81,7 +83,8 @@
 	return row, nil
 }
 
-// acceptedEdit looks for an edit with this id among those accepted since its base.
+// acceptedEdit returns the version after e.Base if an edit with e's id created it, else nil. Only that version can be
+// e's, since an edit is committed as the version after its base.
 func (s *Store) acceptedEdit(ctx context.Context, present *wire.SettingsRow, e Edit) (*wire.SettingsRow, error) {
 	if present.GetVersion() <= e.Base {
 		return nil, nil
@@ -100,6 +103,8 @@
 	return out, nil
 }
 
+// editCommit returns the transaction that makes row the current version. It fails if the current version's revision has
+// changed. It writes the history and audit rows, too.
 func editCommit(revision int64, row *wire.SettingsRow) *wire.CommitRequest {
 	return &wire.CommitRequest{
 		Conditions: []*wire.Condition{{Key: rows.SettingsCurrent, Revision: revision}},
@@ -114,6 +119,7 @@
 	}
 }
 
+// conflictError returns the error for an edit whose base is no longer the current version.
 func conflictError(present *wire.SettingsRow, e Edit) error {
 	return fault.New(fault.Conflict, "settings",
 		fmt.Sprintf("version %d by %s has come in since version %d, from which this edit started", present.GetVersion(), present.GetActor(), e.Base),
--- a/pkg/process/daemon/config.go
+++ b/pkg/process/daemon/config.go
@@ -6,9 +6,9 @@
 	"github.com/wrenferry/wrenferry/pkg/configfile"
 )
 
-// Config is what one process learns from its settings file: who it is and where
-// everything else is. It never changes while the process runs. What operators
-// change is the settings tree (package settings).
+// Config is the configuration of one entry host, read from its configuration file: its name and hall, and the addresses
+// at which it listens and calls other services. It does not change while the process runs. Settings that operators
+// change at run time are in the settings tree (package settings).
 type Config struct {
 	Name       string
 	Hall       string
@@ -23,7 +23,7 @@
 	LogLevel   string
 }
 
-// Fields is the look-up table that drives the check, the help and the docs.
+// Fields describes the fields of the configuration file. The check, the help and the generated documentation use it.
 var Fields = []configfile.Field[Config]{
 	{Name: "name", Example: `"entry-1"`, Required: true, Help: "The entry host's name, as the host list has it.", Set: configfile.Value(func(c *Config) *string { return &c.Name })},
 	{Name: "hall", Example: `"mtl-a"`, Required: true, Help: "The hall that it stands in.", Set: configfile.Value(func(c *Config) *string { return &c.Hall })},
@@ -38,8 +38,7 @@
 	{Name: "logLevel", Example: `"info"`, Help: "debug, info, warning or error (default info).", Set: configfile.Value(func(c *Config) *string { return &c.LogLevel })},
 }
 
-// ParseConfig reads a process's settings file, whole, and reports everything
-// that is wrong with it.
+// ParseConfig parses a configuration file and fills in the defaults. Its error lists all problems of the file.
 func ParseConfig(file string, source []byte) (Config, error) {
 	c := Config{EntryHosts: 9, DrainWait: 5 * time.Second, DrainLimit: 2 * time.Minute, LogLevel: "info"}
 	return c, configfile.Parse(file, source, &c, Fields)
--- a/pkg/process/daemon/daemon.go
+++ b/pkg/process/daemon/daemon.go
@@ -1,10 +1,8 @@
-// Package daemon puts one entry host together and runs it from its start to its
-// planned stop.
+// Package daemon assembles an entry host and runs it from its start to its planned stop.
 //
-// Its parts are held by a suture supervisor: the control loop (one goroutine
-// that owns the hall's state), the settings store, the reader of the host list,
-// and three servers (callers, operators, peers). Between control and traffic go
-// only immutable snapshots.
+// A suture supervisor runs its services: the control loop (one goroutine that owns the hall's state), the settings
+// store, the host list reader, and the servers for callers, operators and peers. The control loop and the request path
+// share immutable snapshots only.
 package daemon
 
 import (
@@ -34,57 +32,58 @@
 )
 
 const (
-	// connectionsPerServer is what each backend server takes, from all entry hosts
-	// together.
+	// connectionsPerServer is the number of connections to each backend server, summed over all entry hosts.
 	connectionsPerServer = 64
-	// maxHeaderBytes bounds the headers of a call; larger ones get status 431.
+	// maxHeaderBytes is the size limit of a call's headers. A call that exceeds it gets status 431.
 	maxHeaderBytes = 64 << 10
-	// headerTimeout bounds how long a caller may take to send them.
+	// headerTimeout is the time within which a caller must have sent the headers.
 	headerTimeout = 10 * time.Second
-	// releaseTimeout is how long a planned stop waits to give up the leadership.
+	// releaseTimeout is how long a planned stop waits until the leadership is released.
 	releaseTimeout = 5 * time.Second
+	// releasePollInterval is the time between two checks of whether the leadership is released.
+	releasePollInterval = 10 * time.Millisecond
 )
 
-// Daemon is one entry host.
+// Daemon is one entry host: its services and the clients that they share.
 type Daemon struct {
-	config    Config
-	unsafe    Unsafe
-	log       *logrus.Entry
-	metrics   metrics.Registry
-	table     *platform.Client
-	store     *current.Store
-	peers     *peer.Peers
-	loop      *control.Loop
-	gateway   *gateway.Gateway
+	config       Config
+	unsafe       Unsafe
+	log          *logrus.Entry
+	metrics      metrics.Registry
+	table        *platform.Client
+	store        *current.Store
+	peers        *peer.Peers
+	loop         *control.Loop
+	gateway      *gateway.Gateway
 	operatorsAPI *operators.Server
-	hosts     atomic.Pointer[[]*wire.Host]
+	hosts        atomic.Pointer[[]*wire.Host]
 
-	callersServer *parts.HTTP
-	operatorsServer   *parts.HTTP
-	peersServer *parts.GRPC
+	callersServer   *parts.HTTP
+	operatorsServer *parts.HTTP
+	peersServer     *parts.GRPC
 }
 
-// Option changes how a Daemon is made.
+// Option is an option of New.
 type Option func(*options)
 
 type options struct {
 	unsafe Unsafe
 }
 
-// Unsafe takes fences out, for tests that show they are needed.
+// Unsafe disables safeguards, for tests that show that each safeguard is needed.
 type Unsafe struct {
 	Hall    hall.Unsafe
 	Gateway gateway.Unsafe
-	// NoDrain ends at once at a planned stop.
+	// NoDrain makes a planned stop end the process at once, without draining.
 	NoDrain bool
-	// NoMonotonic lets a lower settings version replace a higher one.
+	// NoMonotonic allows a lower settings version to replace a higher one.
 	NoMonotonic bool
 }
 
-// WithUnsafe takes fences out, for tests that show they are needed.
+// WithUnsafe disables safeguards, for tests that show that each safeguard is needed.
 func WithUnsafe(u Unsafe) Option { return func(o *options) { o.unsafe = u } }
 
-// New puts an entry host together and opens its ports.
+// New assembles an entry host and opens its ports. It returns an error if a port can't be opened.
 func New(config Config, log *logrus.Logger, opts ...Option) (*Daemon, error) {
 	var o options
 	for _, f := range opts {
@@ -121,6 +120,7 @@
 	return d, d.listen(keys)
 }
 
+// otherHalls returns the halls of the deployment other than the host's own.
 func otherHalls(config Config) []string {
 	var list []string
 	for _, h := range config.Halls {
@@ -131,12 +131,13 @@
 	return list
 }
 
+// listen opens the ports for callers, operators and peers and creates their servers.
 func (d *Daemon) listen(keys *binding.Keys) error {
 	callers := http.NewServeMux()
 	d.gateway.Routes(callers)
 	admin := http.NewServeMux()
 	d.operatorsAPI.Routes(admin)
-	d.gateway.Routes(admin) // operators start jobs as callers do
+	d.gateway.Routes(admin) // operators submit jobs by the callers' paths
 	peers := grpc.NewServer()
 	wire.RegisterPeerServer(peers, &peer.Server{
 		Name: d.config.Name, Hall: d.config.Hall, Keys: keys, Settings: d.store, Gateway: d.gateway, Control: d.loop,
@@ -156,20 +157,19 @@
 	return nil
 }
 
-// CallersAddress is where callers are served.
+// CallersAddress returns the address at which callers are served.
 func (d *Daemon) CallersAddress() string { return d.callersServer.Listener.Addr().String() }
 
-// OperatorsAddress is where operators are served.
+// OperatorsAddress returns the address at which operators are served.
 func (d *Daemon) OperatorsAddress() string { return d.operatorsServer.Listener.Addr().String() }
 
-// Run runs the entry host until the context ends, and then stops it as planned.
+// Run runs the entry host until ctx ends, and then does a planned stop. It returns early if the supervisor ends.
 func (d *Daemon) Run(ctx context.Context) error {
 	d.store.Watch(func(t *settings.Tree) { d.loop.Tell(hall.SettingsChanged{Tree: t}) })
-	// A panic ends the process: a control state that was left half changed must
-	// not go on, and another entry host takes over.
+	// A panic ends the process, since it may have left the control state half changed. Another entry host takes over.
 	supervisor := suture.New("wrenferryd", suture.Spec{PassThroughPanics: true, EventHook: func(e suture.Event) {
 		metrics.GetOrRegisterCounter("supervisor.events", d.metrics).Inc(1)
-		d.log.WithField("event", e.String()).Warn("a part ended and is started again")
+		d.log.WithField("event", e.String()).Warn("supervised service ended or failed; the supervisor restarts it")
 	}})
 	supervisor.Add(d.loop)
 	supervisor.Add(d.store)
@@ -196,10 +196,10 @@
 	return nil
 }
 
-// plannedStop is the planned stop: say that the host is leaving, let the balancer see
-// it, finish what is in flight, give the leadership up.
+// plannedStop drains the entry host. It reports the host as not ready, waits until the balancer has noticed, finishes
+// the calls in flight, and waits until the leadership is released.
 func (d *Daemon) plannedStop() {
-	d.log.Info("planned stop begins")
+	d.log.Info("planned stop started")
 	d.operatorsAPI.SetReady(false)
 	d.loop.Tell(hall.Drain{})
 	time.Sleep(d.config.DrainWait)
@@ -207,15 +207,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d.config.DrainLimit)
 	defer cancel()
 	if err := d.callersServer.Server.Shutdown(ctx); err != nil {
-		d.log.WithError(err).Warn("the drain limit passed with calls in flight")
+		d.log.WithError(err).Warn("drain limit reached with calls in flight")
 	}
 	deadline := time.Now().Add(releaseTimeout)
 	for !d.loop.Status().Released && time.Now().Before(deadline) {
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(releasePollInterval)
 	}
 }
 
-// newServer opens a port for a handler.
+// newServer opens a port and returns an HTTP server for it. The name of the port stands in the error.
 func newServer(name, address string, handler http.Handler) (*parts.HTTP, error) {
 	listener, err := parts.Listen(name, address)
 	if err != nil {
@@ -228,17 +228,17 @@
 
 // ------------------------------------------------------------------ hosts
 
-// hostPollInterval is how often the host list is read.
+// hostPollInterval is the time between two reads of the host list.
 const hostPollInterval = 500 * time.Millisecond
 
-// hostListReader reads the platform's list of hosts and hands it to all that use
-// it. While the platform is away the last list stays.
+// hostListReader polls the platform's host list and passes it to the peers, the gateway, the control loop and the
+// operators' interface. While the platform does not answer, they keep the previous list.
 type hostListReader struct{ daemon *Daemon }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (h *hostListReader) String() string { return "host list reader" }
 
-// Serve reads until the context ends.
+// Serve polls the host list until ctx ends.
 func (h *hostListReader) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(hostPollInterval)
 	defer ticker.Stop()
@@ -252,6 +252,7 @@
 	}
 }
 
+// read reads the host list once. A failure is counted only.
 func (h *hostListReader) read(ctx context.Context) {
 	d := h.daemon
 	list, err := d.table.Hosts(ctx)
--- a/pkg/version/settings/parse.go
+++ b/pkg/version/settings/parse.go
@@ -70,9 +70,9 @@
 
 // parser collects problems, so that one reading reports them all.
 type parser struct {
-	file     string
-	text     []byte
-	problems Problems
+	file         string
+	text         []byte
+	problems     Problems
 	servicePaths map[string]string
 }
 
