--- a/pkg/process/control/control.go
+++ b/pkg/process/control/control.go
@@ -219,8 +219,8 @@
 	entry.Debug(f.Detail)
 }
 
-// loggedAtInfo holds the reasons that are logged at info level: changes of the hall's leadership or of a worker's state,
-// and commit conflicts. Facts with other reasons are logged at debug level. All are counted.
+// loggedAtInfo holds the reasons that are logged at info level: changes of the hall's leadership or of a worker's
+// state, and commit conflicts. Facts with other reasons are logged at debug level. All are counted.
 var loggedAtInfo = map[hall.Reason]bool{
 	hall.ClaimedLeadership: true, hall.LostLeadership: true, hall.ReleasedLeadership: true,
 	hall.LoadedState: true, hall.TenureOver: true, hall.WorkerReached: true, hall.WorkerLost: true,
--- a/pkg/process/operators/operators.go
+++ b/pkg/process/operators/operators.go
@@ -1,9 +1,7 @@
-// Package operators serves operators: the HTTP interface that the command line
-// speaks, with status, settings, services, jobs, hosts, audit, explanations,
-// metrics and health.
+// Package operators implements the HTTP interface for operators, which the command line uses: status, settings,
+// services, jobs, hosts, audit, explanations, metrics and health.
 //
-// Every change goes through the table, and its audit row is written in the same
-// transaction.
+// Every change is a transaction on the table that also writes the audit row of the change.
 package operators
 
 import (
@@ -25,27 +23,27 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Table is what the interface needs of the platform's table.
+// Table is the part of the platform's table service that the interface calls.
 type Table interface {
 	Commit(ctx context.Context, req *wire.CommitRequest) (*wire.CommitReply, error)
 	Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error)
 }
 
-// Control is what the interface needs of the control loop.
+// Control is the part of the control loop that the interface calls.
 type Control interface {
 	Status() *control.Status
 	Explain(ctx context.Context, name string) ([]hall.Fact, error)
 }
 
-// Peers is what the interface needs of the other entry hosts.
+// Peers is the client of the other entry hosts that the interface calls.
 type Peers interface {
 	Explain(ctx context.Context, name string) []*wire.Answer
 }
 
-// ActorHeader names the operator who asks.
+// ActorHeader is the HTTP header that holds the name of the operator who sends the request.
 const ActorHeader = "Wrenferry-Actor"
 
-// Server serves operators at one entry host.
+// Server serves operators at one entry host. Hosts returns the last host list that the host has read.
 type Server struct {
 	Name     string
 	Hall     string
@@ -60,10 +58,10 @@
 	ready atomic.Bool
 }
 
-// SetReady says whether the balancer may send callers here.
+// SetReady sets whether the readiness check succeeds, which decides whether the balancer sends callers to this host.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Routes adds the operators' paths to a mux.
+// Routes registers the operators' paths on a mux.
 func (s *Server) Routes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /healthz/live", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("live\n")) })
 	mux.HandleFunc("GET /healthz/ready", s.serveReady)
@@ -83,8 +81,7 @@
 	mux.HandleFunc("GET /v1/explain/{name...}", jsonHandler(s.explain))
 }
 
-// jsonHandler turns a function into a handler: its result as JSON, its failure as a
-// problem.
+// jsonHandler returns a handler that calls f and writes its result as JSON, or its error as a Problem.
 func jsonHandler[T any](f func(r *http.Request) (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		result, err := f(r)
@@ -103,7 +100,7 @@
 	}
 }
 
-// Problem is the body of a failure (RFC 9457).
+// Problem is the response body of a failed request (RFC 9457).
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -127,7 +124,8 @@
 
 // ----------------------------------------------------------------- status
 
-// Status is what "wrenferry status" shows of one entry host.
+// Status is the state of one entry host, as "wrenferry status" shows it. SettingsAgeMS is the time since the host last
+// read the table, or negative if it has not read it yet.
 type Status struct {
 	Name          string                `json:"name"`
 	Hall          string                `json:"hall"`
@@ -183,8 +181,8 @@
 
 // ------------------------------------------------------------------ audit
 
-// requestActor is who asks. The platform's balancer or the operator's command line
-// fills it in; wrenferry keeps no accounts.
+// requestActor returns the operator's name from ActorHeader, or "unknown". The platform's balancer or the operator's
+// command line sets the header, since wrenferry has no user accounts.
 func requestActor(r *http.Request) string {
 	if name := r.Header.Get(ActorHeader); name != "" {
 		return name
@@ -192,9 +190,9 @@
 	return "unknown"
 }
 
-// auditRow says who did what, as a row for the same transaction.
-func auditRow(now time.Time, who, verb, object, detail string) *wire.Row {
+// auditRow returns the audit row of an operator's change, to be written in the transaction of the change.
+func auditRow(now time.Time, actor, verb, object, detail string) *wire.Row {
 	return rows.Put(rows.Audit(now.UnixMilli(), uuid.NewString()), &wire.AuditRow{
-		AtUnixMs: now.UnixMilli(), Actor: who, Verb: verb, Object: object, Detail: detail,
+		AtUnixMs: now.UnixMilli(), Actor: actor, Verb: verb, Object: object, Detail: detail,
 	})
 }
--- a/pkg/process/operators/settings.go
+++ b/pkg/process/operators/settings.go
@@ -18,10 +18,10 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// maxSettingsBytes bounds the text of a tree.
+// maxSettingsBytes is the maximum size of a request body that holds a settings tree. The rest is cut off.
 const maxSettingsBytes = 4 << 20
 
-// SettingsView is one version of the settings.
+// SettingsView is one version of the settings. Text is left out of lists and of replies to edits.
 type SettingsView struct {
 	Version int64     `json:"version"`
 	Actor   string    `json:"actor"`
@@ -30,6 +30,7 @@
 	Text    string    `json:"text,omitempty"`
 }
 
+// settingsView returns the view of a settings row, with its text if text is true.
 func settingsView(row *wire.SettingsRow, text bool) SettingsView {
 	v := SettingsView{Version: row.GetVersion(), Actor: row.GetActor(), At: time.UnixMilli(row.GetAtUnixMs()), EditID: row.GetEditId()}
 	if text {
@@ -38,6 +39,7 @@
 	return v
 }
 
+// showSettings returns the version that the query names, or the one in force if the query names none.
 func (s *Server) showSettings(r *http.Request) (SettingsView, error) {
 	text := r.URL.Query().Get("version")
 	if text == "" {
@@ -61,13 +63,14 @@
 	return settingsView(out, true), nil
 }
 
-// EditBody is the body of an edit.
+// EditBody is the request body of an edit. Base is the version that the operator edited.
 type EditBody struct {
 	Text   string `json:"text"`
 	Base   int64  `json:"base"`
 	EditID string `json:"editId"`
 }
 
+// editSettings replaces the settings tree. It generates an edit id if the request has none.
 func (s *Server) editSettings(r *http.Request) (SettingsView, error) {
 	var body EditBody
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxSettingsBytes)).Decode(&body); err != nil {
@@ -82,11 +85,12 @@
 	return settingsView(row, false), err
 }
 
-// CheckView is the answer to a check that found nothing wrong.
+// CheckView is the answer to a check that found no problems. Kinds are the kinds of calls that the tree defines.
 type CheckView struct {
 	Kinds []string `json:"kinds"`
 }
 
+// checkSettings checks a settings tree without changing the settings.
 func (s *Server) checkSettings(r *http.Request) (CheckView, error) {
 	text, err := io.ReadAll(io.LimitReader(r.Body, maxSettingsBytes))
 	if err != nil {
@@ -99,6 +103,7 @@
 	return CheckView{Kinds: tree.KindNames()}, nil
 }
 
+// listHistory returns all accepted versions, without their texts.
 func (s *Server) listHistory(r *http.Request) ([]SettingsView, error) {
 	list, err := platform.ReadAll(r.Context(), s.Table, rows.HistoryPrefix)
 	if err != nil {
@@ -115,6 +120,7 @@
 	return views, nil
 }
 
+// listOrigins returns the settings of a branch, each with the branch that sets it.
 func (s *Server) listOrigins(r *http.Request) ([]settings.Origin, error) {
 	return s.Settings.Current().Origins(r.URL.Query().Get("branch"))
 }
--- a/pkg/process/operators/work.go
+++ b/pkg/process/operators/work.go
@@ -15,7 +15,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Services, jobs, the audit trail, and explanations.
+// Handlers for services, jobs, the audit trail, and explanations.
 
 // --------------------------------------------------------------- services
 
@@ -25,19 +25,20 @@
 	return views, nil
 }
 
-// stateByVerb maps the operators' verbs to the states that they set.
+// stateByVerb maps each verb for a service to the state that it sets.
 var stateByVerb = map[string]string{
 	"start": gateway.Started,
 	"drain": gateway.Draining,
 	"stop":  gateway.Stopped,
 }
 
-// ServiceState is the answer to a verb.
+// ServiceState is the state of a service after a verb was applied to it.
 type ServiceState struct {
 	Service string `json:"service"`
 	State   string `json:"state"`
 }
 
+// setServiceState sets the state of a service in the table.
 func (s *Server) setServiceState(r *http.Request) (ServiceState, error) {
 	name, verb := r.PathValue("name"), r.PathValue("verb")
 	state, ok := stateByVerb[verb]
@@ -60,9 +61,10 @@
 
 // ------------------------------------------------------------------- jobs
 
-// jobPageSize bounds what one listing shows.
+// jobPageSize is the maximum number of jobs in one listing.
 const jobPageSize = 1000
 
+// listJobs returns the first jobPageSize jobs by key, after the key that the query names.
 func (s *Server) listJobs(r *http.Request) ([]gateway.JobView, error) {
 	reply, err := s.Table.Read(r.Context(), &wire.ReadRequest{Prefix: "job/", After: rows.Job(r.URL.Query().Get("after")), Limit: jobPageSize})
 	if err != nil {
@@ -79,9 +81,10 @@
 	return views, nil
 }
 
-// inboxVerbByVerb maps the operators' verbs to those of the inbox.
+// inboxVerbByVerb maps each verb for a job to the verb in the inbox row for the job's leader.
 var inboxVerbByVerb = map[string]string{"stop": rows.Cancel, "drain": rows.Drain}
 
+// endJob asks the leader of a job's hall to cancel or drain the job.
 func (s *Server) endJob(r *http.Request) (gateway.JobView, error) {
 	key, verb := r.PathValue("key"), r.PathValue("verb")
 	inboxVerb, ok := inboxVerbByVerb[verb]
@@ -106,6 +109,7 @@
 	Detail string    `json:"detail"`
 }
 
+// listAudit returns the audit rows that match the query's actor, object and age.
 func (s *Server) listAudit(r *http.Request) ([]AuditView, error) {
 	query := r.URL.Query()
 	list, err := platform.ReadAll(r.Context(), s.Table, rows.AuditPrefix)
@@ -134,14 +138,15 @@
 	return views, nil
 }
 
-func (v AuditView) matches(who, object string, since time.Time) bool {
-	return (who == "" || v.Actor == who) && (object == "" || v.Object == object) && !v.At.Before(since)
+// matches reports whether the row has the actor and object, where given, and is not older than since.
+func (v AuditView) matches(actor, object string, since time.Time) bool {
+	return (actor == "" || v.Actor == actor) && (object == "" || v.Object == object) && !v.At.Before(since)
 }
 
 // ---------------------------------------------------------------- explain
 
-// explain gathers what every hall's leader knows of a name, and what this entry
-// host knows of services and kinds.
+// explain returns the facts about a name, oldest first: those that the leaders of all halls hold and, if the name is a
+// service or SERVICE/KIND, those of this entry host.
 func (s *Server) explain(r *http.Request) ([]FactView, error) {
 	name := r.PathValue("name")
 	facts := s.explainService(name)
@@ -166,7 +171,8 @@
 	return facts, nil
 }
 
-// explainEndedJob looks for a job that no leader has in memory.
+// explainEndedJob returns the state in the table of a job that no leader has in memory. It returns NotFound if the
+// table has no such job.
 func (s *Server) explainEndedJob(r *http.Request, name string) ([]FactView, error) {
 	row, err := platform.ReadOne(r.Context(), s.Table, rows.Job(name))
 	if err != nil {
@@ -183,7 +189,8 @@
 	return []FactView{{time.Now(), v.Hall, "job/" + name, "now", strings.TrimSpace(v.State + " " + v.Reason)}}, nil
 }
 
-// explainService says how this entry host treats a service or a kind of call.
+// explainService returns the state of a service at this entry host and, if the name is SERVICE/KIND, the settings of
+// the kind.
 func (s *Server) explainService(name string) []FactView {
 	now := time.Now()
 	var facts []FactView
--- a/pkg/version/manifest/manifest.go
+++ b/pkg/version/manifest/manifest.go
@@ -1,8 +1,7 @@
-// Package manifest holds one version of what operators configure for a
-// deployment: queues that take jobs, and the services whose workers run them.
+// Package manifest holds one version of the configuration that operators set for a deployment: the queues that accept
+// jobs, and the services whose workers run the jobs.
 //
-// A Manifest is immutable; a process swaps one for a newer one and never goes
-// back.
+// A Manifest is immutable. A process replaces its manifest only by a newer one.
 package manifest
 
 import (
@@ -10,7 +9,7 @@
 	"time"
 )
 
-// Manifest is one version, whole.
+// Manifest is one complete version of the configuration.
 type Manifest struct {
 	version  int64
 	queues   []Queue
@@ -18,41 +17,42 @@
 	limits   Limits
 }
 
-// Queue takes the jobs that callers send to its host and path.
+// Queue accepts the jobs that callers send to its host and to paths with its prefix. Service is the service whose
+// workers run them.
 type Queue struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Service    string
-	// Priority 0 comes first.
+	// Priority is the rank of the queue's tasks. 0 is the most urgent.
 	Priority int
-	// MaxAttempts is how many failed runs a task has.
+	// MaxAttempts is the number of failed runs of one task after which its job fails.
 	MaxAttempts int
-	// Stretch times a job's longest chain of work, plus Slack, is its objective.
+	// Stretch and Slack set the objective for a job's duration: Stretch times the job's longest chain of work, plus
+	// Slack.
 	Stretch float64
 	Slack   time.Duration
 	Timeout time.Duration
-	// Advice, where set, says that an outside service decides which workers may
-	// run a step.
+	// Advice is set if the external advice service decides which workers may run a step.
 	Advice *Advice
 }
 
-// Advice is what is known of the advising service for a queue.
+// Advice describes the external advice service for a queue. Valid is how long its tickets are valid.
 type Advice struct {
 	Decide, Each, Valid time.Duration
 }
 
-// Service is a pool of workers.
+// Service is a pool of workers that run the jobs of queues.
 type Service struct {
 	Name string
-	// Guards says that its workers refuse what does not fit.
+	// Guards means that the service's workers refuse a start that exceeds their capacity.
 	Guards bool
-	// Spare says that its hosts are off until they are moved elsewhere.
+	// Spare means that the service's hosts are off until they are moved to another service.
 	Spare      bool
 	HealthPath string
 }
 
-// Limits bound what callers send.
+// Limits holds the size and time limits for callers' requests.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -60,7 +60,7 @@
 	IdleTimeout    time.Duration
 }
 
-// New returns a manifest. Its arguments must not be changed afterwards.
+// New returns a manifest. The caller must not change the arguments afterwards.
 func New(version int64, queues []Queue, services []Service, limits Limits) *Manifest {
 	m := &Manifest{version: version, queues: queues, services: map[string]Service{}, limits: limits}
 	for _, s := range services {
@@ -69,14 +69,13 @@
 	return m
 }
 
-// Version is the manifest's own number; higher is newer.
+// Version returns the manifest's version number. A higher number is newer.
 func (m *Manifest) Version() int64 { return m.version }
 
-// Limits returns the limits on what callers send.
+// Limits returns the limits for callers' requests.
 func (m *Manifest) Limits() Limits { return m.limits }
 
-// Match finds the queue for a host and a path: of those of the host, the one
-// with the longest prefix that begins the path.
+// Match returns the queue for a host and a path: the queue of the host with the longest path prefix that matches.
 func (m *Manifest) Match(host, path string) (Queue, bool) {
 	var best Queue
 	found := false
@@ -91,7 +90,7 @@
 	return best, found
 }
 
-// Queue finds a queue by its name.
+// Queue returns the queue with the given name.
 func (m *Manifest) Queue(name string) (Queue, bool) {
 	for _, q := range m.queues {
 		if q.Name == name {
@@ -101,7 +100,7 @@
 	return Queue{}, false
 }
 
-// Service finds a service by its name.
+// Service returns the service with the given name.
 func (m *Manifest) Service(name string) (Service, bool) {
 	s, ok := m.services[name]
 	return s, ok
--- a/pkg/version/settings/keys.go
+++ b/pkg/version/settings/keys.go
@@ -8,13 +8,12 @@
 	"time"
 )
 
-// This file is the look-up table of settings. The checker, the command line's
-// help and docs/SETTINGS.md are all driven by it. To add a setting: add a row
-// here, a field to Kind or Fleet in resolve.go, and run "make docs".
+// Keys, in this file, defines all settings. The checker, the command line's help and docs/SETTINGS.md use it. To add a
+// setting, add a row to Keys and a field to Kind or Fleet in resolve.go, and run "make docs".
 
 // ----------------------------------------------------------------- types
 
-// Type says how a setting's value is written.
+// Type is the type of a setting's value in the file.
 type Type string
 
 // The types of settings.
@@ -25,21 +24,21 @@
 	Choice   Type = "choice"
 )
 
-// Key is one row of the table: everything that is known about a setting.
+// Key defines one setting.
 type Key struct {
 	Name    string
 	Type    Type
-	Unit    string
-	Min     int64 // of an Integer, or of a Duration in milliseconds
+	Unit    string // of the value, for the help
+	Min     int64  // of an Integer, or of a Duration in milliseconds
 	Max     int64
-	Choices []string
-	Default string // as it would be written in the file
+	Choices []string // the values of a Choice
+	Default string   // as written in the file
 	Example string
-	Root    bool // may stand only at the root of the tree
+	Root    bool // whether the setting is allowed only at the root of the tree
 	Help    string
 }
 
-// Keys is the look-up table, in the order in which help shows it.
+// Keys holds all settings, in the order in which the help shows them.
 var Keys = []Key{
 	{Name: "type", Type: Choice, Choices: []string{"request", "job", "stream"}, Default: `"request"`, Example: `"job"`, Help: "What a call of this kind is: a request answered at once, a job kept in the table until it is done, or a standing stream."},
 	{Name: "deadline", Type: Duration, Unit: "ms, s or m", Min: 1, Max: 600000, Default: `"2s"`, Example: `"800ms"`, Help: "How long a caller waits for a request. One that cannot make it is refused at once."},
@@ -68,7 +67,7 @@
 	{Name: "patience", Type: Duration, Unit: "s or m", Min: 100, Max: 86400000, Default: `"10m"`, Example: `"1h"`, Root: true, Help: "How long to wait for a lost worker to say what became of a task that must not run twice, before the task ends as unknown."},
 }
 
-// KeyNamed finds a row of the table.
+// KeyNamed returns the setting with the given name.
 func KeyNamed(name string) (Key, bool) {
 	for _, k := range Keys {
 		if k.Name == name {
@@ -78,7 +77,7 @@
 	return Key{}, false
 }
 
-// Range describes the values that the key takes, for people.
+// Range returns a description of the setting's valid values, for help and error texts.
 func (k Key) Range() string {
 	switch k.Type {
 	case Duration:
@@ -95,8 +94,8 @@
 
 // ---------------------------------------------------------------- values
 
-// parseLiteral turns a literal from the file into a number: an integer as it is, a
-// duration in milliseconds, a boolean as 0 or 1, a choice as its index.
+// parseLiteral converts a literal from the file to a number: an integer as it is, a duration in milliseconds, a boolean
+// as 0 or 1, and a choice as its index in Choices. It returns false if the literal is not a valid value.
 func (k Key) parseLiteral(literal string) (int64, bool) {
 	switch k.Type {
 	case Duration:
--- a/pkg/version/settings/parse.go
+++ b/pkg/version/settings/parse.go
@@ -1,10 +1,9 @@
-// Package settings is one version of the settings tree: its text, its check,
-// and what each kind of call inherits.
+// Package settings parses and checks one version of the settings tree and resolves the settings that each kind of call
+// inherits.
 //
-// Data flows one way: text -> Parse (a tree of nodes with positions) -> check
-// (all problems at once, each with its place and remedy) -> resolve (one
-// immutable Kind for each service and kind, every value with its origin).
-// A Tree never changes after Parse; a new version is a new Tree.
+// Data flows one way: text -> Parse (a tree of nodes with positions) -> check (all problems at once, each with its
+// position and remedy) -> resolve (one immutable Kind for each service and kind, each value with its origin). A Tree
+// does not change after Parse. A new version is a new Tree.
 package settings
 
 import (
@@ -21,24 +20,26 @@
 
 // ----------------------------------------------------------------- nodes
 
-// The words that open a level of the tree, outermost first. The root has none.
+// levelKeys holds, by depth, the key under which a node's children are listed: teams at the root, then services, then
+// kinds.
 var levelKeys = []string{"teams", "services", "kinds"}
 
-// value is one setting as written, with where it stands.
+// value is a setting's value.
 type value struct {
-	literal string
-	number  int64
-	origin  string
+	literal string // as written in the file
+	number  int64  // as returned by Key.parseLiteral
+	origin  string // the branch that sets the value, or "default"
 }
 
-// node is one branch: its own values and its children by name.
+// node is a branch of the tree: the root, a team, a service or a kind. It has the values that the branch sets itself,
+// and its children by name.
 type node struct {
 	path     string
 	values   map[string]value
 	children map[string]*node
 }
 
-// Problem is one thing that is wrong with a file.
+// Problem is one error in a settings file, with its position and how to correct it.
 type Problem struct {
 	File    string
 	Line    int
@@ -47,15 +48,15 @@
 	Remedy  string
 }
 
-// String gives the problem as editors and people know it.
+// String returns the problem in the format FILE:LINE:COLUMN: MESSAGE, which editors recognize.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d:%d: %s; %s", p.File, p.Line, p.Column, p.Message, p.Remedy)
 }
 
-// Problems is everything that is wrong with a file; it is an error.
+// Problems is an error that lists all problems of a settings file.
 type Problems []Problem
 
-// Error gives one problem a line.
+// Error returns the problems, one a line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, q := range p {
@@ -66,9 +67,11 @@
 
 // ---------------------------------------------------------------- parser
 
+// namePattern matches valid names of teams, services and kinds.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// parser collects problems, so that one reading reports them all.
+// parser parses one settings file. It collects problems, so that one run reports them all. servicePaths holds the path
+// of each service by its name.
 type parser struct {
 	file         string
 	text         []byte
@@ -76,8 +79,8 @@
 	servicePaths map[string]string
 }
 
-// Parse reads a whole file. The file is taken whole or refused whole: any
-// problem makes the error a fault whose cause is a Problems.
+// Parse parses and checks a settings file. If the file has any problem, Parse returns no tree and a BadInput fault
+// whose text lists all problems.
 func Parse(file, text string) (*Tree, error) {
 	p := &parser{file: file, text: []byte(text), servicePaths: map[string]string{}}
 	syntax, err := hujson.Parse(p.text)
@@ -98,7 +101,7 @@
 	return t, nil
 }
 
-// checkFleet looks at values that must agree with each other.
+// checkFleet checks values that depend on each other: the tenure must be at least as long as the lease.
 func (p *parser) checkFleet(f Fleet) {
 	if f.Lease > f.Tenure {
 		p.addProblem(0, fmt.Sprintf("lease %s is longer than tenure %s", f.Lease, f.Tenure),
@@ -106,12 +109,14 @@
 	}
 }
 
+// asFault returns the collected problems as a BadInput fault, sorted by line.
 func (p *parser) asFault() error {
 	sort.SliceStable(p.problems, func(i, j int) bool { return p.problems[i].Line < p.problems[j].Line })
 	return fault.New(fault.BadInput, "settings", fmt.Sprintf("%d problem(s), nothing was changed:\n%s",
 		len(p.problems), p.problems.Error()), "")
 }
 
+// addSyntaxError adds a syntax error of package hujson as a problem, with the position taken from its text.
 func (p *parser) addSyntaxError(err error) {
 	line, column := 1, 1
 	message := err.Error()
@@ -122,6 +127,7 @@
 	p.problems = append(p.problems, Problem{p.file, line, column, "not JSON with comments: " + message, "mend the syntax"})
 }
 
+// addProblem adds a problem at a byte offset of the file.
 func (p *parser) addProblem(offset int, message, remedy string) {
 	before := string(p.text[:offset])
 	line := strings.Count(before, "\n") + 1
@@ -129,7 +135,7 @@
 	p.problems = append(p.problems, Problem{p.file, line, column, message, remedy})
 }
 
-// parseNode reads one branch at the given depth (0 is the root).
+// parseNode parses a branch at the given depth. The root has depth 0.
 func (p *parser) parseNode(v *hujson.Value, path string, depth int) *node {
 	n := &node{path: path, values: map[string]value{}, children: map[string]*node{}}
 	object, ok := v.Value.(*hujson.Object)
@@ -155,6 +161,7 @@
 	return n
 }
 
+// parseChildren parses the object that lists the children of n, a node at the given depth.
 func (p *parser) parseChildren(n *node, v *hujson.Value, depth int) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
@@ -180,8 +187,8 @@
 	}
 }
 
-// checkServiceUnique demands that a service's name is used by one team only, since
-// callers name the service and not the team.
+// checkServiceUnique adds a problem if another team has a service of the same name, since callers name the service
+// only, not the team.
 func (p *parser) checkServiceUnique(name, path string, offset int) {
 	if other, ok := p.servicePaths[name]; ok {
 		p.addProblem(offset, fmt.Sprintf("service %q is already defined as %s", name, other), "give one of them another name")
@@ -189,6 +196,7 @@
 	p.servicePaths[name] = path
 }
 
+// parseSetting parses and checks one setting of node n, which is at the given depth.
 func (p *parser) parseSetting(n *node, name string, m *hujson.ObjectMember, depth int) {
 	k, ok := KeyNamed(name)
 	if !ok {
@@ -211,6 +219,7 @@
 	n.values[name] = value{literal: literal, number: number, origin: pathName(n.path)}
 }
 
+// pathName returns the name of a branch for messages and origins.
 func pathName(path string) string {
 	if path == "" {
 		return "the root"
@@ -218,7 +227,8 @@
 	return path
 }
 
-// nearestWord finds the known word with the fewest edits from a mistyped one.
+// nearestWord returns the setting, or the level key that is allowed at the depth, with the smallest edit distance from
+// a mistyped name.
 func nearestWord(name string, depth int) string {
 	words := []string{}
 	if depth < len(levelKeys) {
--- a/pkg/version/settings/resolve.go
+++ b/pkg/version/settings/resolve.go
@@ -11,7 +11,7 @@
 
 // ----------------------------------------------------------- the result
 
-// Tree is one checked version of the settings. It never changes.
+// Tree is one checked and resolved version of the settings. It is immutable.
 type Tree struct {
 	text    string
 	version int64
@@ -21,17 +21,17 @@
 	teams   map[string]Quota
 }
 
-// The types of a kind of call, as the setting "type" names them.
+// The values of the setting "type".
 const (
 	TypeRequest = "request"
 	TypeJob     = "job"
 	TypeStream  = "stream"
 )
 
-// AskAlways is the value of "askPeers" by which every call with a key asks.
+// AskAlways is the value of the setting "askPeers" with which an entry host asks its peers about every call with a key.
 const AskAlways = "always"
 
-// Fleet holds the settings that stand at the root only.
+// Fleet holds the settings that are allowed only at the root of the tree. They apply to the whole deployment.
 type Fleet struct {
 	PlacePolicy    string
 	Lease          time.Duration
@@ -42,7 +42,8 @@
 	UrgentPriority int
 }
 
-// Kind is everything that one kind of call inherits and overrides.
+// Kind holds the settings of one kind of call, with those inherited from its service, its team and the root. Team,
+// Service and Name identify the kind.
 type Kind struct {
 	Team          string
 	Service       string
@@ -62,41 +63,40 @@
 	TargetLatency time.Duration
 }
 
-// Quota is the most that a team's batch tasks may reserve in one hall; a zero
-// means no limit.
+// Quota is the maximum that a team's batch tasks may reserve in one hall. 0 means no limit.
 type Quota struct {
 	Millicores   int64
 	MemoryMB     int64
 	Accelerators int64
 }
 
-// Origin is one setting with its value and the branch that it comes from.
+// Origin is a setting with its value as written and the branch that sets it, or "default".
 type Origin struct {
 	Key   string
 	Value string
 	From  string
 }
 
-// WithVersion returns the same tree under the number it was accepted as.
+// WithVersion returns a copy of the tree with the version number under which the tree was accepted.
 func (t *Tree) WithVersion(version int64) *Tree {
 	c := *t
 	c.version = version
 	return &c
 }
 
-// Version is the number that the tree was accepted as; 0 before that.
+// Version returns the version number under which the tree was accepted, or 0 before that.
 func (t *Tree) Version() int64 { return t.version }
 
-// Text is the file as the operator wrote it, comments included.
+// Text returns the file as the operator wrote it, including comments.
 func (t *Tree) Text() string { return t.text }
 
-// Fleet returns the settings of the root.
+// Fleet returns the settings that are allowed only at the root.
 func (t *Tree) Fleet() Fleet { return t.fleet }
 
-// Quota returns the quota of a team.
+// Quota returns the quota of a team, or no limits if the team is unknown.
 func (t *Tree) Quota(team string) Quota { return t.teams[team] }
 
-// Kind finds a kind of call by the names that callers use.
+// Kind returns a kind of call by its service and name. The error for an unknown kind lists the known ones.
 func (t *Tree) Kind(service, kind string) (Kind, error) {
 	k, ok := t.kinds[service+"/"+kind]
 	if ok {
@@ -106,7 +106,7 @@
 		"known are: "+strings.Join(t.KindNames(), ", "))
 }
 
-// KindNames lists every "service/kind", sorted.
+// KindNames returns the names of all kinds as "service/kind", sorted.
 func (t *Tree) KindNames() []string {
 	names := make([]string, 0, len(t.kinds))
 	for name := range t.kinds {
@@ -116,7 +116,7 @@
 	return names
 }
 
-// HasService says whether any kind belongs to the service.
+// HasService returns whether the service has at least one kind.
 func (t *Tree) HasService(service string) bool {
 	for _, k := range t.kinds {
 		if k.Service == service {
@@ -126,8 +126,8 @@
 	return false
 }
 
-// Origins lists every setting in force at a branch ("team", "team/service" or
-// "team/service/kind"; empty for the root), with where it comes from.
+// Origins returns all settings in force at a branch, each with its origin. The path of the branch is "team",
+// "team/service" or "team/service/kind", or empty for the root.
 func (t *Tree) Origins(path string) ([]Origin, error) {
 	chain := []*node{t.root}
 	n := t.root
@@ -148,7 +148,7 @@
 
 // ------------------------------------------------------------ inheritance
 
-// inheritedValue finds a value: the innermost branch that sets it, else the default.
+// inheritedValue returns the value of a setting from the innermost branch of the chain that sets it, or the default.
 func inheritedValue(chain []*node, k Key) value {
 	for i := len(chain) - 1; i >= 0; i-- {
 		if v, ok := chain[i].values[k.Name]; ok {
@@ -159,7 +159,7 @@
 	return value{literal: k.Default, number: number, origin: "default"}
 }
 
-// branchChain reads typed values off one chain of branches.
+// branchChain is the branches from the root to one node. Its methods return the inherited values of settings by type.
 type branchChain []*node
 
 func (r branchChain) number(name string) int64 {
@@ -174,6 +174,7 @@
 	return k.Choices[r.number(name)]
 }
 
+// resolveAll computes the root settings, the kinds and the quotas of the tree.
 func (t *Tree) resolveAll() {
 	t.fleet = resolveFleet(branchChain{t.root})
 	t.kinds = map[string]Kind{}
