--- a/pkg/process/control/control.go
+++ b/pkg/process/control/control.go
@@ -126,12 +126,12 @@
 
 // Facts returns the result of Explain in the wire format, for another entry host.
 func (l *Loop) Facts(ctx context.Context, name string) ([]*wire.Fact, error) {
-	known, err := l.Explain(ctx, name)
+	explained, err := l.Explain(ctx, name)
 	if err != nil {
 		return nil, err
 	}
 	var facts []*wire.Fact
-	for _, f := range known {
+	for _, f := range explained {
 		facts = append(facts, &wire.Fact{AtUnixMs: f.At.UnixMilli(), Object: f.Object, Reason: string(f.Reason), Detail: f.Detail})
 	}
 	return facts, nil
--- a/pkg/process/current/edit.go
+++ b/pkg/process/current/edit.go
@@ -54,26 +54,26 @@
 
 // tryEdit attempts an edit once. It returns Unavailable if another edit is committed at the same time.
 func (s *Store) tryEdit(ctx context.Context, now time.Time, e Edit) (*wire.SettingsRow, error) {
-	held, err := platform.ReadOne(ctx, s.table, rows.SettingsCurrent)
+	currentRow, err := platform.ReadOne(ctx, s.table, rows.SettingsCurrent)
 	if err != nil {
 		return nil, err
 	}
-	present := &wire.SettingsRow{}
-	if held != nil {
-		if err := rows.Decode(held, present); err != nil {
+	inForce := &wire.SettingsRow{}
+	if currentRow != nil {
+		if err := rows.Decode(currentRow, inForce); err != nil {
 			return nil, err
 		}
 	}
-	if accepted, err := s.acceptedEdit(ctx, present, e); accepted != nil || err != nil {
+	if accepted, err := s.acceptedEdit(ctx, inForce, e); accepted != nil || err != nil {
 		return accepted, err
 	}
-	if present.GetVersion() != e.Base {
-		return nil, conflictError(present, e)
+	if inForce.GetVersion() != e.Base {
+		return nil, conflictError(inForce, e)
 	}
 	row := &wire.SettingsRow{
 		Version: e.Base + 1, Body: e.Text, EditId: e.ID, Actor: e.Actor, AtUnixMs: now.UnixMilli(),
 	}
-	reply, err := s.table.Commit(ctx, editCommit(held.GetRevision(), row))
+	reply, err := s.table.Commit(ctx, editCommit(currentRow.GetRevision(), row))
 	if err != nil {
 		return nil, err
 	}
@@ -85,8 +85,8 @@
 
 // acceptedEdit returns the version after e.Base if an edit with e's id created it, else nil. Only that version can be
 // e's, since an edit is committed as the version after its base.
-func (s *Store) acceptedEdit(ctx context.Context, present *wire.SettingsRow, e Edit) (*wire.SettingsRow, error) {
-	if present.GetVersion() <= e.Base {
+func (s *Store) acceptedEdit(ctx context.Context, inForce *wire.SettingsRow, e Edit) (*wire.SettingsRow, error) {
+	if inForce.GetVersion() <= e.Base {
 		return nil, nil
 	}
 	row, err := platform.ReadOne(ctx, s.table, rows.History(e.Base+1))
@@ -120,8 +120,8 @@
 }
 
 // conflictError returns the error for an edit whose base is no longer the current version.
-func conflictError(present *wire.SettingsRow, e Edit) error {
+func conflictError(inForce *wire.SettingsRow, e Edit) error {
 	return fault.New(fault.Conflict, "settings",
-		fmt.Sprintf("version %d by %s has come in since version %d, from which this edit started", present.GetVersion(), present.GetActor(), e.Base),
+		fmt.Sprintf("version %d by %s has come in since version %d, from which this edit started", inForce.GetVersion(), inForce.GetActor(), e.Base),
 		"wrenferry settings diff shows what changed; edit again from the new version")
 }
--- a/pkg/process/daemon/daemon.go
+++ b/pkg/process/daemon/daemon.go
@@ -133,27 +133,27 @@
 
 // listen opens the ports for callers, operators and peers and creates their servers.
 func (d *Daemon) listen(keys *binding.Keys) error {
-	callers := http.NewServeMux()
-	d.gateway.Routes(callers)
-	admin := http.NewServeMux()
-	d.operatorsAPI.Routes(admin)
-	d.gateway.Routes(admin) // operators submit jobs by the callers' paths
-	peers := grpc.NewServer()
-	wire.RegisterPeerServer(peers, &peer.Server{
+	callersMux := http.NewServeMux()
+	d.gateway.Routes(callersMux)
+	operatorsMux := http.NewServeMux()
+	d.operatorsAPI.Routes(operatorsMux)
+	d.gateway.Routes(operatorsMux) // operators submit jobs by the callers' paths
+	peersServer := grpc.NewServer()
+	wire.RegisterPeerServer(peersServer, &peer.Server{
 		Name: d.config.Name, Hall: d.config.Hall, Keys: keys, Settings: d.store, Gateway: d.gateway, Control: d.loop,
 	})
 	var err error
-	if d.callersServer, err = newServer("callers", d.config.Callers, callers); err != nil {
+	if d.callersServer, err = newServer("callers", d.config.Callers, callersMux); err != nil {
 		return err
 	}
-	if d.operatorsServer, err = newServer("operators", d.config.Operators, admin); err != nil {
+	if d.operatorsServer, err = newServer("operators", d.config.Operators, operatorsMux); err != nil {
 		return err
 	}
 	listener, err := parts.Listen("control", d.config.Control)
 	if err != nil {
 		return err
 	}
-	d.peersServer = &parts.GRPC{Server: peers, Listener: listener}
+	d.peersServer = &parts.GRPC{Server: peersServer, Listener: listener}
 	return nil
 }
 
