--- a/pkg/process/control/control.go
+++ b/pkg/process/control/control.go
@@ -1,8 +1,9 @@
-// Package control runs a hall's State: one goroutine feeds it events, and what it asks for is
-// done outside that goroutine and comes back as events. Package daemon starts it.
+// Package control runs the hall.State of one hall. The control goroutine passes events to the state. The effects that
+// the state returns, such as table calls, run in other goroutines, and their results come back as events. Package
+// daemon starts the loop.
 //
-// Everybody else sees the control state through Status, a snapshot which is replaced and never
-// changed, or by asking through Explain, which runs between two events. It decides nothing.
+// Other goroutines read the control state from Status, an immutable snapshot, or query it with Explain, which runs
+// between two events. All decisions are made by the hall.State, none by this package.
 package control
 
 import (
@@ -20,37 +21,43 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Table is what the loop needs of the platform's table.
+// Table is the part of the platform's table service that the loop calls.
 type Table interface {
 	Commit(ctx context.Context, req *wire.CommitRequest) (*wire.CommitReply, error)
 	Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error)
 }
 
-// Workers is what the loop needs of the workers.
+// Workers is the client of the workers that the loop calls.
 type Workers interface {
 	Sync(ctx context.Context, address string, req *wire.SyncRequest) (*wire.SyncReply, error)
 }
 
-// Status is a snapshot of the control state.
+// Status is an immutable snapshot of the control state.
 type Status struct {
-	Hall     string
-	Leading  bool
-	Leader   *wire.LeaderRow
-	Counts   hall.Counts
+	Hall string
+	// Leading means that this process leads the hall and has loaded its state.
+	Leading bool
+	// Leader is the leader row as this process last read it.
+	Leader *wire.LeaderRow
+	Counts hall.Counts
+	// Released means that this process is draining and no longer holds the leadership, so a planned stop may end.
 	Released bool
-	At       time.Time
+	// At is when the snapshot was taken.
+	At time.Time
 }
 
 const (
-	// tickEvery is how often time alone moves the state.
-	tickEvery = 20 * time.Millisecond
-	// eventBuffer is how many answers may wait for the control goroutine.
-	eventBuffer = 4096
-	// inboxPage is how many inbox rows are pulled in at once.
-	inboxPage = 200
+	// tickInterval is the time between two hall.Tick events, which let the state act on timeouts.
+	tickInterval = 20 * time.Millisecond
+	// eventQueueLength is the capacity of the queue of events for the control goroutine. A sender blocks while the
+	// queue is full.
+	eventQueueLength = 4096
+	// inboxPageSize is the maximum number of inbox rows that one read returns.
+	inboxPageSize = 200
 )
 
-// Loop is the control goroutine of one hall.
+// Loop runs the control goroutine of one hall. Only that goroutine uses the state. Each queued function runs in it and
+// returns the effects to perform.
 type Loop struct {
 	hallName string
 	state    *hall.State
@@ -62,7 +69,7 @@
 	status   atomic.Pointer[Status]
 }
 
-// NewLoop returns a loop around a state. Serve runs it.
+// NewLoop returns a loop that runs a state. Serve starts it.
 func NewLoop(hallName string, state *hall.State, table Table, workers Workers, log *logrus.Entry, registry metrics.Registry) *Loop {
 	l := &Loop{
 		hallName: hallName,
@@ -71,24 +78,24 @@
 		workers:  workers,
 		log:      log,
 		metrics:  registry,
-		events:   make(chan func(time.Time) []hall.Effect, eventBuffer),
+		events:   make(chan func(time.Time) []hall.Effect, eventQueueLength),
 	}
 	l.status.Store(&Status{Hall: hallName})
 	return l
 }
 
-// Status returns the newest snapshot.
+// Status returns the latest snapshot.
 func (l *Loop) Status() *Status { return l.status.Load() }
 
-// Leads says whether this process led its hall at the newest snapshot.
+// Leads returns whether this process led its hall at the time of the latest snapshot.
 func (l *Loop) Leads() bool { return l.Status().Leading }
 
-// Tell hands an event to the control goroutine.
+// Tell queues an event for the control goroutine. It blocks while the queue is full.
 func (l *Loop) Tell(e hall.Event) {
 	l.events <- func(now time.Time) []hall.Effect { return l.state.Step(now, e) }
 }
 
-// Wake makes the leader read its inbox at once.
+// Wake makes the control goroutine read the hall's inbox at once if this process leads the hall.
 func (l *Loop) Wake() {
 	l.events <- func(now time.Time) []hall.Effect {
 		l.state.Wake()
@@ -96,7 +103,8 @@
 	}
 }
 
-// Explain asks the control goroutine about an object.
+// Explain returns the facts that the state holds about an object, by running the query in the control goroutine. It
+// returns an error if ctx ends first.
 func (l *Loop) Explain(ctx context.Context, name string) ([]hall.Fact, error) {
 	answer := make(chan []hall.Fact, 1)
 	ask := func(now time.Time) []hall.Effect {
@@ -116,25 +124,25 @@
 	}
 }
 
-// Facts is what Explain tells, as other entry hosts are told it.
+// Facts returns the result of Explain in the wire format, for another entry host.
 func (l *Loop) Facts(ctx context.Context, name string) ([]*wire.Fact, error) {
-	known, err := l.Explain(ctx, name)
+	explained, err := l.Explain(ctx, name)
 	if err != nil {
 		return nil, err
 	}
 	var facts []*wire.Fact
-	for _, f := range known {
+	for _, f := range explained {
 		facts = append(facts, &wire.Fact{AtUnixMs: f.At.UnixMilli(), Object: f.Object, Reason: string(f.Reason), Detail: f.Detail})
 	}
 	return facts, nil
 }
 
-// String names the part for the supervisor.
+// String returns the name that the supervisor logs.
 func (l *Loop) String() string { return "control of hall " + l.hallName }
 
 // Serve runs the control goroutine until the context ends.
 func (l *Loop) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	steps := metrics.GetOrRegisterTimer("control.step", l.metrics)
 	for {
@@ -146,19 +154,20 @@
 			begin := time.Now()
 			effects = l.state.Step(begin, hall.Tick{})
 			steps.UpdateSince(begin)
-			l.publish()
+			l.publishStatus()
 		case f := <-l.events:
 			begin := time.Now()
 			effects = f(begin)
 			steps.UpdateSince(begin)
 		}
 		for _, e := range effects {
-			l.perform(ctx, e)
+			l.startEffect(ctx, e)
 		}
 	}
 }
 
-func (l *Loop) publish() {
+// publishStatus replaces the snapshot that Status returns.
+func (l *Loop) publishStatus() {
 	l.status.Store(&Status{
 		Hall:     l.hallName,
 		Leading:  l.state.Leading(),
@@ -171,60 +180,64 @@
 
 // ---------------------------------------------------------------- effects
 
-// perform begins an effect; its answer comes back as an event.
-func (l *Loop) perform(ctx context.Context, e hall.Effect) {
+// startEffect starts an effect. Calls to the table or to workers run in their own goroutine, which posts the result as
+// an event. A note is recorded at once and has no result.
+func (l *Loop) startEffect(ctx context.Context, e hall.Effect) {
 	switch e := e.(type) {
 	case hall.Note:
-		l.record(e.Fact)
+		l.recordFact(e.Fact)
 	case hall.Commit:
 		go l.commit(ctx, e)
 	case hall.ReadLeader:
 		go l.readLeader(ctx)
 	case hall.Load:
-		go func() { l.answer(ctx, l.load(ctx)) }()
+		go func() { l.postResult(ctx, l.loadHall(ctx)) }()
 	case hall.ReadInbox:
-		go func() { l.answer(ctx, l.readInbox(ctx, e.Hall)) }()
+		go func() { l.postResult(ctx, l.readInbox(ctx, e.Hall)) }()
 	case hall.Sync:
 		go l.sync(ctx, e)
 	}
 }
 
-// answer brings an event to the control goroutine, unless the process is
-// ending.
-func (l *Loop) answer(ctx context.Context, e hall.Event) {
+// postResult queues an effect's result for the control goroutine. It drops the result if ctx ends while the queue is
+// full.
+func (l *Loop) postResult(ctx context.Context, e hall.Event) {
 	select {
 	case l.events <- func(now time.Time) []hall.Effect { return l.state.Step(now, e) }:
 	case <-ctx.Done():
 	}
 }
 
-func (l *Loop) record(f hall.Fact) {
+// recordFact counts a fact by its reason and logs it.
+func (l *Loop) recordFact(f hall.Fact) {
 	metrics.GetOrRegisterCounter("reason."+string(f.Reason), l.metrics).Inc(1)
 	entry := l.log.WithFields(logrus.Fields{"object": f.Object, "reason": f.Reason})
-	if loud[f.Reason] {
+	if loggedAtInfo[f.Reason] {
 		entry.Info(f.Detail)
 		return
 	}
 	entry.Debug(f.Detail)
 }
 
-// loud lists the reasons that change the state of the hall or of a worker. The
-// rest is counted, and logged at debug level only.
-var loud = map[hall.Reason]bool{
+// loggedAtInfo holds the reasons that are logged at info level: changes of the hall's leadership or of a worker's
+// state, and commit conflicts. Facts with other reasons are logged at debug level. All are counted.
+var loggedAtInfo = map[hall.Reason]bool{
 	hall.ClaimedLeadership: true, hall.LostLeadership: true, hall.ReleasedLeadership: true,
 	hall.LoadedState: true, hall.TenureOver: true, hall.WorkerReached: true, hall.WorkerLost: true,
 	hall.WorkerRestarted: true, hall.WorkerAside: true, hall.WorkerBack: true, hall.CommitConflict: true,
 }
 
+// commit sends a transaction to the table. SentAt is taken before the call, since a leader counts its tenure from then.
 func (l *Loop) commit(ctx context.Context, e hall.Commit) {
 	metrics.GetOrRegisterCounter("table.commits", l.metrics).Inc(1)
 	sentAt := time.Now()
 	reply, err := l.table.Commit(ctx, e.Request)
-	l.answer(ctx, hall.Committed{
+	l.postResult(ctx, hall.Committed{
 		ID: e.ID, SentAt: sentAt, Revision: reply.GetRevision(), Conflicts: reply.GetConflicts(), Err: err,
 	})
 }
 
+// readLeader reads the hall's leader row. The result has no Row if the table has none.
 func (l *Loop) readLeader(ctx context.Context) {
 	answer := hall.LeaderRead{SentAt: time.Now()}
 	row, err := platform.ReadOne(ctx, l.table, rows.Leader(l.hallName))
@@ -234,19 +247,20 @@
 		answer.Revision = row.GetRevision()
 		answer.Err = rows.Decode(row, answer.Row)
 	}
-	l.answer(ctx, answer)
+	l.postResult(ctx, answer)
 }
 
+// sync sends one message to a worker.
 func (l *Loop) sync(ctx context.Context, e hall.Sync) {
 	metrics.GetOrRegisterCounter("workers.messages", l.metrics).Inc(1)
 	reply, err := l.workers.Sync(ctx, e.Address, e.Request)
-	l.answer(ctx, hall.Synced{
+	l.postResult(ctx, hall.Synced{
 		Worker: e.Worker, Epoch: e.Request.GetEpoch(), Sequence: e.Request.GetSequence(), Reply: reply, Err: err,
 	})
 }
 
-// load reads the hall's tasks, their jobs, and its workers' incarnations.
-func (l *Loop) load(ctx context.Context) hall.Loaded {
+// loadHall reads the hall's tasks, their jobs and its workers' incarnations from the table.
+func (l *Loop) loadHall(ctx context.Context) hall.Loaded {
 	var out hall.Loaded
 	taskRows, err := platform.ReadAll(ctx, l.table, rows.TaskPrefix(l.hallName))
 	if err != nil {
@@ -279,6 +293,7 @@
 	return out
 }
 
+// loadJobs reads the jobs with the given keys, with their revisions. Jobs that the table does not hold are left out.
 func (l *Loop) loadJobs(ctx context.Context, keys map[string]bool) ([]hall.JobAt, error) {
 	list := make([]string, 0, len(keys))
 	for key := range keys {
@@ -299,9 +314,10 @@
 	return jobs, nil
 }
 
+// readInbox reads the first inboxPageSize rows of a hall's inbox and the jobs that they refer to.
 func (l *Loop) readInbox(ctx context.Context, name string) hall.InboxRead {
 	out := hall.InboxRead{Hall: name}
-	reply, err := l.table.Read(ctx, &wire.ReadRequest{Prefix: rows.InboxPrefix(name), Limit: inboxPage})
+	reply, err := l.table.Read(ctx, &wire.ReadRequest{Prefix: rows.InboxPrefix(name), Limit: inboxPageSize})
 	if err != nil {
 		return hall.InboxRead{Hall: name, Err: err}
 	}
--- a/pkg/process/operators/work.go
+++ b/pkg/process/operators/work.go
@@ -15,32 +15,33 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Services, jobs, the audit trail, and explanations.
+// Handlers for services, jobs, the audit trail, and explanations.
 
 // --------------------------------------------------------------- services
 
-func (s *Server) services(*http.Request) ([]gateway.ServiceView, error) {
+func (s *Server) listServices(*http.Request) ([]gateway.ServiceView, error) {
 	views := s.Gateway.View()
 	slices.SortFunc(views, func(a, b gateway.ServiceView) int { return cmp.Compare(a.Service, b.Service) })
 	return views, nil
 }
 
-// verbStates maps the operators' verbs to the states that they set.
-var verbStates = map[string]string{
+// stateByVerb maps each verb for a service to the state that it sets.
+var stateByVerb = map[string]string{
 	"start": gateway.Started,
 	"drain": gateway.Draining,
 	"stop":  gateway.Stopped,
 }
 
-// ServiceState is the answer to a verb.
+// ServiceState is the state of a service after a verb was applied to it.
 type ServiceState struct {
 	Service string `json:"service"`
 	State   string `json:"state"`
 }
 
-func (s *Server) setService(r *http.Request) (ServiceState, error) {
+// setServiceState sets the state of a service in the table.
+func (s *Server) setServiceState(r *http.Request) (ServiceState, error) {
 	name, verb := r.PathValue("name"), r.PathValue("verb")
-	state, ok := verbStates[verb]
+	state, ok := stateByVerb[verb]
 	if !ok {
 		return ServiceState{}, fault.New(fault.NotFound, verb, "no such verb for a service", "use start, drain or stop")
 	}
@@ -50,7 +51,7 @@
 	now := time.Now()
 	_, err := s.Table.Commit(r.Context(), &wire.CommitRequest{Puts: []*wire.Row{
 		rows.Put(rows.Service(name), &wire.ServiceRow{Name: name, State: state}),
-		auditRow(now, actor(r), "service "+verb, name, state),
+		auditRow(now, requestActor(r), "service "+verb, name, state),
 	}})
 	if err != nil {
 		return ServiceState{}, fault.New(fault.Unknown, name, "the table did not answer", "ask again: the verb may be repeated").WithCause(err)
@@ -60,11 +61,12 @@
 
 // ------------------------------------------------------------------- jobs
 
-// jobPage bounds what one listing shows.
-const jobPage = 1000
+// jobPageSize is the maximum number of jobs in one listing.
+const jobPageSize = 1000
 
-func (s *Server) jobs(r *http.Request) ([]gateway.JobView, error) {
-	reply, err := s.Table.Read(r.Context(), &wire.ReadRequest{Prefix: "job/", After: rows.Job(r.URL.Query().Get("after")), Limit: jobPage})
+// listJobs returns the first jobPageSize jobs by key, after the key that the query names.
+func (s *Server) listJobs(r *http.Request) ([]gateway.JobView, error) {
+	reply, err := s.Table.Read(r.Context(), &wire.ReadRequest{Prefix: "job/", After: rows.Job(r.URL.Query().Get("after")), Limit: jobPageSize})
 	if err != nil {
 		return nil, err
 	}
@@ -79,16 +81,17 @@
 	return views, nil
 }
 
-// jobVerbs maps the operators' verbs to those of the inbox.
-var jobVerbs = map[string]string{"stop": rows.Cancel, "drain": rows.Drain}
+// inboxVerbByVerb maps each verb for a job to the verb in the inbox row for the job's leader.
+var inboxVerbByVerb = map[string]string{"stop": rows.Cancel, "drain": rows.Drain}
 
+// endJob asks the leader of a job's hall to cancel or drain the job.
 func (s *Server) endJob(r *http.Request) (gateway.JobView, error) {
 	key, verb := r.PathValue("key"), r.PathValue("verb")
-	inboxVerb, ok := jobVerbs[verb]
+	inboxVerb, ok := inboxVerbByVerb[verb]
 	if !ok {
 		return gateway.JobView{}, fault.New(fault.NotFound, verb, "no such verb for a job", "use drain or stop")
 	}
-	job, err := s.Gateway.EndJob(r.Context(), key, inboxVerb, auditRow(time.Now(), actor(r), "job "+verb, key, ""))
+	job, err := s.Gateway.EndJob(r.Context(), key, inboxVerb, auditRow(time.Now(), requestActor(r), "job "+verb, key, ""))
 	if err != nil {
 		return gateway.JobView{}, err
 	}
@@ -106,7 +109,8 @@
 	Detail string    `json:"detail"`
 }
 
-func (s *Server) audit(r *http.Request) ([]AuditView, error) {
+// listAudit returns the audit rows that match the query's actor, object and age.
+func (s *Server) listAudit(r *http.Request) ([]AuditView, error) {
 	query := r.URL.Query()
 	list, err := platform.ReadAll(r.Context(), s.Table, rows.AuditPrefix)
 	if err != nil {
@@ -134,17 +138,18 @@
 	return views, nil
 }
 
-func (v AuditView) matches(who, object string, since time.Time) bool {
-	return (who == "" || v.Actor == who) && (object == "" || v.Object == object) && !v.At.Before(since)
+// matches reports whether the row has the actor and object, where given, and is not older than since.
+func (v AuditView) matches(actor, object string, since time.Time) bool {
+	return (actor == "" || v.Actor == actor) && (object == "" || v.Object == object) && !v.At.Before(since)
 }
 
 // ---------------------------------------------------------------- explain
 
-// explain gathers what every hall's leader knows of a name, and what this entry
-// host knows of services and kinds.
+// explain returns the facts about a name, oldest first: those that the leaders of all halls hold and, if the name is a
+// service or SERVICE/KIND, those of this entry host.
 func (s *Server) explain(r *http.Request) ([]FactView, error) {
 	name := r.PathValue("name")
-	facts := s.explainRequests(name)
+	facts := s.explainService(name)
 	if s.Control.Status().Leading {
 		own, err := s.Control.Explain(r.Context(), name)
 		if err != nil {
@@ -160,14 +165,15 @@
 		}
 	}
 	if len(facts) == 0 {
-		return s.explainEnded(r, name)
+		return s.explainEndedJob(r, name)
 	}
 	slices.SortStableFunc(facts, func(a, b FactView) int { return a.At.Compare(b.At) })
 	return facts, nil
 }
 
-// explainEnded looks for a job that no leader has in memory.
-func (s *Server) explainEnded(r *http.Request, name string) ([]FactView, error) {
+// explainEndedJob returns the state in the table of a job that no leader has in memory. It returns NotFound if the
+// table has no such job.
+func (s *Server) explainEndedJob(r *http.Request, name string) ([]FactView, error) {
 	row, err := platform.ReadOne(r.Context(), s.Table, rows.Job(name))
 	if err != nil {
 		return nil, err
@@ -183,8 +189,9 @@
 	return []FactView{{time.Now(), v.Hall, "job/" + name, "now", strings.TrimSpace(v.State + " " + v.Reason)}}, nil
 }
 
-// explainRequests says how this entry host treats a service or a kind of call.
-func (s *Server) explainRequests(name string) []FactView {
+// explainService returns the state of a service at this entry host and, if the name is SERVICE/KIND, the settings of
+// the kind.
+func (s *Server) explainService(name string) []FactView {
 	now := time.Now()
 	var facts []FactView
 	for _, v := range s.Gateway.View() {
