--- a/pkg/request/admit/budget.go
+++ b/pkg/request/admit/budget.go
@@ -10,14 +10,14 @@
 	tokens float64
 }
 
-// budgetMost is how many retries may be saved up.
-const budgetMost = 10
+// maxSavedRetries is how many retries may be saved up.
+const maxSavedRetries = 10
 
 // First notes a first try; percent is the share that retries may have.
 func (b *Budget) First(percent int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(budgetMost, b.tokens+float64(percent)/100)
+	b.tokens = min(maxSavedRetries, b.tokens+float64(percent)/100)
 }
 
 // Retry says whether one more try may be made.
--- a/pkg/request/admit/gate.go
+++ b/pkg/request/admit/gate.go
@@ -53,7 +53,7 @@
 	Turn chan struct{}
 	// Out is closed when the waiter has been pushed out.
 	Out   chan struct{}
-	first bool
+	turnAnnounced bool
 }
 
 // Gate is the queue of one service. It is safe for many goroutines.
@@ -79,7 +79,7 @@
 func (g *Gate) Join(priority, limit int, left time.Duration, load Load) (*Waiter, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	place := g.place(priority)
+	place := g.position(priority)
 	wait := Wait(place, load)
 	if wait > left {
 		return nil, &Refusal{WouldBeLate, max(minRetryAfter, wait-left+load.Latency)}
@@ -89,12 +89,12 @@
 	}
 	w := &Waiter{priority: priority, Turn: make(chan struct{}), Out: make(chan struct{})}
 	g.waiting = slices.Insert(g.waiting, place, w)
-	g.announce()
+	g.announceTurn()
 	return w, nil
 }
 
-// place is where a request of the priority stands in line.
-func (g *Gate) place(priority int) int {
+// position is where a request of the priority stands in line.
+func (g *Gate) position(priority int) int {
 	i := len(g.waiting)
 	for i > 0 && g.waiting[i-1].priority < priority {
 		i--
@@ -116,11 +116,11 @@
 	return true
 }
 
-// announce tells the first in line; one that was overtaken stays told, and asks
+// announceTurn tells the first in line; one that was overtaken stays told, and asks
 // IsFirst before it acts.
-func (g *Gate) announce() {
-	if len(g.waiting) > 0 && !g.waiting[0].first {
-		g.waiting[0].first = true
+func (g *Gate) announceTurn() {
+	if len(g.waiting) > 0 && !g.waiting[0].turnAnnounced {
+		g.waiting[0].turnAnnounced = true
 		close(g.waiting[0].Turn)
 	}
 }
@@ -137,7 +137,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.waiting = slices.DeleteFunc(g.waiting, func(x *Waiter) bool { return x == w })
-	g.announce()
+	g.announceTurn()
 }
 
 // Wait estimates how long a request at the given place in line waits and is
--- a/pkg/request/binding/binding.go
+++ b/pkg/request/binding/binding.go
@@ -48,7 +48,7 @@
 // Entry is one key's life at this host.
 type Entry struct {
 	state  State
-	asked  bool // another host has asked: from now on this host must ask too
+	askedByPeer  bool // another host has asked: from now on this host must ask too
 	answer any  // what the caller was told, for one that asks again here
 	done   chan struct{}
 }
@@ -98,7 +98,7 @@
 		return Begun{Earlier: e}
 	}
 	k.entries.Put(now, key, &Entry{state: Asking, done: make(chan struct{})}, window)
-	return Begun{Fresh: true, MustAsk: ok && e.asked}
+	return Begun{Fresh: true, MustAsk: ok && e.askedByPeer}
 }
 
 // Answer answers another host's question, and leaves a promise.
@@ -106,20 +106,20 @@
 	key := Key{Service: q.GetService(), Kind: q.GetKind(), Key: q.GetKey()}
 	age := k.Age(now)
 	return &wire.AskReply{
-		Seen:  k.asked(now, key, q.GetAsker(), time.Duration(q.GetWindowMs())*time.Millisecond),
+		Seen:  k.recordQuestion(now, key, q.GetAsker(), time.Duration(q.GetWindowMs())*time.Millisecond),
 		AgeMs: age.Milliseconds(),
 	}
 }
 
-func (k *Keys) asked(now time.Time, key Key, asker string, window time.Duration) wire.Seen {
+func (k *Keys) recordQuestion(now time.Time, key Key, asker string, window time.Duration) wire.Seen {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e, ok := k.entries.Get(now, key)
 	if !ok {
-		k.entries.Put(now, key, &Entry{state: Promised, asked: true}, window)
+		k.entries.Put(now, key, &Entry{state: Promised, askedByPeer: true}, window)
 		return wire.Seen_SEEN_PROMISED
 	}
-	e.asked = true
+	e.askedByPeer = true
 	switch e.state {
 	case Promised:
 		return wire.Seen_SEEN_PROMISED
--- a/pkg/request/cellchoice/board.go
+++ b/pkg/request/cellchoice/board.go
@@ -32,32 +32,32 @@
 	Led bool
 }
 
-// known is a cell's load, as its leader told it at a time, and what was sent to the cell
+// reportedLoad is a cell's load, as its leader told it at a time, and what was sent to the cell
 // since.
-type known struct {
+type reportedLoad struct {
 	*wire.CellLoad
-	at time.Time
+	reportedAt time.Time
 }
 
 // Board is what one host knows of the cells' loads. It belongs to one thread, or is
 // guarded by its owner.
 type Board struct {
 	hall  string
-	loads map[string]known
+	loads map[string]reportedLoad
 }
 
 // NewBoard returns the board of a host in a hall, which knows nothing yet.
-func NewBoard(hall string) *Board { return &Board{hall: hall, loads: map[string]known{}} }
+func NewBoard(hall string) *Board { return &Board{hall: hall, loads: map[string]reportedLoad{}} }
 
 // Take takes in what a cell's leader tells of it at the time now.
 func (b *Board) Take(now time.Time, l *wire.CellLoad) {
-	b.loads[l.GetCell()] = known{CellLoad: l, at: now}
+	b.loads[l.GetCell()] = reportedLoad{CellLoad: l, reportedAt: now}
 }
 
 // Load returns a cell's load and how old it is; nil: none is known.
 func (b *Board) Load(now time.Time, name string) (l *wire.CellLoad, age time.Duration) {
 	k := b.loads[name]
-	return k.CellLoad, now.Sub(k.at)
+	return k.CellLoad, now.Sub(k.reportedAt)
 }
 
 // Choice is the cell for a job, and what decided it.
@@ -70,36 +70,36 @@
 	var words []string
 	best, bestCost := "", 0.0
 	for _, name := range slices.Sorted(maps.Keys(cells)) {
-		cost := b.cost(now, name, cells, d) + placeCost(b.fresh(now, name), spec)
-		words = append(words, fmt.Sprintf("%s %.0f (%s)", name, cost, b.ageInWords(now, name)))
+		cost := b.cost(now, name, cells, d) + requirementsCost(b.freshLoad(now, name), spec)
+		words = append(words, fmt.Sprintf("%s %.0f (%s)", name, cost, b.loadAgeText(now, name)))
 		if best == "" || cost < bestCost {
 			best, bestCost = name, cost
 		}
 	}
-	b.count(best, d)
+	b.addDemand(best, d)
 	return Choice{Cell: best, Why: "ms of wait (load's age): " + strings.Join(words, ", ")}
 }
 
-// fresh returns a cell's load if it is known well enough.
-func (b *Board) fresh(now time.Time, name string) *wire.CellLoad {
+// freshLoad returns a cell's load if it is known well enough.
+func (b *Board) freshLoad(now time.Time, name string) *wire.CellLoad {
 	k := b.loads[name]
-	if k.CellLoad == nil || now.Sub(k.at) > GoodFor {
+	if k.CellLoad == nil || now.Sub(k.reportedAt) > GoodFor {
 		return nil
 	}
 	return k.CellLoad
 }
 
-// ageInWords tells how old a cell's load is, for the log.
-func (b *Board) ageInWords(now time.Time, name string) string {
+// loadAgeText tells how old a cell's load is, for the log.
+func (b *Board) loadAgeText(now time.Time, name string) string {
 	k := b.loads[name]
 	if k.CellLoad == nil {
 		return "unknown"
 	}
-	return now.Sub(k.at).Round(time.Millisecond).String()
+	return now.Sub(k.reportedAt).Round(time.Millisecond).String()
 }
 
-// count adds a job's demand to what is known of a cell.
-func (b *Board) count(name string, d demand) {
+// addDemand adds a job's demand to what is known of a cell.
+func (b *Board) addDemand(name string, d demand) {
 	k := b.loads[name]
 	if k.CellLoad == nil {
 		return
@@ -108,9 +108,9 @@
 	if !ok {
 		return // a clone has the type of what it is a clone of
 	}
-	next.LastingMillicores += d.lasting
-	next.BacklogCoreMs += d.plain
-	next.FillerCoreMs += d.filler
+	next.LastingMillicores += d.lastingMillicores
+	next.BacklogCoreMs += d.plainCoreMs
+	next.FillerCoreMs += d.fillerCoreMs
 	k.CellLoad = next
 	b.loads[name] = k
 }
--- a/pkg/request/cellchoice/places.go
+++ b/pkg/request/cellchoice/places.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// noPlaceCost is for each step that no worker of a cell could ever run: it puts the
+	// cannotRunCost is for each step that no worker of a cell could ever run: it puts the
 	// cell behind any that can, however full, but not behind one without a leader.
-	noPlaceCost = 1e7
-	// farStretch is by how much of its run time a step is taken to run longer away from its
+	cannotRunCost = 1e7
+	// remoteDataStretch is by how much of its run time a step is taken to run longer away from its
 	// data.
-	farStretch = 1.0
+	remoteDataStretch = 1.0
 )
 
-// placeCost is what it costs, in ms, that a cell's workers are not what a job's steps
+// requirementsCost is what it costs, in ms, that a cell's workers are not what a job's steps
 // ask for: labels, sizes, the racks of their data. Of a cell that has not told, nothing
 // is held against it.
-func placeCost(l *wire.CellLoad, spec *wire.JobSpec) float64 {
+func requirementsCost(l *wire.CellLoad, spec *wire.JobSpec) float64 {
 	if l == nil || l.GetCapacityMillicores() == 0 {
 		return 0
 	}
 	cost := 0.0
 	for _, step := range spec.GetSteps() {
-		if !mayRun(l, step) {
-			cost += noPlaceCost
+		if !canRun(l, step) {
+			cost += cannotRunCost
 		}
 		if rack := step.GetRack(); rack != "" && !slices.Contains(l.GetLabels(), rack) {
-			cost += farStretch * float64(step.GetEstimateMs())
+			cost += remoteDataStretch * float64(step.GetEstimateMs())
 		}
 	}
 	return cost
 }
 
-func mayRun(l *wire.CellLoad, step *wire.StepSpec) bool {
+func canRun(l *wire.CellLoad, step *wire.StepSpec) bool {
 	if step.GetLabel() != "" && !slices.Contains(l.GetLabels(), step.GetLabel()) {
 		return false
 	}
--- a/pkg/request/intake/cancel_test.go
+++ b/pkg/request/intake/cancel_test.go
@@ -14,39 +14,39 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// hearing leads two cells, and keeps which were told of a cancel.
-type hearing struct {
-	leaders
-	told *[]string
+// cancelRecorder leads two cells, and keeps which were told of a cancel.
+type cancelRecorder struct {
+	stubLeaders
+	notified *[]string
 }
 
-func (hearing) View() *intake.View {
+func (cancelRecorder) View() *intake.View {
 	return &intake.View{Cells: map[string]intake.CellView{"home": {Mine: true, Fresh: true}, "other": {Mine: true, Fresh: true}}}
 }
 
-func (h hearing) Cancelled(cell, id string) { *h.told = append(*h.told, cell+" "+id) }
+func (h cancelRecorder) Cancelled(cell, id string) { *h.notified = append(*h.notified, cell+" "+id) }
 
 // A cell with delegated tasks of the job must not depend on the leader of the job's own cell, which may
 // change just then.
-func TestACancelIsToldToAllCells(t *testing.T) {
+func TestCancelNotifiesAllCells(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
-	direct := rowsTable{rows: []table.Row{rows.Row(rows.AnchorKey(id), &wire.JobAnchor{Cell: "home", Queue: "offers"})}}
+	direct := fixedTable{rows: []table.Row{rows.Row(rows.AnchorKey(id), &wire.JobAnchor{Cell: "home", Queue: "offers"})}}
 	var told []string
-	found, err := newIntakeOf(direct, hearing{told: &told}).Cancel(context.Background(), clock.Now(), id)
+	found, err := newIntakeWith(direct, cancelRecorder{notified: &told}).Cancel(context.Background(), clock.Now(), id)
 	must.NoError(t, err)
 	must.True(t, found)
 	slices.Sort(told)
 	must.Eq(t, []string{"home " + id, "other " + id}, told)
 }
 
-// keeping is a table that keeps what is committed.
-type keeping struct {
-	rowsTable
+// commitRecorder is a table that keeps what is committed.
+type commitRecorder struct {
+	fixedTable
 	puts *[]table.Key
 }
 
-func (k keeping) Commit(_ context.Context, tx table.Transaction) (table.Committed, error) {
+func (k commitRecorder) Commit(_ context.Context, tx table.Transaction) (table.Committed, error) {
 	for _, r := range tx.Puts {
 		*k.puts = append(*k.puts, r.Key)
 	}
@@ -55,12 +55,12 @@
 
 // A word may not arrive, or is gone with the leader that had it. So a cancel stands in the table for every cell,
 // by one transaction of the job's part.
-func TestACancelStandsInTheTableForAllCells(t *testing.T) {
+func TestCancelWritesRowForEveryCell(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
 	var puts []table.Key
-	direct := keeping{rowsTable{rows: []table.Row{rows.Row(rows.AnchorKey(id), &wire.JobAnchor{Cell: "home", Queue: "offers"})}}, &puts}
-	_, err := newIntakeOf(direct, hearing{told: &[]string{}}).Cancel(context.Background(), clock.Now(), id)
+	direct := commitRecorder{fixedTable{rows: []table.Row{rows.Row(rows.AnchorKey(id), &wire.JobAnchor{Cell: "home", Queue: "offers"})}}, &puts}
+	_, err := newIntakeWith(direct, cancelRecorder{notified: &[]string{}}).Cancel(context.Background(), clock.Now(), id)
 	must.NoError(t, err)
 	must.Eq(t, []table.Key{rows.CancelKey("home", id), rows.CancelKey("other", id)}, puts)
 	must.Eq(t, puts[0].Part, puts[1].Part)
--- a/pkg/request/intake/intake.go
+++ b/pkg/request/intake/intake.go
@@ -33,12 +33,12 @@
 const (
 	// peerTimeout bounds a question to a cell's leader.
 	peerTimeout = 300 * time.Millisecond
-	// anchorsKept and endsKept bound what is remembered of jobs: some minutes'
+	// maxCachedAnchors and endsKept bound what is remembered of jobs: some minutes'
 	// worth at the rates of the largest known deployment.
-	anchorsKept = 8192
-	endsKept    = 8192
-	// reasonsKept is the same for why jobs have failed: few do, and a reason has a hundred bytes.
-	reasonsKept = 512
+	maxCachedAnchors = 8192
+	maxCachedFinalPhases    = 8192
+	// maxCachedReasons is the same for why jobs have failed: few do, and a reason has a hundred bytes.
+	maxCachedReasons = 512
 )
 
 // Peers connects to other hosts.
@@ -55,48 +55,48 @@
 	log     *logrus.Entry
 	metrics metrics.Registry
 
-	anchors *lru.Cache[string, string]
-	ends    *lru.Cache[string, wire.JobPhase]
+	homeCells *lru.Cache[string, string]
+	finalPhases    *lru.Cache[string, wire.JobPhase]
 	// reasons are why jobs have failed.
 	reasons *lru.Cache[string, string]
 
 	mu    sync.Mutex
 	board *cellchoice.Board
-	// asking are the cells whose load is being asked for, beliefsAt when their leaders'
+	// loadRequested are the cells whose load is being asked for, beliefsAt when their leaders'
 	// beliefs were.
-	asking    map[string]bool
-	beliefsAt map[string]time.Time
+	loadRequested    map[string]bool
+	beliefsRequestedAt map[string]time.Time
 }
 
 // New returns the intake of a host in the given hall.
 func New(hall string, st *store.Client, leaders Leaders, peers Peers, log *logrus.Entry, registry metrics.Registry) *Intake {
-	anchors, _ := lru.New[string, string](anchorsKept)  // fails for a negative size only
-	ends, _ := lru.New[string, wire.JobPhase](endsKept) // likewise
-	reasons, _ := lru.New[string, string](reasonsKept)  // likewise
+	anchors, _ := lru.New[string, string](maxCachedAnchors)  // fails for a negative size only
+	ends, _ := lru.New[string, wire.JobPhase](maxCachedFinalPhases) // likewise
+	reasons, _ := lru.New[string, string](maxCachedReasons)  // likewise
 	return &Intake{
 		hall: hall, store: st, leaders: leaders, peers: peers, log: log, metrics: registry,
-		anchors: anchors, ends: ends, reasons: reasons, board: cellchoice.NewBoard(hall), asking: map[string]bool{}, beliefsAt: map[string]time.Time{},
+		homeCells: anchors, finalPhases: ends, reasons: reasons, board: cellchoice.NewBoard(hall), loadRequested: map[string]bool{}, beliefsRequestedAt: map[string]time.Time{},
 	}
 }
 
 // Submit takes a job in. It returns when the table holds the job, or with what
 // is known: fault.NotRun if it surely does not, else fault.Unknown.
 func (i *Intake) Submit(ctx context.Context, now time.Time, q manifest.Queue, spec *wire.JobSpec) error {
-	if _, known := i.anchors.Get(spec.GetId()); known {
+	if _, known := i.homeCells.Get(spec.GetId()); known {
 		i.logJob("job-accepted-again", spec, now, "", nil)
 		return nil
 	}
 	spec.Queue, spec.Service = q.Name, q.Service
-	chosen := i.choose(now, spec)
+	chosen := i.chooseCell(now, spec)
 	spec.Cell = chosen.Cell
 	spec.AcceptedStoreMs = i.store.Now(now).Milliseconds()
 	err := i.insert(ctx, spec)
 	if err != nil {
-		i.count("refused." + string(fault.CodeOf(err)))
+		i.increment("refused." + string(fault.CodeOf(err)))
 		i.logJob("job-refused", spec, now, chosen.Why, err)
 		return err
 	}
-	i.count("accepted")
+	i.increment("accepted")
 	i.logJob("job-accepted", spec, now, chosen.Why, nil)
 	return nil
 }
@@ -114,53 +114,53 @@
 	case err != nil && fault.CodeOf(err) == fault.NotRun:
 		return err
 	case err != nil:
-		return i.settleUnknown(ctx, spec, err)
+		return i.resolveUnknown(ctx, spec, err)
 	case done.Conflict:
-		i.learnAnchor(spec.GetId(), done.Found)
+		i.cacheAnchor(spec.GetId(), done.Found)
 		return nil // the id stands for a job already: it is this one
 	}
-	i.anchors.Add(spec.GetId(), spec.GetCell())
-	i.tell(spec)
+	i.homeCells.Add(spec.GetId(), spec.GetCell())
+	i.notifyAccepted(spec)
 	return nil
 }
 
-// settleUnknown finds out whether a transaction without an answer took effect.
+// resolveUnknown finds out whether a transaction without an answer took effect.
 // If the job isn't there now it may still come.
-func (i *Intake) settleUnknown(ctx context.Context, spec *wire.JobSpec, cause error) error {
-	cell, found, err := i.anchor(ctx, spec.GetId())
+func (i *Intake) resolveUnknown(ctx context.Context, spec *wire.JobSpec, cause error) error {
+	cell, found, err := i.homeCell(ctx, spec.GetId())
 	if err == nil && found {
 		if cell == spec.GetCell() {
-			i.tell(spec)
+			i.notifyAccepted(spec)
 		}
 		return nil
 	}
 	return fault.New(fault.Unknown, spec.GetId(), "the table did not say whether it took the job", "ask again with the same id").WithCause(cause)
 }
 
-func (i *Intake) learnAnchor(id string, found []table.Row) {
+func (i *Intake) cacheAnchor(id string, found []table.Row) {
 	for _, r := range found {
 		anchor := &wire.JobAnchor{}
 		if r.Version != 0 && r.Table == rows.AnchorTable && rows.Read(r, anchor) == nil {
-			i.anchors.Add(id, anchor.GetCell())
+			i.homeCells.Add(id, anchor.GetCell())
 		}
 	}
 }
 
-// tell hands a job to its cell's leader, without waiting.
-func (i *Intake) tell(spec *wire.JobSpec) {
-	i.toLeader(spec.GetCell(), func() { i.leaders.Accepted(spec) }, func(ctx context.Context, p wire.FleetClient) error {
+// notifyAccepted hands a job to its cell's leader, without waiting.
+func (i *Intake) notifyAccepted(spec *wire.JobSpec) {
+	i.notifyLeader(spec.GetCell(), func() { i.leaders.Accepted(spec) }, func(ctx context.Context, p wire.FleetClient) error {
 		reply, err := p.Accepted(ctx, &wire.AcceptedJob{Spec: spec})
 		if err == nil {
-			i.takeLoad(clock.Now(), reply)
+			i.applyLoad(clock.Now(), reply)
 		}
 		return err
 	})
 }
 
-// toLeader tells a cell's leader something, without waiting: here, if this
+// notifyLeader tells a cell's leader something, without waiting: here, if this
 // process leads the cell. A word that does not arrive is only counted, since
 // the leader follows the table.
-func (i *Intake) toLeader(cell string, here func(), there func(ctx context.Context, p wire.FleetClient) error) {
+func (i *Intake) notifyLeader(cell string, here func(), there func(ctx context.Context, p wire.FleetClient) error) {
 	view := i.leaders.View().Cells[cell]
 	if view.Mine {
 		here()
@@ -174,7 +174,7 @@
 			err = there(ctx, p)
 		}
 		if err != nil {
-			i.count("tell-failed")
+			i.increment("tell-failed")
 		}
 	}()
 }
@@ -183,24 +183,24 @@
 
 // State tells a job's phase: UNSPECIFIED if there is no such job.
 func (i *Intake) State(ctx context.Context, id string) (wire.JobPhase, error) {
-	if phase, ok := i.ends.Get(id); ok {
+	if phase, ok := i.finalPhases.Get(id); ok {
 		return phase, nil
 	}
-	cell, found, err := i.anchor(ctx, id)
+	cell, found, err := i.homeCell(ctx, id)
 	if err != nil {
 		return 0, err
 	}
 	if !found {
 		return wire.JobPhase_JOB_PHASE_UNSPECIFIED, nil
 	}
-	phase, known := i.askLeader(ctx, cell, id)
+	phase, known := i.phaseFromLeader(ctx, cell, id)
 	if !known {
-		if phase, err = i.readPhase(ctx, cell, id); err != nil {
+		if phase, err = i.phaseFromTable(ctx, cell, id); err != nil {
 			return 0, err
 		}
 	}
 	if phase.Terminal() {
-		i.ends.Add(id, phase)
+		i.finalPhases.Add(id, phase)
 	}
 	return phase, nil
 }
@@ -211,7 +211,7 @@
 	if reason, ok := i.reasons.Get(id); ok {
 		return reason
 	}
-	cell, found, err := i.anchor(ctx, id)
+	cell, found, err := i.homeCell(ctx, id)
 	if err != nil || !found {
 		return ""
 	}
@@ -223,9 +223,9 @@
 	return p.GetReason()
 }
 
-// anchor finds the cell that a job went to.
-func (i *Intake) anchor(ctx context.Context, id string) (cell string, found bool, err error) {
-	if cell, ok := i.anchors.Get(id); ok {
+// homeCell finds the cell that a job went to.
+func (i *Intake) homeCell(ctx context.Context, id string) (cell string, found bool, err error) {
+	if cell, ok := i.homeCells.Get(id); ok {
 		return cell, true, nil
 	}
 	key := rows.AnchorKey(id)
@@ -240,11 +240,11 @@
 	if err := rows.Read(page.Rows[0], anchor); err != nil {
 		return "", false, err
 	}
-	i.anchors.Add(id, anchor.GetCell())
+	i.homeCells.Add(id, anchor.GetCell())
 	return anchor.GetCell(), true, nil
 }
 
-func (i *Intake) askLeader(ctx context.Context, cell, id string) (wire.JobPhase, bool) {
+func (i *Intake) phaseFromLeader(ctx context.Context, cell, id string) (wire.JobPhase, bool) {
 	view := i.leaders.View().Cells[cell]
 	if view.Mine {
 		return i.leaders.Phase(ctx, cell, id)
@@ -265,9 +265,9 @@
 	return reply.GetPhase(), true
 }
 
-// readPhase reads a job's phase from the table, where its leader does not
+// phaseFromTable reads a job's phase from the table, where its leader does not
 // answer.
-func (i *Intake) readPhase(ctx context.Context, cell, id string) (wire.JobPhase, error) {
+func (i *Intake) phaseFromTable(ctx context.Context, cell, id string) (wire.JobPhase, error) {
 	p, err := i.readProgress(ctx, cell, id)
 	switch {
 	case err != nil:
@@ -296,11 +296,11 @@
 
 // Cancel puts a cancel into the table; false: there is no such job.
 func (i *Intake) Cancel(ctx context.Context, now time.Time, id string) (bool, error) {
-	if phase, ok := i.ends.Get(id); ok {
+	if phase, ok := i.finalPhases.Get(id); ok {
 		i.log.WithFields(logrus.Fields{"job": id, "phase": phase.String()}).Info("job-cancel-late")
 		return true, nil
 	}
-	cell, found, err := i.anchor(ctx, id)
+	cell, found, err := i.homeCell(ctx, id)
 	if err != nil || !found {
 		return found, err
 	}
@@ -317,22 +317,22 @@
 		i.log.WithFields(logrus.Fields{"job": id, "why": err.Error()}).Warn("job-cancel-failed")
 		return true, err
 	}
-	i.count("cancelled")
+	i.increment("cancelled")
 	i.log.WithFields(logrus.Fields{"job": id, "cell": cell, "ms": clock.Now().Sub(now).Milliseconds()}).Info("job-cancel")
 	for name := range cells {
-		i.tellCancel(name, id) // sooner than they read it
+		i.notifyCancel(name, id) // sooner than they read it
 	}
 	return true, nil
 }
 
-func (i *Intake) tellCancel(cell, id string) {
-	i.toLeader(cell, func() { i.leaders.Cancelled(cell, id) }, func(ctx context.Context, p wire.FleetClient) error {
+func (i *Intake) notifyCancel(cell, id string) {
+	i.notifyLeader(cell, func() { i.leaders.Cancelled(cell, id) }, func(ctx context.Context, p wire.FleetClient) error {
 		_, err := p.Cancelled(ctx, &wire.JobRef{Cell: cell, Id: id})
 		return err
 	})
 }
 
-func (i *Intake) count(what string) {
+func (i *Intake) increment(what string) {
 	metrics.GetOrRegisterCounter("jobs."+what, i.metrics).Inc(1)
 }
 
--- a/pkg/request/intake/loads.go
+++ b/pkg/request/intake/loads.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// loadsEvery is how often the loads of all cells are asked for in any case, so
+	// loadInterval is how often the loads of all cells are asked for in any case, so
 	// that the first jobs after a quiet time are spread too.
-	loadsEvery = 2 * time.Second
-	// loadsEveryWaiting is the same while tasks wait here that another cell may have
+	loadInterval = 2 * time.Second
+	// loadIntervalWaiting is the same while tasks wait here that another cell may have
 	// room for: room comes and goes within a second.
-	loadsEveryWaiting = 250 * time.Millisecond
+	loadIntervalWaiting = 250 * time.Millisecond
 )
 
 // String names the part for the supervisor.
@@ -23,81 +23,81 @@
 
 // Serve keeps the loads of all cells known until the context ends.
 func (i *Intake) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(loadsEveryWaiting)
+	ticker := time.NewTicker(loadIntervalWaiting)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ticker.C:
-			i.askStale(now)
+			i.requestStaleLoads(now)
 		}
 	}
 }
 
-// askStale asks for the loads that are older than they may be.
-func (i *Intake) askStale(now time.Time) {
+// requestStaleLoads asks for the loads that are older than they may be.
+func (i *Intake) requestStaleLoads(now time.Time) {
 	view := i.leaders.View()
-	limit := loadsEvery
+	limit := loadInterval
 	if view.Waits {
-		limit = loadsEveryWaiting
+		limit = loadIntervalWaiting
 	}
 	for name, c := range view.Cells {
 		if c.Fresh || c.Mine {
-			i.askIfOlder(now, name, c, limit)
+			i.requestLoadIfOlder(now, name, c, limit)
 		}
 	}
 }
 
-// askIfOlder asks for a cell's load in the background if it is older than a limit, and
+// requestLoadIfOlder asks for a cell's load in the background if it is older than a limit, and
 // is not being asked for.
-func (i *Intake) askIfOlder(now time.Time, name string, c CellView, limit time.Duration) {
+func (i *Intake) requestLoadIfOlder(now time.Time, name string, c CellView, limit time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if _, age := i.board.Load(now, name); age < limit || i.asking[name] {
+	if _, age := i.board.Load(now, name); age < limit || i.loadRequested[name] {
 		return
 	}
-	i.asking[name] = true
-	go i.askLoad(name, c)
+	i.loadRequested[name] = true
+	go i.requestLoad(name, c)
 }
 
-// loadAsk is the age from which on a load is asked for anew when it is used.
-const loadAsk = 500 * time.Millisecond
+// loadRefreshAge is the age from which on a load is asked for anew when it is used.
+const loadRefreshAge = 500 * time.Millisecond
 
-// choose picks the cell for a new job.
-func (i *Intake) choose(now time.Time, spec *wire.JobSpec) cellchoice.Choice {
+// chooseCell picks the cell for a new job.
+func (i *Intake) chooseCell(now time.Time, spec *wire.JobSpec) cellchoice.Choice {
 	cells := map[string]cellchoice.Cell{}
 	for name, c := range i.leaders.View().Cells {
 		cells[name] = cellchoice.Cell{Hall: c.Hall, Led: c.Fresh || c.Mine}
-		i.askIfOlder(now, name, c, loadAsk)
+		i.requestLoadIfOlder(now, name, c, loadRefreshAge)
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.board.Choose(now, spec, cells)
 }
 
-func (i *Intake) askLoad(name string, c CellView) {
+func (i *Intake) requestLoad(name string, c CellView) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
-	reply := i.fetchLoad(ctx, name, c, i.wantsBeliefs(clock.Now(), name))
-	i.takeLoad(clock.Now(), reply)
+	reply := i.fetchLoad(ctx, name, c, i.beliefsDue(clock.Now(), name))
+	i.applyLoad(clock.Now(), reply)
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.asking[name] = false
+	i.loadRequested[name] = false
 }
 
-// beliefsEvery is how often a leader's beliefs are asked for: they are the bulk of a
+// beliefsInterval is how often a leader's beliefs are asked for: they are the bulk of a
 // load (1 KB for 5 serving and 9 filler images), and change slowly.
-const beliefsEvery = 3 * time.Second
+const beliefsInterval = 3 * time.Second
 
-// wantsBeliefs says whether it is time to ask for a leader's beliefs.
-func (i *Intake) wantsBeliefs(now time.Time, name string) bool {
+// beliefsDue says whether it is time to ask for a leader's beliefs.
+func (i *Intake) beliefsDue(now time.Time, name string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if now.Sub(i.beliefsAt[name]) < beliefsEvery {
+	if now.Sub(i.beliefsRequestedAt[name]) < beliefsInterval {
 		return false
 	}
-	i.beliefsAt[name] = now
+	i.beliefsRequestedAt[name] = now
 	return true
 }
 
@@ -114,14 +114,14 @@
 	}
 	reply, err := p.Load(ctx, &wire.CellRef{Cell: name, WithBeliefs: withBeliefs})
 	if err != nil {
-		i.count("load-unanswered")
+		i.increment("load-unanswered")
 		return nil
 	}
 	return reply
 }
 
-// takeLoad remembers a load that a leader told.
-func (i *Intake) takeLoad(now time.Time, l *wire.CellLoad) {
+// applyLoad remembers a load that a leader told.
+func (i *Intake) applyLoad(now time.Time, l *wire.CellLoad) {
 	if !l.GetLeading() {
 		return
 	}
--- a/pkg/request/intake/pending.go
+++ b/pkg/request/intake/pending.go
@@ -13,8 +13,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// pendingFresh is how old a count may be; callers are promised two seconds.
-const pendingFresh = time.Second
+// maxPendingAge is how old a count may be; callers are promised two seconds.
+const maxPendingAge = time.Second
 
 // Pending counts a queue's accepted jobs of which no task has begun: as each cell's
 // leader tells, or else as the table holds them. A count that can't be told is an
@@ -23,7 +23,7 @@
 	sum := 0
 	view := i.leaders.View()
 	for _, name := range slices.Sorted(maps.Keys(view.Cells)) {
-		n, err := i.pendingIn(ctx, now, name, view.Cells[name], queue)
+		n, err := i.pendingInCell(ctx, now, name, view.Cells[name], queue)
 		if err != nil {
 			return 0, err
 		}
@@ -32,30 +32,30 @@
 	return sum, nil
 }
 
-func (i *Intake) pendingIn(ctx context.Context, now time.Time, name string, c CellView, queue string) (int, error) {
+func (i *Intake) pendingInCell(ctx context.Context, now time.Time, name string, c CellView, queue string) (int, error) {
 	i.mu.Lock()
 	known, age := i.board.Load(now, name)
 	i.mu.Unlock()
-	if known != nil && age <= pendingFresh {
+	if known != nil && age <= maxPendingAge {
 		return int(known.GetPending()[queue]), nil
 	}
 	askCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	if told := i.fetchLoad(askCtx, name, c, false); told.GetLeading() && told.GetCell() == name {
-		i.takeLoad(now, told)
+		i.applyLoad(now, told)
 		return int(told.GetPending()[queue]), nil
 	}
-	n, err := i.countRows(ctx, name, queue)
+	n, err := i.countPendingInTable(ctx, name, queue)
 	if err == nil {
-		i.count("pending-from-table")
+		i.increment("pending-from-table")
 		i.log.WithFields(logrus.Fields{"cell": name, "queue": queue, "count": n}).Info("pending-from-table")
 	}
 	return n, err
 }
 
-// countRows counts in the table: jobs that stand there and have no progress yet. Some
+// countPendingInTable counts in the table: jobs that stand there and have no progress yet. Some
 // of them may have begun.
-func (i *Intake) countRows(ctx context.Context, cell, queue string) (int, error) {
+func (i *Intake) countPendingInTable(ctx context.Context, cell, queue string) (int, error) {
 	n := 0
 	for p := range rows.JobParts {
 		part := rows.PartName(p)
@@ -67,12 +67,12 @@
 		if err != nil {
 			return 0, err
 		}
-		n += pendingRows(specs.Rows, progress.Rows, queue)
+		n += countPendingRows(specs.Rows, progress.Rows, queue)
 	}
 	return n, nil
 }
 
-func pendingRows(specs, progress []table.Row, queue string) int {
+func countPendingRows(specs, progress []table.Row, queue string) int {
 	begun := map[string]bool{}
 	for _, r := range progress {
 		begun[r.Key.Key] = true
--- a/pkg/request/intake/pending_test.go
+++ b/pkg/request/intake/pending_test.go
@@ -19,13 +19,13 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// rowsTable is a table that holds fixed rows, or is down.
-type rowsTable struct {
+// fixedTable is a table that holds fixed rows, or is down.
+type fixedTable struct {
 	rows []table.Row
 	down bool
 }
 
-func (r rowsTable) Read(_ context.Context, in table.Range) (table.Page, error) {
+func (r fixedTable) Read(_ context.Context, in table.Range) (table.Page, error) {
 	if r.down {
 		return table.Page{}, fault.New(fault.Unavailable, "table", "down", "")
 	}
@@ -38,34 +38,34 @@
 	return page, nil
 }
 
-func (r rowsTable) Commit(context.Context, table.Transaction) (table.Committed, error) {
+func (r fixedTable) Commit(context.Context, table.Transaction) (table.Committed, error) {
 	return table.Committed{}, nil
 }
 
-func (r rowsTable) Changes(context.Context, string, int64, time.Duration) (table.Page, error) {
+func (r fixedTable) Changes(context.Context, string, int64, time.Duration) (table.Page, error) {
 	return table.Page{}, nil
 }
 
-// leaders tells of one cell led here and one whose leader is out of reach.
-type leaders struct{}
+// stubLeaders tells of one cell led here and one whose leader is out of reach.
+type stubLeaders struct{}
 
-func (leaders) View() *intake.View {
+func (stubLeaders) View() *intake.View {
 	return &intake.View{Cells: map[string]intake.CellView{"near": {Mine: true, Fresh: true}, "far": {}}}
 }
-func (leaders) Accepted(*wire.JobSpec)   {}
-func (leaders) Cancelled(string, string) {}
-func (leaders) OtherLoad(*wire.CellLoad) {}
-func (leaders) Phase(context.Context, string, string) (wire.JobPhase, bool) {
+func (stubLeaders) Accepted(*wire.JobSpec)   {}
+func (stubLeaders) Cancelled(string, string) {}
+func (stubLeaders) OtherLoad(*wire.CellLoad) {}
+func (stubLeaders) Phase(context.Context, string, string) (wire.JobPhase, bool) {
 	return wire.JobPhase_JOB_PHASE_UNSPECIFIED, false
 }
 
-func (leaders) Load(_ context.Context, cell string, _ bool) *wire.CellLoad {
+func (stubLeaders) Load(_ context.Context, cell string, _ bool) *wire.CellLoad {
 	return &wire.CellLoad{Leading: true, Cell: cell, Pending: map[string]int32{"offers": 5}}
 }
 
-func newIntake(direct rowsTable) *intake.Intake { return newIntakeOf(direct, leaders{}) }
+func newIntake(direct fixedTable) *intake.Intake { return newIntakeWith(direct, stubLeaders{}) }
 
-func newIntakeOf(direct store.Direct, told intake.Leaders) *intake.Intake {
+func newIntakeWith(direct store.Direct, told intake.Leaders) *intake.Intake {
 	silent := logrus.New()
 	silent.SetOutput(io.Discard)
 	registry := metrics.NewRegistry()
@@ -74,12 +74,12 @@
 }
 
 // Jobs that are left out of the count would pass for begun.
-func TestJobsOfACellWhoseLeaderIsOutOfReachAreCounted(t *testing.T) {
+func TestPendingCountsJobsOfCellWithUnreachableLeader(t *testing.T) {
 	t.Parallel()
 	spec := func(id, queue string, guest ...*wire.TaskRef) table.Row {
 		return rows.Row(rows.SpecKey("far", id), &wire.JobSpec{Id: id, Queue: queue, Guest: guest})
 	}
-	direct := rowsTable{rows: []table.Row{
+	direct := fixedTable{rows: []table.Row{
 		spec("0000000000000001", "offers"), spec("0000000000000002", "offers"), spec("0000000000000003", "offers"),
 		spec("0000000000000004", "others"), spec("0000000000000005", "offers", &wire.TaskRef{}),
 		rows.Row(rows.ProgressKey("far", "0000000000000003"), &wire.JobProgress{}),
@@ -89,8 +89,8 @@
 	must.Eq(t, 5+2, n)
 }
 
-func TestACountThatCannotBeToldIsNoCount(t *testing.T) {
+func TestPendingFailsIfTableIsUnavailable(t *testing.T) {
 	t.Parallel()
-	_, err := newIntake(rowsTable{down: true}).Pending(context.Background(), clock.Now(), "offers")
+	_, err := newIntake(fixedTable{down: true}).Pending(context.Background(), clock.Now(), "offers")
 	must.Error(t, err)
 }
--- a/pkg/request/intake/places_test.go
+++ b/pkg/request/intake/places_test.go
@@ -13,7 +13,7 @@
 )
 
 // twoCells leads both cells; the loads differ in what their workers are.
-type twoCells struct{ leaders }
+type twoCells struct{ stubLeaders }
 
 func (twoCells) View() *intake.View {
 	return &intake.View{Cells: map[string]intake.CellView{
@@ -31,7 +31,7 @@
 
 // Jobs went to a cell by its room alone: one whose label no worker of that cell carries
 // waited there for good, and data lay in another hall.
-func TestAJobGoesWhereItsStepsCanRunAndItsDataLies(t *testing.T) {
+func TestSubmitChoosesCellByLabelSizeAndDataLocality(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
@@ -46,7 +46,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			in := newIntakeOf(rowsTable{}, twoCells{})
+			in := newIntakeWith(fixedTable{}, twoCells{})
 			now := time.Now()
 			_, err := in.Pending(context.Background(), now, "offers") // so that the loads are known
 			must.NoError(t, err)
--- a/pkg/request/route/route.go
+++ b/pkg/request/route/route.go
@@ -43,9 +43,9 @@
 
 // ------------------------------------------------------------ two choices
 
-// spillCost is what another hall costs in answer time: the extra way there and
+// otherHallCost is what another hall costs in answer time: the extra way there and
 // back.
-const spillCost = 3 * time.Millisecond
+const otherHallCost = 3 * time.Millisecond
 
 // latencyHalfLife is how fast the answer time of an idle server loses weight. A
 // server ten times as slow as the rest is tried again after about seven seconds,
@@ -55,9 +55,9 @@
 
 type twoChoices struct{}
 
-// latency is what the answer time counts for. Only an idle server's fades, so that
+// decayedLatency is what the answer time counts for. Only an idle server's fades, so that
 // one request at a time tests it.
-func latency(now time.Time, c runner.Candidate) float64 {
+func decayedLatency(now time.Time, c runner.Candidate) float64 {
 	if c.Own > 0 {
 		return float64(c.Latency)
 	}
@@ -65,12 +65,12 @@
 	return float64(c.Latency) * math.Exp2(-max(0, halves))
 }
 
-// expected is the answer time to expect. The share of slots taken stretches it,
+// expectedLatency is the answer time to expect. The share of slots taken stretches it,
 // since a fuller server is likelier to be found full on arrival.
-func expected(now time.Time, c runner.Candidate) float64 {
-	e := latency(now, c) * (1 + c.Load(now)/float64(c.Slots))
+func expectedLatency(now time.Time, c runner.Candidate) float64 {
+	e := decayedLatency(now, c) * (1 + c.Load(now)/float64(c.Slots))
 	if !c.Local {
-		e += float64(spillCost)
+		e += float64(otherHallCost)
 	}
 	return e
 }
@@ -79,19 +79,19 @@
 // own hall has the shorter way; when what is left open there is slow or full,
 // the way to another hall pays.
 func (twoChoices) Pick(now time.Time, list []runner.Candidate, random *rand.Rand) int {
-	here := better(now, list, true, random)
-	there := better(now, list, false, random)
+	here := betterOfTwo(now, list, true, random)
+	there := betterOfTwo(now, list, false, random)
 	switch {
 	case here < 0:
 		return there
-	case there < 0 || expected(now, list[here]) <= expected(now, list[there]):
+	case there < 0 || expectedLatency(now, list[here]) <= expectedLatency(now, list[there]):
 		return here
 	}
 	return there
 }
 
-// better draws two different servers with room and returns the better.
-func better(now time.Time, list []runner.Candidate, local bool, random *rand.Rand) int {
+// betterOfTwo draws two different servers with room and returns the better.
+func betterOfTwo(now time.Time, list []runner.Candidate, local bool, random *rand.Rand) int {
 	var open [256]int
 	n := 0
 	for i := range list {
@@ -108,7 +108,7 @@
 	if n > 1 {
 		b = open[(i+1+random.IntN(n-1))%n] // never the same one twice
 	}
-	if expected(now, list[b]) < expected(now, list[a]) {
+	if expectedLatency(now, list[b]) < expectedLatency(now, list[a]) {
 		return b
 	}
 	return a
--- a/pkg/request/route/route_test.go
+++ b/pkg/request/route/route_test.go
@@ -13,7 +13,7 @@
 )
 
 // Of two servers, the slow one is never taken while the other has room.
-func TestTwoChoicesAreDifferent(t *testing.T) {
+func TestTwoChoicesDrawsDifferentServers(t *testing.T) {
 	now := time.Unix(1, 0)
 	list := []runner.Candidate{
 		{Name: "slow", Local: true, Slots: 8, Latency: 200 * time.Millisecond, LatencyAt: now},
@@ -28,7 +28,7 @@
 
 // A server that was slow, or has not answered yet, is tried again some time: who
 // is never chosen is never measured.
-func TestOldAnswerTimesLoseWeight(t *testing.T) {
+func TestOldLatenciesLoseWeight(t *testing.T) {
 	begin := time.Unix(1, 0)
 	list := []runner.Candidate{
 		{Name: "was slow", Local: true, Slots: 8, Latency: 20 * time.Millisecond, LatencyAt: begin},
