--- a/pkg/request/admit/gate.go
+++ b/pkg/request/admit/gate.go
@@ -52,7 +52,7 @@
 	// Turn is closed when the waiter is first in line.
 	Turn chan struct{}
 	// Displaced is closed when the waiter has been pushed out.
-	Displaced   chan struct{}
+	Displaced     chan struct{}
 	turnAnnounced bool
 }
 
--- a/pkg/request/binding/binding.go
+++ b/pkg/request/binding/binding.go
@@ -47,10 +47,10 @@
 
 // Entry is one key's life at this host.
 type Entry struct {
-	state  State
-	askedByPeer  bool // another host has asked: from now on this host must ask too
-	answer any  // what the caller was told, for one that asks again here
-	done   chan struct{}
+	state       State
+	askedByPeer bool // another host has asked: from now on this host must ask too
+	answer      any  // what the caller was told, for one that asks again here
+	done        chan struct{}
 }
 
 // Keys is what one entry host remembers. It is safe for many goroutines.
--- a/pkg/request/gateway/gateway.go
+++ b/pkg/request/gateway/gateway.go
@@ -70,10 +70,10 @@
 	now      func() time.Time
 	unsafe   Unsafe
 
-	mu       sync.Mutex
-	services map[string]*service
-	largestWorker  *wire.Size // the largest worker listed
-	draining  chan struct{}
+	mu            sync.Mutex
+	services      map[string]*service
+	largestWorker *wire.Size // the largest worker listed
+	draining      chan struct{}
 }
 
 // service is what outlives the requests of one service.
--- a/pkg/request/gateway/request.go
+++ b/pkg/request/gateway/request.go
@@ -20,13 +20,13 @@
 
 // call is one request on its way.
 type call struct {
-	kind     settings.Kind
-	key      string
-	markedRetry   bool
-	header   http.Header
-	body     []byte
-	deadline time.Time
-	service  *service
+	kind        settings.Kind
+	key         string
+	markedRetry bool
+	header      http.Header
+	body        []byte
+	deadline    time.Time
+	service     *service
 }
 
 func (g *Gateway) serveRequest(w http.ResponseWriter, r *http.Request) {
@@ -85,13 +85,13 @@
 		deadline = min(deadline, time.Duration(n)*time.Millisecond)
 	}
 	return &call{
-		kind:     kind,
-		key:      r.Header.Get(KeyHeader),
-		markedRetry:   r.Header.Get(RetryHeader) != "",
-		header:   forwarded(r.Header),
-		body:     body,
-		deadline: now.Add(deadline),
-		service:  g.service(kind.Service),
+		kind:        kind,
+		key:         r.Header.Get(KeyHeader),
+		markedRetry: r.Header.Get(RetryHeader) != "",
+		header:      forwarded(r.Header),
+		body:        body,
+		deadline:    now.Add(deadline),
+		service:     g.service(kind.Service),
 	}, nil
 }
 
--- a/pkg/request/gateway/stream.go
+++ b/pkg/request/gateway/stream.go
@@ -53,13 +53,13 @@
 
 // stream is one caller's standing stream.
 type stream struct {
-	gateway *Gateway
-	kind    settings.Kind
-	service *service
-	out     http.ResponseWriter
-	control *http.ResponseController
-	lastEventID    string // the id of the last event passed on
-	headerSent   bool
+	gateway     *Gateway
+	kind        settings.Kind
+	service     *service
+	out         http.ResponseWriter
+	control     *http.ResponseController
+	lastEventID string // the id of the last event passed on
+	headerSent  bool
 }
 
 // run goes from server to server until the caller leaves or the host stops.
