--- a/pkg/request/gateway/stream.go
+++ b/pkg/request/gateway/stream.go
@@ -14,35 +14,34 @@
 	"github.com/wrenferry/wrenferry/pkg/version/settings"
 )
 
-// Streams are server-sent events. The entry host passes on whole events only
-// and remembers the id of the last one. When a server leaves or breaks, the
-// stream goes on at another one, which is told that id, so the caller sees
-// neither a gap nor a double. When the entry host itself stops, it ends the
-// stream between two events; the caller comes back with Last-Event-ID.
+// Streams are server-sent events. The entry host passes on whole events only and keeps the id
+// of the last one. When a server leaves or fails, the stream continues at another server, which
+// receives that id, so the caller gets no gap and no duplicate. When the entry host itself stops,
+// it ends the stream between two events, and the caller reconnects with Last-Event-ID.
 
-// streamSilence is how long a stream may find no server before it is ended.
-const streamSilence = 30 * time.Second
+// maxStreamOutage is the time without any event after which a stream that finds no server is ended.
+const maxStreamOutage = 30 * time.Second
 
-// retryWait is the pause between two tries to open a stream.
-const retryWait = 100 * time.Millisecond
+// reopenDelay is the delay before the next round of servers, when none could be leased.
+const reopenDelay = 100 * time.Millisecond
 
-// maxEvent bounds one event.
-const maxEvent = 1 << 20
+// maxEventLineBytes limits the size of one line of an event.
+const maxEventLineBytes = 1 << 20
 
 func (g *Gateway) serveStream(w http.ResponseWriter, r *http.Request) {
 	tree := g.settings.Current()
 	kind, err := tree.Kind(r.PathValue("service"), r.PathValue("kind"))
 	if err != nil {
-		fromFault(err).write(w, tree.Version())
+		faultAnswer(err).write(w, tree.Version())
 		return
 	}
 	if kind.Type != settings.TypeStream {
-		fromFault(wrongType(kind)).write(w, tree.Version())
+		faultAnswer(wrongTypeError(kind)).write(w, tree.Version())
 		return
 	}
 	s := &stream{
 		gateway: g, kind: kind, service: g.service(kind.Service),
-		out: w, control: http.NewResponseController(w), last: r.Header.Get("Last-Event-ID"),
+		out: w, control: http.NewResponseController(w), lastEventID: r.Header.Get("Last-Event-ID"),
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -51,33 +50,34 @@
 	g.count("streams.ended")
 }
 
-// stream is one caller's standing stream.
+// stream is one caller's stream, across the servers that serve it in turn.
 type stream struct {
-	gateway *Gateway
-	kind    settings.Kind
-	service *service
-	out     http.ResponseWriter
-	control *http.ResponseController
-	last    string // the id of the last event passed on
-	begun   bool
+	gateway     *Gateway
+	kind        settings.Kind
+	service     *service
+	out         http.ResponseWriter
+	control     *http.ResponseController
+	lastEventID string // the id of the last event passed on
+	headerSent  bool   // the response has been started, so it can only be ended
 }
 
-// run goes from server to server until the caller leaves or the host stops.
+// run relays from one server after another, until the caller disconnects, the host stops, or no server is found
+// for maxStreamOutage.
 func (s *stream) run(ctx context.Context, version int64) {
 	tried := map[string]bool{}
 	silentSince := s.gateway.now()
 	for ctx.Err() == nil {
 		lease := s.service.pool.AcquireStream(s.gateway.now(), s.gateway.client.MostStreams(), tried)
 		if lease == nil {
-			if !s.begun || s.gateway.now().Sub(silentSince) > streamSilence {
-				s.refuse(version)
+			if !s.headerSent || s.gateway.now().Sub(silentSince) > maxStreamOutage {
+				s.refuseUnlessStarted(version)
 				return
 			}
-			tried = map[string]bool{} // those that broke may be back
-			pause(ctx, retryWait)
+			tried = map[string]bool{} // servers that failed may be back
+			sleep(ctx, reopenDelay)
 			continue
 		}
-		passed, stopped := s.follow(ctx, lease)
+		passed, stopped := s.relay(ctx, lease)
 		if stopped {
 			return
 		}
@@ -90,45 +90,47 @@
 	}
 }
 
-func pause(ctx context.Context, span time.Duration) {
+// sleep waits for a span, or until the context ends.
+func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(span):
 	}
 }
 
-// refuse answers a stream for which there is no server. One that has begun can
-// only be ended.
-func (s *stream) refuse(version int64) {
-	if s.begun {
+// refuseUnlessStarted refuses a stream for which there is no server. A stream whose header was sent
+// can only be ended.
+func (s *stream) refuseUnlessStarted(version int64) {
+	if s.headerSent {
 		return
 	}
-	refused(admit.Refusal{Reason: admit.NoServer, RetryAfter: time.Second},
+	refusedAnswer(admit.Refusal{Reason: admit.NoServer, RetryAfter: time.Second},
 		"no server takes this stream; come back later").write(s.out, version)
 }
 
-// follow passes on the events of one server. It says whether there were any,
-// and whether the stream is over for good.
-func (s *stream) follow(ctx context.Context, lease *runner.Lease) (passed, stopped bool) {
+// relay passes on the events of one server. passed means that there were any, stopped that the stream
+// must end.
+func (s *stream) relay(ctx context.Context, lease *runner.Lease) (passed, stopped bool) {
 	verdict := runner.Failed
 	defer func() { lease.Done(s.gateway.now(), runner.Report{Verdict: verdict, Free: -1}) }()
-	resp, err := s.gateway.client.Stream(ctx, lease.Address, s.kind.Service, s.kind.Name, s.last)
+	resp, err := s.gateway.client.Stream(ctx, lease.Address, s.kind.Service, s.kind.Name, s.lastEventID)
 	if err != nil {
 		return false, ctx.Err() != nil
 	}
-	verdict = runner.Abandoned // it says nothing of how the server answers calls
+	verdict = runner.Abandoned // a stream's end tells nothing about how the server answers calls
 	defer resp.Body.Close()
-	if !s.begin() {
+	if !s.sendHeader() {
 		return false, true
 	}
-	return s.copy(ctx, resp.Body)
+	return s.relayEvents(ctx, resp.Body)
 }
 
-func (s *stream) begin() bool {
-	if s.begun {
+// sendHeader starts the response if it has not been started. It returns false if the caller is gone.
+func (s *stream) sendHeader() bool {
+	if s.headerSent {
 		return true
 	}
-	s.begun = true
+	s.headerSent = true
 	s.out.Header().Set("Content-Type", "text/event-stream")
 	s.out.Header().Set("Cache-Control", "no-store")
 	s.out.Header().Set(OutcomeHeader, string(Done))
@@ -136,21 +138,22 @@
 	return s.control.Flush() == nil
 }
 
-// event is one whole event, or the end of what a server sent.
+// event is one whole event, or the end of a server's stream if err is set.
 type event struct {
 	text []byte
 	id   string
 	err  error
 }
 
-func (s *stream) copy(ctx context.Context, body io.Reader) (passed, stopped bool) {
+// relayEvents passes on the events of a body until it ends, the caller disconnects or the host drains.
+func (s *stream) relayEvents(ctx context.Context, body io.Reader) (passed, stopped bool) {
 	events := make(chan event)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go readEvents(ctx, body, events)
 	for {
 		select {
-		case <-s.gateway.drained:
+		case <-s.gateway.draining:
 			return passed, true
 		case <-ctx.Done():
 			return passed, true
@@ -158,7 +161,7 @@
 			if e.err != nil {
 				return passed, false
 			}
-			if !s.pass(e) {
+			if !s.writeEvent(e) {
 				return passed, true
 			}
 			passed = true
@@ -166,8 +169,8 @@
 	}
 }
 
-// pass writes one whole event to the caller.
-func (s *stream) pass(e event) bool {
+// writeEvent writes one whole event to the caller. It returns false if the caller is gone.
+func (s *stream) writeEvent(e event) bool {
 	if _, err := s.out.Write(e.text); err != nil {
 		return false
 	}
@@ -175,17 +178,17 @@
 		return false
 	}
 	if e.id != "" {
-		s.last = e.id
+		s.lastEventID = e.id
 	}
 	s.gateway.count("streams.events")
 	return true
 }
 
-// readEvents cuts a body into whole events. A part of an event at the end is
-// dropped: the next server sends it again.
+// readEvents splits a body into whole events. An incomplete event at the end is dropped: the next
+// server sends it again.
 func readEvents(ctx context.Context, body io.Reader, out chan<- event) {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(nil, maxEvent)
+	scanner.Buffer(nil, maxEventLineBytes)
 	var e event
 	for scanner.Scan() {
 		line := scanner.Bytes()
@@ -208,6 +211,7 @@
 	emit(ctx, out, event{err: fault.New(fault.Unavailable, "stream", "it broke off", "").WithCause(err)})
 }
 
+// emit sends an event to out. It returns false if the context ended.
 func emit(ctx context.Context, out chan<- event, e event) bool {
 	select {
 	case out <- e:
--- a/pkg/request/intake/cancel_test.go
+++ b/pkg/request/intake/cancel_test.go
@@ -14,53 +14,53 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// hearing leads two cells, and keeps which were told of a cancel.
-type hearing struct {
-	leaders
-	told *[]string
+// cancelRecorder leads two cells and records the cells that were notified of a cancel.
+type cancelRecorder struct {
+	stubLeaders
+	notified *[]string
 }
 
-func (hearing) View() *intake.View {
+func (cancelRecorder) View() *intake.View {
 	return &intake.View{Cells: map[string]intake.CellView{"home": {Mine: true, Fresh: true}, "other": {Mine: true, Fresh: true}}}
 }
 
-func (h hearing) Cancelled(cell, id string) { *h.told = append(*h.told, cell+" "+id) }
+func (r cancelRecorder) Cancelled(cell, id string) { *r.notified = append(*r.notified, cell+" "+id) }
 
-// A cell with delegated tasks of the job must not depend on the leader of the job's own cell, which may
-// change just then.
-func TestACancelIsToldToAllCells(t *testing.T) {
+// A cell to which tasks of the job were delegated must learn of a cancel directly: the leader of the job's home cell may
+// change at that moment.
+func TestCancelNotifiesAllCells(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
-	direct := rowsTable{rows: []table.Row{rows.Row(rows.AnchorKey(id), &wire.JobAnchor{Cell: "home", Queue: "offers"})}}
-	var told []string
-	found, err := newIntakeOf(direct, hearing{told: &told}).Cancel(context.Background(), clock.Now(), id)
+	direct := fixedTable{rows: []table.Row{rows.Row(rows.AnchorKey(id), &wire.JobAnchor{Cell: "home", Queue: "offers"})}}
+	var notified []string
+	found, err := newIntakeWith(direct, cancelRecorder{notified: &notified}).Cancel(context.Background(), clock.Now(), id)
 	must.NoError(t, err)
 	must.True(t, found)
-	slices.Sort(told)
-	must.Eq(t, []string{"home " + id, "other " + id}, told)
+	slices.Sort(notified)
+	must.Eq(t, []string{"home " + id, "other " + id}, notified)
 }
 
-// keeping is a table that keeps what is committed.
-type keeping struct {
-	rowsTable
+// commitRecorder is a table that records the keys of committed rows.
+type commitRecorder struct {
+	fixedTable
 	puts *[]table.Key
 }
 
-func (k keeping) Commit(_ context.Context, tx table.Transaction) (table.Committed, error) {
-	for _, r := range tx.Puts {
-		*k.puts = append(*k.puts, r.Key)
+func (r commitRecorder) Commit(_ context.Context, tx table.Transaction) (table.Committed, error) {
+	for _, row := range tx.Puts {
+		*r.puts = append(*r.puts, row.Key)
 	}
 	return table.Committed{Version: 1}, nil
 }
 
-// A word may not arrive, or is gone with the leader that had it. So a cancel stands in the table for every cell,
-// by one transaction of the job's part.
-func TestACancelStandsInTheTableForAllCells(t *testing.T) {
+// A notification may be lost, or the leader that received it may end. So one transaction within the job's part of the
+// table writes a cancel row for every cell.
+func TestCancelWritesRowForEveryCell(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
 	var puts []table.Key
-	direct := keeping{rowsTable{rows: []table.Row{rows.Row(rows.AnchorKey(id), &wire.JobAnchor{Cell: "home", Queue: "offers"})}}, &puts}
-	_, err := newIntakeOf(direct, hearing{told: &[]string{}}).Cancel(context.Background(), clock.Now(), id)
+	direct := commitRecorder{fixedTable{rows: []table.Row{rows.Row(rows.AnchorKey(id), &wire.JobAnchor{Cell: "home", Queue: "offers"})}}, &puts}
+	_, err := newIntakeWith(direct, cancelRecorder{notified: &[]string{}}).Cancel(context.Background(), clock.Now(), id)
 	must.NoError(t, err)
 	must.Eq(t, []table.Key{rows.CancelKey("home", id), rows.CancelKey("other", id)}, puts)
 	must.Eq(t, puts[0].Part, puts[1].Part)
--- a/pkg/request/intake/intake.go
+++ b/pkg/request/intake/intake.go
@@ -1,12 +1,12 @@
-// Package intake is what an entry host does for one call about a job: take it in, tell its
-// state, cancel it, count a queue. The platform's adapter calls it for callers.
+// Package intake serves calls about jobs at an entry host: submit, state, cancel, and the
+// count of a queue's pending jobs. The platform's adapter calls it for callers.
 //
-// A job is accepted by one transaction that inserts its anchor if the id is free, so a second
-// hand-in at any host is the same job. The cell is chosen by package cellchoice; its leader is
-// told at once, and would also find the job in the table.
+// One transaction accepts a job: it inserts the job's anchor row if the id is unused, so
+// submitting the id again at any host yields the same job. Package cellchoice chooses the cell.
+// The cell's leader is notified at once, and would also find the job in the table.
 //
-// What may have been written is never called not run, and a count that can't be told is never
-// guessed.
+// A job that may have been written is never reported as not run. A pending count that can't
+// be determined is an error, never an estimate.
 package intake
 
 import (
@@ -31,18 +31,20 @@
 )
 
 const (
-	// peerTimeout bounds a question to a cell's leader.
+	// peerTimeout bounds a call to a cell's leader.
 	peerTimeout = 300 * time.Millisecond
-	// anchorsKept and endsKept bound what is remembered of jobs: some minutes'
-	// worth at the rates of the largest known deployment.
-	anchorsKept = 8192
-	endsKept    = 8192
-	// reasonsKept is the same for why jobs have failed: few do, and a reason has a hundred bytes.
-	reasonsKept = 512
+	// maxCachedAnchors and maxCachedFinalPhases bound the caches of home cells and final
+	// phases, in jobs: some minutes' worth at the rates of the largest known deployment.
+	maxCachedAnchors     = 8192
+	maxCachedFinalPhases = 8192
+	// maxCachedReasons bounds the cache of failure reasons, in jobs: few jobs fail, and a
+	// reason takes about a hundred bytes.
+	maxCachedReasons = 512
 )
 
 // Peers connects to other hosts.
 type Peers interface {
+	// To returns the client for the host at an address.
 	To(address string) (wire.FleetClient, error)
 }
 
@@ -55,52 +57,56 @@
 	log     *logrus.Entry
 	metrics metrics.Registry
 
-	anchors *lru.Cache[string, string]
-	ends    *lru.Cache[string, wire.JobPhase]
-	// reasons are why jobs have failed.
+	homeCells   *lru.Cache[string, string]
+	finalPhases *lru.Cache[string, wire.JobPhase]
+	// reasons holds the reasons of failed jobs by job id.
 	reasons *lru.Cache[string, string]
 
+	// mu guards the fields below.
 	mu    sync.Mutex
 	board *cellchoice.Board
-	// asking are the cells whose load is being asked for, beliefsAt when their leaders'
-	// beliefs were.
-	asking    map[string]bool
-	beliefsAt map[string]time.Time
+	// loadRequested marks the cells with a load request under way. beliefsRequestedAt holds the
+	// time of the last request for the interference beliefs of a cell's leader.
+	loadRequested      map[string]bool
+	beliefsRequestedAt map[string]time.Time
 }
 
 // New returns the intake of a host in the given hall.
 func New(hall string, st *store.Client, leaders Leaders, peers Peers, log *logrus.Entry, registry metrics.Registry) *Intake {
-	anchors, _ := lru.New[string, string](anchorsKept)  // fails for a negative size only
-	ends, _ := lru.New[string, wire.JobPhase](endsKept) // likewise
-	reasons, _ := lru.New[string, string](reasonsKept)  // likewise
+	homeCells, _ := lru.New[string, string](maxCachedAnchors)              // fails for a negative size only
+	finalPhases, _ := lru.New[string, wire.JobPhase](maxCachedFinalPhases) // likewise
+	reasons, _ := lru.New[string, string](maxCachedReasons)                // likewise
 	return &Intake{
 		hall: hall, store: st, leaders: leaders, peers: peers, log: log, metrics: registry,
-		anchors: anchors, ends: ends, reasons: reasons, board: cellchoice.NewBoard(hall), asking: map[string]bool{}, beliefsAt: map[string]time.Time{},
+		homeCells: homeCells, finalPhases: finalPhases, reasons: reasons,
+		board: cellchoice.NewBoard(hall), loadRequested: map[string]bool{}, beliefsRequestedAt: map[string]time.Time{},
 	}
 }
 
-// Submit takes a job in. It returns when the table holds the job, or with what
-// is known: fault.NotRun if it surely does not, else fault.Unknown.
+// Submit accepts a job. It returns nil once the table holds the job, fault.NotRun if the
+// table certainly does not hold it, and otherwise fault.Unknown.
 func (i *Intake) Submit(ctx context.Context, now time.Time, q manifest.Queue, spec *wire.JobSpec) error {
-	if _, known := i.anchors.Get(spec.GetId()); known {
+	if _, known := i.homeCells.Get(spec.GetId()); known {
 		i.logJob("job-accepted-again", spec, now, "", nil)
 		return nil
 	}
 	spec.Queue, spec.Service = q.Name, q.Service
-	chosen := i.choose(now, spec)
+	chosen := i.chooseCell(now, spec)
 	spec.Cell = chosen.Cell
 	spec.AcceptedStoreMs = i.store.Now(now).Milliseconds()
 	err := i.insert(ctx, spec)
 	if err != nil {
-		i.count("refused." + string(fault.CodeOf(err)))
+		i.increment("refused." + string(fault.CodeOf(err)))
 		i.logJob("job-refused", spec, now, chosen.Why, err)
 		return err
 	}
-	i.count("accepted")
+	i.increment("accepted")
 	i.logJob("job-accepted", spec, now, chosen.Why, nil)
 	return nil
 }
 
+// insert writes the job's anchor and spec rows if its id is unused. An id that is in use denotes the same job, so
+// insert then succeeds, too.
 func (i *Intake) insert(ctx context.Context, spec *wire.JobSpec) error {
 	anchor := rows.AnchorKey(spec.GetId())
 	done, err := i.store.Commit(ctx, table.Transaction{
@@ -114,56 +120,57 @@
 	case err != nil && fault.CodeOf(err) == fault.NotRun:
 		return err
 	case err != nil:
-		return i.settleUnknown(ctx, spec, err)
+		return i.resolveUnknown(ctx, spec, err)
 	case done.Conflict:
-		i.learnAnchor(spec.GetId(), done.Found)
-		return nil // the id stands for a job already: it is this one
+		i.cacheAnchor(spec.GetId(), done.Found)
+		return nil // the id is in use, so this job was accepted before
 	}
-	i.anchors.Add(spec.GetId(), spec.GetCell())
-	i.tell(spec)
+	i.homeCells.Add(spec.GetId(), spec.GetCell())
+	i.notifyAccepted(spec)
 	return nil
 }
 
-// settleUnknown finds out whether a transaction without an answer took effect.
-// If the job isn't there now it may still come.
-func (i *Intake) settleUnknown(ctx context.Context, spec *wire.JobSpec, cause error) error {
-	cell, found, err := i.anchor(ctx, spec.GetId())
+// resolveUnknown checks whether a transaction without an answer took effect. A missing anchor
+// proves nothing, as the transaction may still take effect: the result is then fault.Unknown.
+func (i *Intake) resolveUnknown(ctx context.Context, spec *wire.JobSpec, cause error) error {
+	cell, found, err := i.homeCell(ctx, spec.GetId())
 	if err == nil && found {
 		if cell == spec.GetCell() {
-			i.tell(spec)
+			i.notifyAccepted(spec)
 		}
 		return nil
 	}
 	return fault.New(fault.Unknown, spec.GetId(), "the table did not say whether it took the job", "ask again with the same id").WithCause(cause)
 }
 
-func (i *Intake) learnAnchor(id string, found []table.Row) {
+// cacheAnchor caches the job's home cell if the rows found by a conflicting transaction hold its anchor.
+func (i *Intake) cacheAnchor(id string, found []table.Row) {
 	for _, r := range found {
 		anchor := &wire.JobAnchor{}
 		if r.Version != 0 && r.Table == rows.AnchorTable && rows.Read(r, anchor) == nil {
-			i.anchors.Add(id, anchor.GetCell())
+			i.homeCells.Add(id, anchor.GetCell())
 		}
 	}
 }
 
-// tell hands a job to its cell's leader, without waiting.
-func (i *Intake) tell(spec *wire.JobSpec) {
-	i.toLeader(spec.GetCell(), func() { i.leaders.Accepted(spec) }, func(ctx context.Context, p wire.FleetClient) error {
+// notifyAccepted sends an accepted job to its cell's leader in the background.
+func (i *Intake) notifyAccepted(spec *wire.JobSpec) {
+	i.notifyLeader(spec.GetCell(), func() { i.leaders.Accepted(spec) }, func(ctx context.Context, p wire.FleetClient) error {
 		reply, err := p.Accepted(ctx, &wire.AcceptedJob{Spec: spec})
 		if err == nil {
-			i.takeLoad(clock.Now(), reply)
+			i.applyLoad(clock.Now(), reply)
 		}
 		return err
 	})
 }
 
-// toLeader tells a cell's leader something, without waiting: here, if this
-// process leads the cell. A word that does not arrive is only counted, since
-// the leader follows the table.
-func (i *Intake) toLeader(cell string, here func(), there func(ctx context.Context, p wire.FleetClient) error) {
+// notifyLeader notifies a cell's leader without waiting for the answer. It calls local if this
+// process leads the cell, and otherwise remote with a client of the leader. A lost notification
+// is only counted, since the leader also follows the table.
+func (i *Intake) notifyLeader(cell string, local func(), remote func(ctx context.Context, p wire.FleetClient) error) {
 	view := i.leaders.View().Cells[cell]
 	if view.Mine {
-		here()
+		local()
 		return
 	}
 	go func() {
@@ -171,47 +178,47 @@
 		defer cancel()
 		p, err := i.peers.To(view.Address)
 		if err == nil {
-			err = there(ctx, p)
+			err = remote(ctx, p)
 		}
 		if err != nil {
-			i.count("tell-failed")
+			i.increment("tell-failed")
 		}
 	}()
 }
 
 // ----------------------------------------------------------------- states
 
-// State tells a job's phase: UNSPECIFIED if there is no such job.
+// State returns a job's phase, or UNSPECIFIED if there is no such job.
 func (i *Intake) State(ctx context.Context, id string) (wire.JobPhase, error) {
-	if phase, ok := i.ends.Get(id); ok {
+	if phase, ok := i.finalPhases.Get(id); ok {
 		return phase, nil
 	}
-	cell, found, err := i.anchor(ctx, id)
+	cell, found, err := i.homeCell(ctx, id)
 	if err != nil {
 		return 0, err
 	}
 	if !found {
 		return wire.JobPhase_JOB_PHASE_UNSPECIFIED, nil
 	}
-	phase, known := i.askLeader(ctx, cell, id)
+	phase, known := i.phaseFromLeader(ctx, cell, id)
 	if !known {
-		if phase, err = i.readPhase(ctx, cell, id); err != nil {
+		if phase, err = i.phaseFromTable(ctx, cell, id); err != nil {
 			return 0, err
 		}
 	}
 	if phase.Terminal() {
-		i.ends.Add(id, phase)
+		i.finalPhases.Add(id, phase)
 	}
 	return phase, nil
 }
 
-// Reason is why a job has failed, as its record says; empty: it does not say. A failed job's
-// record does not change, so its reason is read once.
+// Reason returns the reason in a failed job's progress row, or "" if none can be read. The
+// row of a failed job does not change, so the reason is cached.
 func (i *Intake) Reason(ctx context.Context, id string) string {
 	if reason, ok := i.reasons.Get(id); ok {
 		return reason
 	}
-	cell, found, err := i.anchor(ctx, id)
+	cell, found, err := i.homeCell(ctx, id)
 	if err != nil || !found {
 		return ""
 	}
@@ -223,9 +230,9 @@
 	return p.GetReason()
 }
 
-// anchor finds the cell that a job went to.
-func (i *Intake) anchor(ctx context.Context, id string) (cell string, found bool, err error) {
-	if cell, ok := i.anchors.Get(id); ok {
+// homeCell returns the cell that accepted a job. found is false if there is no such job.
+func (i *Intake) homeCell(ctx context.Context, id string) (cell string, found bool, err error) {
+	if cell, ok := i.homeCells.Get(id); ok {
 		return cell, true, nil
 	}
 	key := rows.AnchorKey(id)
@@ -240,11 +247,13 @@
 	if err := rows.Read(page.Rows[0], anchor); err != nil {
 		return "", false, err
 	}
-	i.anchors.Add(id, anchor.GetCell())
+	i.homeCells.Add(id, anchor.GetCell())
 	return anchor.GetCell(), true, nil
 }
 
-func (i *Intake) askLeader(ctx context.Context, cell, id string) (wire.JobPhase, bool) {
+// phaseFromLeader asks the leader of the job's home cell for its phase. It returns false if
+// no leader is within reach or the leader does not know the job.
+func (i *Intake) phaseFromLeader(ctx context.Context, cell, id string) (wire.JobPhase, bool) {
 	view := i.leaders.View().Cells[cell]
 	if view.Mine {
 		return i.leaders.Phase(ctx, cell, id)
@@ -265,9 +274,9 @@
 	return reply.GetPhase(), true
 }
 
-// readPhase reads a job's phase from the table, where its leader does not
-// answer.
-func (i *Intake) readPhase(ctx context.Context, cell, id string) (wire.JobPhase, error) {
+// phaseFromTable reads a job's phase from the table, for a cell whose leader does not answer.
+// A job without a progress row is queued.
+func (i *Intake) phaseFromTable(ctx context.Context, cell, id string) (wire.JobPhase, error) {
 	p, err := i.readProgress(ctx, cell, id)
 	switch {
 	case err != nil:
@@ -280,7 +289,7 @@
 	return p.GetPhase(), nil
 }
 
-// readProgress reads what the table holds of a job's progress; nil: nothing yet.
+// readProgress reads a job's progress row, or returns nil if there is none yet.
 func (i *Intake) readProgress(ctx context.Context, cell, id string) (*wire.JobProgress, error) {
 	key := rows.ProgressKey(cell, id)
 	page, err := i.store.Read(ctx, table.Range{Table: key.Table, Part: key.Part, From: id, To: id + "\x00", Limit: 1})
@@ -294,13 +303,14 @@
 	return p, nil
 }
 
-// Cancel puts a cancel into the table; false: there is no such job.
+// Cancel writes the rows of a cancel into the table and notifies the leaders. It returns false
+// if there is no such job. A job whose end this host knows is left alone.
 func (i *Intake) Cancel(ctx context.Context, now time.Time, id string) (bool, error) {
-	if phase, ok := i.ends.Get(id); ok {
+	if phase, ok := i.finalPhases.Get(id); ok {
 		i.log.WithFields(logrus.Fields{"job": id, "phase": phase.String()}).Info("job-cancel-late")
 		return true, nil
 	}
-	cell, found, err := i.anchor(ctx, id)
+	cell, found, err := i.homeCell(ctx, id)
 	if err != nil || !found {
 		return found, err
 	}
@@ -308,8 +318,8 @@
 	tx := table.Transaction{Puts: []table.Row{rows.Row(rows.CancelKey(cell, id), &wire.JobRef{Cell: cell, Id: id})}}
 	for _, name := range slices.Sorted(maps.Keys(cells)) {
 		if name != cell {
-			// A cell that runs tasks which it was lent must learn of it also while nobody leads the job's own
-			// cell, and its next leader, too: a word may not arrive, or be gone with whom it was told.
+			// A cell that runs delegated tasks of the job must learn of the cancel even while the home cell has no
+			// leader. Its next leader must learn of it, too: a notification may be lost, or end with its recipient.
 			tx.Puts = append(tx.Puts, rows.Row(rows.CancelKey(name, id), &wire.JobRef{Cell: name, Id: id}))
 		}
 	}
@@ -317,25 +327,27 @@
 		i.log.WithFields(logrus.Fields{"job": id, "why": err.Error()}).Warn("job-cancel-failed")
 		return true, err
 	}
-	i.count("cancelled")
+	i.increment("cancelled")
 	i.log.WithFields(logrus.Fields{"job": id, "cell": cell, "ms": clock.Now().Sub(now).Milliseconds()}).Info("job-cancel")
 	for name := range cells {
-		i.tellCancel(name, id) // sooner than they read it
+		i.notifyCancel(name, id) // arrives before the leader reads the row
 	}
 	return true, nil
 }
 
-func (i *Intake) tellCancel(cell, id string) {
-	i.toLeader(cell, func() { i.leaders.Cancelled(cell, id) }, func(ctx context.Context, p wire.FleetClient) error {
+// notifyCancel notifies a cell's leader of a cancel in the background.
+func (i *Intake) notifyCancel(cell, id string) {
+	i.notifyLeader(cell, func() { i.leaders.Cancelled(cell, id) }, func(ctx context.Context, p wire.FleetClient) error {
 		_, err := p.Cancelled(ctx, &wire.JobRef{Cell: cell, Id: id})
 		return err
 	})
 }
 
-func (i *Intake) count(what string) {
-	metrics.GetOrRegisterCounter("jobs."+what, i.metrics).Inc(1)
+func (i *Intake) increment(name string) {
+	metrics.GetOrRegisterCounter("jobs."+name, i.metrics).Inc(1)
 }
 
+// logJob logs an event of a submission, with the time since began and the error's outcome if there is an error.
 func (i *Intake) logJob(event string, spec *wire.JobSpec, began time.Time, detail string, err error) {
 	fields := logrus.Fields{
 		"job": spec.GetId(), "queue": spec.GetQueue(), "cell": spec.GetCell(), "ms": clock.Now().Sub(began).Milliseconds(),
--- a/pkg/request/route/route_test.go
+++ b/pkg/request/route/route_test.go
@@ -12,8 +12,8 @@
 	"github.com/wrenferry/wrenferry/pkg/request/route"
 )
 
-// Of two servers, the slow one is never taken while the other has room.
-func TestTwoChoicesAreDifferent(t *testing.T) {
+// The two servers drawn must differ: of two servers, the slow one is never chosen while the other has room.
+func TestTwoChoicesDrawsDifferentServers(t *testing.T) {
 	now := time.Unix(1, 0)
 	list := []runner.Candidate{
 		{Name: "slow", Local: true, Slots: 8, Latency: 200 * time.Millisecond, LatencyAt: now},
@@ -26,9 +26,9 @@
 	}
 }
 
-// A server that was slow, or has not answered yet, is tried again some time: who
-// is never chosen is never measured.
-func TestOldAnswerTimesLoseWeight(t *testing.T) {
+// A server that was slow, or has not answered yet, must be tried again at some time: a server that
+// is never chosen gets no new latency.
+func TestOldLatenciesLoseWeight(t *testing.T) {
 	begin := time.Unix(1, 0)
 	list := []runner.Candidate{
 		{Name: "was slow", Local: true, Slots: 8, Latency: 20 * time.Millisecond, LatencyAt: begin},
