--- a/pkg/process/hall/capacity_test.go
+++ b/pkg/process/hall/capacity_test.go
@@ -47,17 +47,17 @@
 	}
 	d.until(b, "all run", func() bool { return d.state.Counts().Running >= running*9/10 })
 	heap := heapMB()
-	d.traffic, d.busy = traffic{}, 0
+	d.traffic, d.stepTime = traffic{}, 0
 	b.ResetTimer()
 	for range b.N {
 		if starts > 0 {
 			d.submit(fmt.Sprintf("j%d", jobs), "ingest", int32(starts), taskSize)
 			jobs++
 		}
-		d.pass(time.Second)
+		d.advance(time.Second)
 	}
 	n := float64(b.N)
-	b.ReportMetric(float64(d.busy.Microseconds())/1000/n, "cpu-ms/s")
+	b.ReportMetric(float64(d.stepTime.Microseconds())/1000/n, "cpu-ms/s")
 	b.ReportMetric(float64(d.traffic.commits)/n, "commits/s")
 	b.ReportMetric(float64(d.traffic.written)/n, "rows/s")
 	b.ReportMetric(float64(d.traffic.reads)/n, "reads/s")
--- a/pkg/process/hall/commit.go
+++ b/pkg/process/hall/commit.go
@@ -21,12 +21,12 @@
 // is read: it carries the number of the last commit that took effect.
 
 const (
-	// commitGap is the least time between two group commits.
-	commitGap = 100 * time.Millisecond
-	// commitRows is the most rows that one transaction touches.
-	commitRows = 600
-	// resendGap is how long to wait before a commit is sent again.
-	resendGap = 300 * time.Millisecond
+	// minCommitInterval is the least time between two group commits.
+	minCommitInterval = 100 * time.Millisecond
+	// maxCommitRows is the most rows that one transaction touches.
+	maxCommitRows = 600
+	// resendDelay is how long to wait before a commit is sent again.
+	resendDelay = 300 * time.Millisecond
 )
 
 type commitKind int
@@ -55,9 +55,9 @@
 	tasks   map[string]bool
 	jobs    map[string]bool
 	workers map[string]bool
-	// raw are rows of others' making with their conditions: inbox rows that
+	// external are rows of others' making with their conditions: inbox rows that
 	// are taken out, and put into another hall's inbox.
-	raw []*wire.CommitRequest
+	external []*wire.CommitRequest
 }
 
 func newChanges() changes {
@@ -65,14 +65,14 @@
 }
 
 func (c changes) empty() bool {
-	return len(c.tasks) == 0 && len(c.jobs) == 0 && len(c.workers) == 0 && len(c.raw) == 0
+	return len(c.tasks) == 0 && len(c.jobs) == 0 && len(c.workers) == 0 && len(c.external) == 0
 }
 
 // leaderWrite is a transaction that writes the leader row and nothing else.
 func (s *State) leaderWrite(row *wire.LeaderRow) *wire.CommitRequest {
 	key := rows.Leader(s.hall)
 	return &wire.CommitRequest{
-		Conditions: []*wire.Condition{{Key: key, Revision: s.lead.Revision()}},
+		Conditions: []*wire.Condition{{Key: key, Revision: s.leadership.Revision()}},
 		Puts:       []*wire.Row{rows.Put(key, row)},
 	}
 }
@@ -96,7 +96,7 @@
 // resend sends an unanswered transaction again, unchanged.
 func (s *State) resend(now time.Time) {
 	p := s.pending
-	if p == nil || p.inFlight || now.Before(p.resendAt) || s.reads.leader {
+	if p == nil || p.inFlight || now.Before(p.resendAt) || s.reads.leaderPending {
 		return
 	}
 	s.transmit(now)
@@ -105,21 +105,21 @@
 // commit sends the next group when there is something to write, when the
 // leadership wants renewing, or when it is to be given up.
 func (s *State) commit(now time.Time) {
-	if s.pending != nil || s.lead.Role() != leadership.Leader || now.Sub(s.commitAt) < commitGap {
+	if s.pending != nil || s.leadership.Role() != leadership.Leader || now.Sub(s.lastCommitAt) < minCommitInterval {
 		return
 	}
-	renew := now.Sub(s.commitAt) >= s.renewEvery()
-	if s.changed.empty() && !renew && !s.drain {
+	renew := now.Sub(s.lastCommitAt) >= s.renewInterval()
+	if s.unwritten.empty() && !renew && !s.draining {
 		return
 	}
-	s.commitAt = now
-	if s.drain && s.changed.empty() {
-		row := s.lead.Release()
+	s.lastCommitAt = now
+	if s.draining && s.unwritten.empty() {
+		row := s.leadership.Release()
 		s.send(now, &pendingCommit{kind: releaseCommit, row: row, request: s.leaderWrite(row)})
 		return
 	}
-	row := s.lead.Renewal(s.fleet().Tenure, s.longestLease)
-	s.lead = s.lead.WithRenewing(row)
+	row := s.leadership.Renewal(s.fleet().Tenure, s.longestLease)
+	s.leadership = s.leadership.WithRenewing(row)
 	p := &pendingCommit{kind: workCommit, row: row, request: s.leaderWrite(row), batch: newChanges()}
 	s.gather(p)
 	s.send(now, p)
@@ -127,24 +127,24 @@
 
 // gather moves what has changed into the transaction, up to its limit.
 func (s *State) gather(p *pendingCommit) {
-	for len(s.changed.raw) > 0 && len(p.request.Puts)+len(p.request.Deletes) < commitRows {
-		r := s.changed.raw[0]
-		s.changed.raw = s.changed.raw[1:]
+	for len(s.unwritten.external) > 0 && len(p.request.Puts)+len(p.request.Deletes) < maxCommitRows {
+		r := s.unwritten.external[0]
+		s.unwritten.external = s.unwritten.external[1:]
 		p.request.Conditions = append(p.request.Conditions, r.GetConditions()...)
 		p.request.Puts = append(p.request.Puts, r.GetPuts()...)
 		p.request.Deletes = append(p.request.Deletes, r.GetDeletes()...)
 	}
-	for name := range s.changed.workers {
+	for name := range s.unwritten.workers {
 		s.gatherWorker(p, name)
 	}
-	for id := range s.changed.tasks {
-		if len(p.request.Puts)+len(p.request.Deletes) >= commitRows {
+	for id := range s.unwritten.tasks {
+		if len(p.request.Puts)+len(p.request.Deletes) >= maxCommitRows {
 			return
 		}
 		s.gatherTask(p, id)
 	}
-	for key := range s.changed.jobs {
-		if len(p.request.Puts)+len(p.request.Deletes) >= commitRows {
+	for key := range s.unwritten.jobs {
+		if len(p.request.Puts)+len(p.request.Deletes) >= maxCommitRows {
 			return
 		}
 		s.gatherJob(p, key)
@@ -152,10 +152,10 @@
 }
 
 func (s *State) gatherWorker(p *pendingCommit, name string) {
-	delete(s.changed.workers, name)
+	delete(s.unwritten.workers, name)
 	w := s.workers[name]
-	row := &wire.WorkerRow{Name: name, Incarnation: w.reported, Epoch: s.lead.Epoch()}
-	w.registering = w.reported
+	row := &wire.WorkerRow{Name: name, Incarnation: w.reportedIncarnation, Epoch: s.leadership.Epoch()}
+	w.registeringIncarnation = w.reportedIncarnation
 	p.request.Puts = append(p.request.Puts, rows.Put(rows.Worker(s.hall, name), row))
 	p.batch.workers[name] = true
 }
@@ -163,10 +163,10 @@
 // gatherTask writes a task's row. The rows of a job that has ended aren't
 // written one by one: they go when the job's own row is written.
 func (s *State) gatherTask(p *pendingCommit, id string) {
-	delete(s.changed.tasks, id)
+	delete(s.unwritten.tasks, id)
 	t := s.tasks[id]
 	if t.job.ended() {
-		s.changed.jobs[t.job.row.GetKey()] = true
+		s.unwritten.jobs[t.job.row.GetKey()] = true
 		return
 	}
 	t.writing = t.row
@@ -177,11 +177,11 @@
 // gatherJob writes a job's row. When the job has ended, its tasks' rows are
 // deleted in the same transaction, so that no crash can part the two.
 func (s *State) gatherJob(p *pendingCommit, key string) {
-	delete(s.changed.jobs, key)
+	delete(s.unwritten.jobs, key)
 	j := s.jobs[key]
 	if j.ended() {
 		for id := range j.tasks {
-			delete(s.changed.tasks, id)
+			delete(s.unwritten.tasks, id)
 			p.request.Deletes = append(p.request.Deletes, rows.Task(s.hall, id))
 		}
 	}
@@ -203,22 +203,22 @@
 	switch {
 	case e.Err != nil:
 		p.uncertain = true
-		p.resendAt = now.Add(resendGap)
+		p.resendAt = now.Add(resendDelay)
 		s.note(now, s.hall, CommitUncertain, e.Err.Error())
 	case len(e.Conflicts) == 0:
 		p.sentAt = e.SentAt
-		s.applied(now, p, e.Revision)
+		s.commitApplied(now, p, e.Revision)
 	case p.uncertain:
 		s.readLeader(now)
-		p.resendAt = now.Add(resendGap)
+		p.resendAt = now.Add(resendDelay)
 	default:
-		s.conflicted(now, p, e.Conflicts)
+		s.commitConflicted(now, p, e.Conflicts)
 	}
 }
 
-// settle learns from the leader row what became of a commit whose answer was
+// resolveUncertain learns from the leader row what became of a commit whose answer was
 // lost. The number of renewals tells one commit from the next.
-func (s *State) settle(now time.Time, e LeaderRead) {
+func (s *State) resolveUncertain(now time.Time, e LeaderRead) {
 	p := s.pending
 	if p.inFlight {
 		return
@@ -227,49 +227,49 @@
 	switch {
 	case mine && e.Row.GetRenewals() == p.row.GetRenewals():
 		p.sentAt = e.SentAt
-		s.applied(now, p, e.Revision)
-	case mine || (p.kind == claimCommit && e.Revision == s.lead.Revision()):
+		s.commitApplied(now, p, e.Revision)
+	case mine || (p.kind == claimCommit && e.Revision == s.leadership.Revision()):
 		// The row has not moved, so the commit did not take effect and another
 		// of its conditions no longer holds.
-		s.conflicted(now, p, nil)
+		s.commitConflicted(now, p, nil)
 	default:
-		s.conflicted(now, p, []string{rows.Leader(s.hall)})
-		s.lead = s.lead.WithObserved(now, e.Row, e.Revision)
+		s.commitConflicted(now, p, []string{rows.Leader(s.hall)})
+		s.leadership = s.leadership.WithObserved(now, e.Row, e.Revision)
 	}
 }
 
-func (s *State) conflicted(now time.Time, p *pendingCommit, keys []string) {
+func (s *State) commitConflicted(now time.Time, p *pendingCommit, keys []string) {
 	s.pending = nil
 	if p.kind == claimCommit || slices.Contains(keys, rows.Leader(s.hall)) {
-		s.lost(now, "the leader row was written by another process")
+		s.leadershipLost(now, "the leader row was written by another process")
 		return
 	}
 	s.reload(now, strings.Join(keys, " "))
 }
 
-// applied takes in a commit that surely took effect.
-func (s *State) applied(now time.Time, p *pendingCommit, revision int64) {
+// commitApplied takes in a commit that surely took effect.
+func (s *State) commitApplied(now time.Time, p *pendingCommit, revision int64) {
 	s.pending = nil
 	switch p.kind {
 	case claimCommit:
-		s.won(now, p, revision)
+		s.leadershipWon(now, p, revision)
 	case releaseCommit:
 		s.note(now, s.hall, ReleasedLeadership, "planned stop")
-		s.lead = s.lead.WithRenewed(p.sentAt, p.row, revision).WithLost()
+		s.leadership = s.leadership.WithRenewed(p.sentAt, p.row, revision).WithLost()
 		s.phase = following
-		s.forget()
+		s.clearLoaded()
 	case workCommit:
-		s.lead = s.lead.WithRenewed(p.sentAt, p.row, revision)
-		s.appliedBatch(now, p, revision)
+		s.leadership = s.leadership.WithRenewed(p.sentAt, p.row, revision)
+		s.batchApplied(now, p, revision)
 	}
 }
 
-func (s *State) appliedBatch(now time.Time, p *pendingCommit, revision int64) {
+func (s *State) batchApplied(now time.Time, p *pendingCommit, revision int64) {
 	if s.phase != leading {
 		return // a reload is under way and will bring it
 	}
 	for name := range p.batch.workers {
-		s.registered(now, name)
+		s.workerRegistered(now, name)
 	}
 	for id := range p.batch.tasks {
 		s.taskCommitted(s.tasks[id])
--- a/pkg/process/hall/driver_test.go
+++ b/pkg/process/hall/driver_test.go
@@ -19,21 +19,21 @@
 // a clock of its own: an answer comes in at the next tick after its question.
 
 const (
-	tick    = 20 * time.Millisecond
-	hallNow = "a"
+	tick     = 20 * time.Millisecond
+	hallName = "a"
 )
 
 // fakeWorker runs every attempt for a fixed time.
 type fakeWorker struct {
-	boot     time.Time
-	name     string
-	epoch    int64
-	sequence int64
-	runs     map[string]*wire.Run
-	until    map[string]time.Time
-	down     bool
-	failAll  bool
-	samples  []*wire.ServiceSample
+	boot        time.Time
+	name        string
+	epoch       int64
+	sequence    int64
+	runs        map[string]*wire.Run
+	until       map[string]time.Time
+	unreachable bool
+	failAll     bool
+	samples     []*wire.ServiceSample
 }
 
 // traffic counts what a State asks for.
@@ -42,20 +42,20 @@
 }
 
 type driver struct {
-	state   *hall.State
-	now     time.Time
-	table   map[string]*wire.Row
-	version int64
-	workers map[string]*fakeWorker
-	order   []string
-	waiting []hall.Event
-	runFor  time.Duration
-	traffic traffic
-	reasons map[hall.Reason]int
-	outage  bool
-	busy    time.Duration // processor time of the steps
-	work    func(task string) time.Duration
-	oneStop bool // workers stop one attempt at a time
+	state          *hall.State
+	now            time.Time
+	table          map[string]*wire.Row
+	version        int64
+	workers        map[string]*fakeWorker
+	order          []string
+	answers        []hall.Event
+	runFor         time.Duration
+	traffic        traffic
+	reasonCounts   map[hall.Reason]int
+	outage         bool
+	stepTime       time.Duration // processor time of the steps
+	durationOf     func(task string) time.Duration
+	stopOneAtATime bool // workers stop one attempt at a time
 }
 
 func newDriver(t testing.TB, workers int, tree string) *driver {
@@ -63,8 +63,8 @@
 	parsed, err := settings.Parse("test", tree)
 	must.NoError(t, err)
 	d := &driver{
-		state: hall.New(hallNow, "entry/1", "127.0.0.1:1"), now: time.Unix(1_000_000, 0),
-		table: map[string]*wire.Row{}, workers: map[string]*fakeWorker{}, reasons: map[hall.Reason]int{}, runFor: time.Second,
+		state: hall.New(hallName, "entry/1", "127.0.0.1:1"), now: time.Unix(1_000_000, 0),
+		table: map[string]*wire.Row{}, workers: map[string]*fakeWorker{}, reasonCounts: map[hall.Reason]int{}, runFor: time.Second,
 	}
 	var hosts []*wire.Host
 	for i := range workers {
@@ -72,35 +72,35 @@
 		d.workers[name] = &fakeWorker{name: name, boot: d.now, runs: map[string]*wire.Run{}, until: map[string]time.Time{}}
 		d.order = append(d.order, name)
 		hosts = append(hosts, &wire.Host{
-			Name: name, Role: hall.RoleWorker, Hall: hallNow, Rack: fmt.Sprintf("r%d", i/8), Address: name, Capacity: workerSize,
+			Name: name, Role: hall.RoleWorker, Hall: hallName, Rack: fmt.Sprintf("r%d", i/8), Address: name, Capacity: workerSize,
 		})
 	}
-	d.tell(hall.SettingsChanged{Tree: parsed.WithVersion(1)})
-	d.tell(hall.HostsListed{Hosts: hosts})
+	d.step(hall.SettingsChanged{Tree: parsed.WithVersion(1)})
+	d.step(hall.HostsListed{Hosts: hosts})
 	return d
 }
 
 var workerSize = &wire.Size{Millicores: 32000, MemoryMb: 125000, Accelerators: 1}
 
-func (d *driver) tell(e hall.Event) {
+func (d *driver) step(e hall.Event) {
 	begin := time.Now()
 	effects := d.state.Step(d.now, e)
-	d.busy += time.Since(begin)
+	d.stepTime += time.Since(begin)
 	for _, effect := range effects {
 		d.perform(effect)
 	}
 }
 
-// pass lets time pass.
-func (d *driver) pass(span time.Duration) {
+// advance lets time pass.
+func (d *driver) advance(span time.Duration) {
 	for end := d.now.Add(span); d.now.Before(end); {
 		d.now = d.now.Add(tick)
-		answers := d.waiting
-		d.waiting = nil
+		answers := d.answers
+		d.answers = nil
 		for _, e := range answers {
-			d.tell(e)
+			d.step(e)
 		}
-		d.tell(hall.Tick{})
+		d.step(hall.Tick{})
 	}
 }
 
@@ -111,7 +111,7 @@
 		if condition() {
 			return
 		}
-		d.pass(tick)
+		d.advance(tick)
 	}
 	t.Fatalf("it never came about: %s", what)
 }
@@ -119,19 +119,19 @@
 func (d *driver) perform(effect hall.Effect) {
 	switch e := effect.(type) {
 	case hall.Note:
-		d.reasons[e.Fact.Reason]++
+		d.reasonCounts[e.Fact.Reason]++
 	case hall.Commit:
-		d.waiting = append(d.waiting, d.commit(e))
+		d.answers = append(d.answers, d.commit(e))
 	case hall.ReadLeader:
 		d.traffic.reads++
-		d.waiting = append(d.waiting, d.readLeader())
+		d.answers = append(d.answers, d.readLeader())
 	case hall.Load:
-		d.waiting = append(d.waiting, d.load())
+		d.answers = append(d.answers, d.load())
 	case hall.ReadInbox:
 		d.traffic.reads++
-		d.waiting = append(d.waiting, d.readInbox(e.Hall))
+		d.answers = append(d.answers, d.readInbox(e.Hall))
 	case hall.Sync:
-		d.waiting = append(d.waiting, d.sync(e))
+		d.answers = append(d.answers, d.sync(e))
 	}
 }
 
@@ -140,7 +140,7 @@
 func (d *driver) commit(e hall.Commit) hall.Committed {
 	d.traffic.commits++
 	if d.outage {
-		return hall.Committed{ID: e.ID, SentAt: d.now, Err: errAway}
+		return hall.Committed{ID: e.ID, SentAt: d.now, Err: errUnreachable}
 	}
 	answer := hall.Committed{ID: e.ID, SentAt: d.now}
 	for _, c := range e.Request.GetConditions() {
@@ -163,17 +163,17 @@
 	return answer
 }
 
-type awayError struct{}
+type unreachableError struct{}
 
-func (awayError) Error() string { return "the table is away" }
+func (unreachableError) Error() string { return "the table is away" }
 
-var errAway = awayError{}
+var errUnreachable = unreachableError{}
 
 func (d *driver) readLeader() hall.LeaderRead {
 	if d.outage {
-		return hall.LeaderRead{SentAt: d.now, Err: errAway}
+		return hall.LeaderRead{SentAt: d.now, Err: errUnreachable}
 	}
-	r := d.table[rows.Leader(hallNow)]
+	r := d.table[rows.Leader(hallName)]
 	if r == nil {
 		return hall.LeaderRead{SentAt: d.now}
 	}
@@ -212,7 +212,7 @@
 func (d *driver) readInbox(name string) hall.InboxRead {
 	out := hall.InboxRead{Hall: name}
 	if d.outage {
-		out.Err = errAway
+		out.Err = errUnreachable
 		return out
 	}
 	for key, r := range d.table {
@@ -234,9 +234,9 @@
 func (d *driver) submit(key, kind string, tasks int32, size *wire.Size) {
 	d.version++
 	job := &wire.JobRow{
-		Key: key, Service: "desk", Kind: kind, Tasks: tasks, State: wire.JobState_JOB_STATE_ACCEPTED, Hall: hallNow, Size: size,
+		Key: key, Service: "desk", Kind: kind, Tasks: tasks, State: wire.JobState_JOB_STATE_ACCEPTED, Hall: hallName, Size: size,
 	}
-	for _, r := range []*wire.Row{rows.Put(rows.Job(key), job), rows.Put(rows.Inbox(hallNow, rows.Submit, key), &wire.InboxRow{Verb: rows.Submit, JobKey: key})} {
+	for _, r := range []*wire.Row{rows.Put(rows.Job(key), job), rows.Put(rows.Inbox(hallName, rows.Submit, key), &wire.InboxRow{Verb: rows.Submit, JobKey: key})} {
 		r.Revision = d.version
 		d.table[r.GetKey()] = r
 	}
@@ -257,24 +257,24 @@
 	d.traffic.syncBytes += proto.Size(e.Request)
 	answer := hall.Synced{Worker: e.Worker, Epoch: e.Request.GetEpoch(), Sequence: e.Request.GetSequence()}
 	w := d.workers[e.Worker]
-	if w.down {
-		answer.Err = errAway
+	if w.unreachable {
+		answer.Err = errUnreachable
 		return answer
 	}
-	answer.Reply = d.obey(w, e.Request)
+	answer.Reply = d.handleSync(w, e.Request)
 	d.traffic.syncBytes += proto.Size(answer.Reply)
 	return answer
 }
 
-func (d *driver) obey(w *fakeWorker, req *wire.SyncRequest) *wire.SyncReply {
+func (d *driver) handleSync(w *fakeWorker, req *wire.SyncRequest) *wire.SyncReply {
 	w.epoch = req.GetEpoch()
 	for _, s := range req.GetStarts() {
 		d.traffic.starts++
 		name := fmt.Sprintf("%s#%d", s.GetTaskId(), s.GetAttempt())
 		w.runs[name] = &wire.Run{TaskId: s.GetTaskId(), Attempt: s.GetAttempt(), State: wire.RunState_RUN_STATE_RUNNING, Size: s.GetSize()}
 		span := d.runFor
-		if d.work != nil {
-			span = d.work(s.GetTaskId())
+		if d.durationOf != nil {
+			span = d.durationOf(s.GetTaskId())
 		}
 		w.until[name] = d.now.Add(span)
 	}
@@ -283,7 +283,7 @@
 		if r != nil && r.GetState() == wire.RunState_RUN_STATE_RUNNING {
 			r.State = wire.RunState_RUN_STATE_STOPPED
 			r.Checkpoint = "checkpoint"
-			if d.oneStop {
+			if d.stopOneAtATime {
 				break
 			}
 		}
--- a/pkg/process/hall/evict.go
+++ b/pkg/process/hall/evict.go
@@ -15,9 +15,9 @@
 	var best []*task
 	var on *worker
 	for _, w := range r.workers {
-		free := w.account.Free().Plus(s.stopping(w)).Minus(w.made)
+		free := w.account.Free().Plus(s.sizeBeingStopped(w)).Minus(w.reservedForUrgent)
 		if size.Fits(free) {
-			w.made = w.made.Plus(size)
+			w.reservedForUrgent = w.reservedForUrgent.Plus(size)
 			return
 		}
 		victims := s.victims(t, w, free)
@@ -29,18 +29,18 @@
 		s.note(r.now, t.object(), TaskNoRoom, "nothing of lower priority to evict")
 		return
 	}
-	on.made = on.made.Plus(size)
+	on.reservedForUrgent = on.reservedForUrgent.Plus(size)
 	for _, v := range best {
 		s.note(r.now, v.object(), TaskMakingRoom, "for "+t.row.GetId())
-		s.askStop(r.now, v, evicted)
+		s.requestStop(r.now, v, evicted)
 	}
 }
 
-// stopping sums what is being stopped on a worker.
-func (s *State) stopping(w *worker) ledger.Size {
+// sizeBeingStopped sums what is being stopped on a worker.
+func (s *State) sizeBeingStopped(w *worker) ledger.Size {
 	var sum ledger.Size
 	for _, t := range w.tasks {
-		if t.stop != notStopping && w.account.Holds(t.name()) {
+		if t.stop != notStopping && w.account.Holds(t.attemptName()) {
 			sum = sum.Plus(t.size())
 		}
 	}
@@ -52,7 +52,7 @@
 func (s *State) victims(t *task, w *worker, free ledger.Size) []*task {
 	var lower []*task
 	for _, v := range w.tasks {
-		if v.row.GetPriority() < t.row.GetPriority() && v.stop == notStopping && w.account.Holds(v.name()) {
+		if v.row.GetPriority() < t.row.GetPriority() && v.stop == notStopping && w.account.Holds(v.attemptName()) {
 			lower = append(lower, v)
 		}
 	}
--- a/pkg/process/hall/explain.go
+++ b/pkg/process/hall/explain.go
@@ -17,7 +17,7 @@
 		facts = append(facts, known...)
 	}
 	slices.SortStableFunc(facts, func(a, b Fact) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
-	return append(facts, s.presently(now, name)...)
+	return append(facts, s.currentFacts(now, name)...)
 }
 
 // objects lists the objects that a name may stand for.
@@ -31,8 +31,8 @@
 	return objects
 }
 
-// presently says what the object is at this moment.
-func (s *State) presently(now time.Time, name string) []Fact {
+// currentFacts says what the object is at this moment.
+func (s *State) currentFacts(now time.Time, name string) []Fact {
 	var facts []Fact
 	say := func(object, detail string) {
 		facts = append(facts, Fact{At: now, Object: object, Reason: "now", Detail: detail})
@@ -44,10 +44,10 @@
 	}
 	if w := s.workers[name]; w != nil {
 		say(w.object(), fmt.Sprintf("reached %t, incarnation %q, %d tasks, free %+v, last heard %s ago",
-			w.raised, w.reported, len(w.tasks), w.account.Free(), now.Sub(w.markAt).Round(time.Millisecond)))
+			w.reached, w.reportedIncarnation, len(w.tasks), w.account.Free(), now.Sub(w.markReceivedAt).Round(time.Millisecond)))
 	}
 	if name == s.hall {
-		say(s.hall, fmt.Sprintf("%s, epoch %d, %+v", s.lead.Role(), s.lead.Epoch(), s.Counts()))
+		say(s.hall, fmt.Sprintf("%s, epoch %d, %+v", s.leadership.Role(), s.leadership.Epoch(), s.Counts()))
 	}
 	slices.SortFunc(facts, func(a, b Fact) int { return cmp.Compare(a.Object, b.Object) })
 	return facts
@@ -58,7 +58,7 @@
 	switch {
 	case t.running:
 		text += " running on " + t.row.GetWorker()
-	case t.placed() && !t.clean():
+	case t.placed() && !t.isCommitted():
 		text += " for " + t.row.GetWorker() + ", waits for the table"
 	case t.placed():
 		text += " on " + t.row.GetWorker() + ", waits for room or for the worker's answer"
--- a/pkg/process/hall/hall_test.go
+++ b/pkg/process/hall/hall_test.go
@@ -13,47 +13,47 @@
 )
 
 // Tasks that were committed ahead to a full worker move when another has room.
-func TestTasksCommittedAheadMoveToWhereRoomIs(t *testing.T) {
+func TestTaskCommittedAheadMovesToWorkerWithRoom(t *testing.T) {
 	d := newDriver(t, 2, capacityTree)
 	d.runFor = time.Hour
-	d.workers["w001"].down = true
+	d.workers["w001"].unreachable = true
 	d.submit("j", "ingest", 18, taskSize) // 16 fit on one worker
 	d.until(t, "one worker is full", func() bool { return d.state.Counts().Running == 16 })
 	d.until(t, "two are ahead", func() bool { return d.state.Counts().Placed == 2 })
-	d.workers["w001"].down = false
+	d.workers["w001"].unreachable = false
 	d.until(t, "all run", func() bool { return d.state.Counts().Running == 18 })
-	must.Positive(t, d.reasons[hall.TaskMoved])
+	must.Positive(t, d.reasonCounts[hall.TaskMoved])
 }
 
 // Room that is made for a large urgent task goes to that task, and not to the
 // smaller ones that wait behind it, as it comes free piece by piece.
-func TestRoomMadeForUrgentWorkIsKeptForIt(t *testing.T) {
+func TestRoomFromEvictionsGoesToUrgentTask(t *testing.T) {
 	tree := strings.Replace(capacityTree, `"ingest"`, `"urgent": {"type": "job", "repeatable": true, "priority": 9, "millicores": 12000}, "ingest"`, 1)
 	for _, when := range []string{"before the first ones started", "while they run"} {
 		t.Run(when, func(t *testing.T) {
 			d := newDriver(t, 1, tree)
-			d.oneStop = true
-			d.work = func(task string) time.Duration {
+			d.stopOneAtATime = true
+			d.durationOf = func(task string) time.Duration {
 				if strings.HasPrefix(task, "rush") {
 					return time.Second
 				}
 				return time.Hour
 			}
 			d.submit("flood", "ingest", 40, taskSize) // 16 fit
-			d.until(t, "it is placed", func() bool { return d.reasons[hall.TaskPlaced] == 16 })
+			d.until(t, "it is placed", func() bool { return d.reasonCounts[hall.TaskPlaced] == 16 })
 			if when == "while they run" {
 				d.until(t, "it runs", func() bool { return d.state.Counts().Running == 16 })
 			}
 			d.submit("rush", "urgent", 1, &wire.Size{Millicores: 12000, MemoryMb: 4000})
 			d.until(t, "the urgent task is done", func() bool { return d.jobState("rush") == wire.JobState_JOB_STATE_DONE })
-			must.LessEq(t, 6, d.reasons[hall.TaskEvicted], must.Sprint("six make the room"))
+			must.LessEq(t, 6, d.reasonCounts[hall.TaskEvicted], must.Sprint("six make the room"))
 		})
 	}
 }
 
 // A worker that fails everything is put aside; the jobs are done elsewhere. A
 // kind that fails everywhere is given up on, and no worker is blamed.
-func TestWorkerThatFailsEverything(t *testing.T) {
+func TestWorkerFailingAllTasksIsQuarantined(t *testing.T) {
 	d := newDriver(t, 4, capacityTree)
 	d.workers["w000"].failAll = true
 	for i := range 20 {
@@ -67,35 +67,35 @@
 		}
 		return true
 	})
-	must.Eq(t, 1, d.reasons[hall.WorkerAside])
+	must.Eq(t, 1, d.reasonCounts[hall.WorkerAside])
 }
 
-func TestKindThatFailsEverywhere(t *testing.T) {
+func TestKindFailingOnAllWorkersFailsItsJob(t *testing.T) {
 	d := newDriver(t, 6, capacityTree)
 	for _, w := range d.workers {
 		w.failAll = true
 	}
 	d.submit("j", "ingest", 90, taskSize)
 	d.until(t, "it is given up on", func() bool { return d.jobState("j") == wire.JobState_JOB_STATE_FAILED })
-	must.Zero(t, d.reasons[hall.WorkerAside])
+	must.Zero(t, d.reasonCounts[hall.WorkerAside])
 }
 
 // A task larger than every worker is said to be so.
-func TestTaskThatNeverFits(t *testing.T) {
+func TestTaskLargerThanEveryWorkerIsRejected(t *testing.T) {
 	d := newDriver(t, 2, capacityTree)
 	d.submit("j", "ingest", 1, &wire.Size{Millicores: 64000})
 	d.until(t, "it is said so", func() bool { return d.jobState("j") == wire.JobState_JOB_STATE_NEVER })
 }
 
 // A team at its quota waits, though there is room.
-func TestQuota(t *testing.T) {
+func TestTeamAtItsQuotaWaits(t *testing.T) {
 	tree := strings.Replace(capacityTree, `{"t": {`, `{"t": {"quotaMillicores": 10000, `, 1)
 	d := newDriver(t, 2, tree)
 	d.runFor = time.Hour
 	d.submit("j", "ingest", 12, taskSize)
-	d.pass(5 * time.Second)
+	d.advance(5 * time.Second)
 	must.Eq(t, 5, d.state.Counts().Running)
-	must.Positive(t, d.reasons[hall.TaskOverQuota])
+	must.Positive(t, d.reasonCounts[hall.TaskOverQuota])
 }
 
 // A service over its target has the task beside it throttled, then evicted; one
@@ -106,10 +106,10 @@
 	d.runFor = time.Hour
 	d.submit("j", "ingest", 1, taskSize)
 	d.until(t, "it runs", func() bool { return d.state.Counts().Running == 1 })
-	d.pass(5 * time.Second)
+	d.advance(5 * time.Second)
 	d.workers["w000"].samples = []*wire.ServiceSample{{Service: "desk", TailMs: 300, AgeMs: 0}}
-	d.until(t, "it is throttled", func() bool { return d.reasons[hall.TaskThrottled] == 1 })
-	d.pass(time.Second)
-	must.Zero(t, d.reasons[hall.TaskEvicting])
-	d.until(t, "it is evicted", func() bool { return d.reasons[hall.TaskEvicting] == 1 })
+	d.until(t, "it is throttled", func() bool { return d.reasonCounts[hall.TaskThrottled] == 1 })
+	d.advance(time.Second)
+	must.Zero(t, d.reasonCounts[hall.TaskEvicting])
+	d.until(t, "it is evicted", func() bool { return d.reasonCounts[hall.TaskEvicting] == 1 })
 }
--- a/pkg/process/hall/inbox.go
+++ b/pkg/process/hall/inbox.go
@@ -17,11 +17,11 @@
 // job, so a job is claimed by one hall only, however many try.
 
 const (
-	// inboxEvery is how often the own inbox is read without being woken.
-	inboxEvery = 500 * time.Millisecond
-	// foreignRounds is after how many readings of the own inbox one other
+	// inboxInterval is how often the own inbox is read without being woken.
+	inboxInterval = 500 * time.Millisecond
+	// foreignInboxEvery is after how many readings of the own inbox one other
 	// hall's is read.
-	foreignRounds = 10
+	foreignInboxEvery = 10
 	// stealAfter is how long a row must have waited in another hall's inbox,
 	// by this leader's clock, before this hall takes it.
 	stealAfter = 15 * time.Second
@@ -29,33 +29,33 @@
 
 // WithOthers names the other halls, whose inboxes are looked into.
 func WithOthers(halls []string) Option {
-	return func(s *State) { s.others = halls }
+	return func(s *State) { s.otherHalls = halls }
 }
 
 // Wake makes the next step read the inbox at once.
-func (s *State) Wake() { s.reads.inboxAt = time.Time{} }
+func (s *State) Wake() { s.reads.nextInboxRead = time.Time{} }
 
 func (s *State) readInboxes(now time.Time) {
-	if s.phase != leading || s.drain || s.reads.inbox || s.takingOut() || now.Before(s.reads.inboxAt) {
+	if s.phase != leading || s.draining || s.reads.inboxPending || s.removingItems() || now.Before(s.reads.nextInboxRead) {
 		return
 	}
-	s.reads.inbox = true
-	s.reads.inboxAt = now.Add(inboxEvery)
-	s.reads.round++
-	if len(s.others) > 0 && s.reads.round%foreignRounds == 0 {
-		s.emit(ReadInbox{Hall: s.others[(s.reads.round/foreignRounds)%len(s.others)]})
+	s.reads.inboxPending = true
+	s.reads.nextInboxRead = now.Add(inboxInterval)
+	s.reads.inboxReads++
+	if len(s.otherHalls) > 0 && s.reads.inboxReads%foreignInboxEvery == 0 {
+		s.emit(ReadInbox{Hall: s.otherHalls[(s.reads.inboxReads/foreignInboxEvery)%len(s.otherHalls)]})
 		return
 	}
 	s.emit(ReadInbox{Hall: s.hall})
 }
 
 func (s *State) takeInbox(now time.Time, e InboxRead) {
-	s.reads.inbox = false
-	if e.Err != nil || s.phase != leading || s.takingOut() {
+	s.reads.inboxPending = false
+	if e.Err != nil || s.phase != leading || s.removingItems() {
 		return
 	}
 	if e.Hall != s.hall {
-		s.forgetTaken(e)
+		s.forgetRemoved(e)
 	}
 	for _, item := range e.Items {
 		if e.Hall != s.hall && !s.maySteal(now, item) {
@@ -65,31 +65,31 @@
 	}
 }
 
-// forgetTaken drops what was remembered of rows that have left another hall's
+// forgetRemoved drops what was remembered of rows that have left another hall's
 // inbox.
-func (s *State) forgetTaken(e InboxRead) {
+func (s *State) forgetRemoved(e InboxRead) {
 	there := make(map[string]bool, len(e.Items))
 	for _, item := range e.Items {
 		there[item.Key] = true
 	}
-	for key := range s.reads.foreign {
+	for key := range s.reads.foreignSince {
 		if strings.HasPrefix(key, rows.InboxPrefix(e.Hall)) && !there[key] {
-			delete(s.reads.foreign, key)
+			delete(s.reads.foreignSince, key)
 		}
 	}
 }
 
-// takingOut says whether rows are on their way out of an inbox. A reading taken
+// removingItems says whether rows are on their way out of an inbox. A reading taken
 // meanwhile might still show them, and would lead to a conflict.
-func (s *State) takingOut() bool {
-	return len(s.changed.raw) > 0 || s.pending != nil && len(s.pending.request.GetDeletes()) > 0
+func (s *State) removingItems() bool {
+	return len(s.unwritten.external) > 0 || s.pending != nil && len(s.pending.request.GetDeletes()) > 0
 }
 
 // maySteal says whether a row has waited long enough in another hall.
 func (s *State) maySteal(now time.Time, item InboxItem) bool {
-	first, ok := s.reads.foreign[item.Key]
+	first, ok := s.reads.foreignSince[item.Key]
 	if !ok {
-		s.reads.foreign[item.Key] = now
+		s.reads.foreignSince[item.Key] = now
 		return false
 	}
 	return item.Row.GetVerb() == rows.Submit && now.Sub(first) >= stealAfter
@@ -102,13 +102,13 @@
 	case item.Job.Row.GetState() == wire.JobState_JOB_STATE_ACCEPTED && s.jobs[item.Row.GetJobKey()] == nil:
 		s.claimJob(now, from, item)
 	default:
-		s.dropItem(item)
+		s.removeItem(item)
 	}
 }
 
-// dropItem takes a row out of the inbox.
-func (s *State) dropItem(item InboxItem) {
-	s.changed.raw = append(s.changed.raw, &wire.CommitRequest{
+// removeItem takes a row out of the inbox.
+func (s *State) removeItem(item InboxItem) {
+	s.unwritten.external = append(s.unwritten.external, &wire.CommitRequest{
 		Conditions: []*wire.Condition{{Key: item.Key, Revision: item.Revision}},
 		Deletes:    []string{item.Key},
 	})
@@ -116,17 +116,17 @@
 
 // claimJob makes the job this hall's, and makes its tasks.
 func (s *State) claimJob(now time.Time, from string, item InboxItem) {
-	s.dropItem(item)
+	s.removeItem(item)
 	row := proto.CloneOf(item.Job.Row)
 	row.State = wire.JobState_JOB_STATE_CLAIMED
 	row.Hall = s.hall
 	j := &job{row: row, revision: item.Job.Revision, tasks: map[string]*task{}}
 	s.jobs[row.GetKey()] = j
-	s.changed.jobs[row.GetKey()] = true
+	s.unwritten.jobs[row.GetKey()] = true
 	for i := range max(1, row.GetTasks()) {
-		t := &task{job: j, row: s.newTask(now, row, i), since: now}
+		t := &task{job: j, row: s.newTask(now, row, i), waitingSince: now}
 		s.addTask(t)
-		s.changed.tasks[t.row.GetId()] = true
+		s.unwritten.tasks[t.row.GetId()] = true
 	}
 	reason := JobClaimed
 	if from != s.hall {
@@ -161,30 +161,30 @@
 	j := s.jobs[key]
 	switch {
 	case j != nil:
-		s.dropItem(item)
+		s.removeItem(item)
 		s.note(now, "job/"+key, JobCancelled, item.Row.GetVerb())
 		s.cancelTasks(now, j, item.Row.GetVerb() == rows.Drain)
 	case item.Job.Row.GetState() == wire.JobState_JOB_STATE_ACCEPTED:
 		// Its submit row is in this inbox too and will make it this hall's: it
 		// is cancelled on a later reading, when it is.
 	case item.Job.Row.GetState() == wire.JobState_JOB_STATE_CLAIMED && item.Job.Row.GetHall() != s.hall:
-		s.passOn(item)
+		s.forwardItem(item)
 	default:
-		s.dropItem(item) // it has ended
+		s.removeItem(item) // it has ended
 	}
 }
 
-func (s *State) passOn(item InboxItem) {
-	s.dropItem(item)
+func (s *State) forwardItem(item InboxItem) {
+	s.removeItem(item)
 	key := rows.Inbox(item.Job.Row.GetHall(), item.Row.GetVerb(), item.Row.GetJobKey())
-	s.changed.raw = append(s.changed.raw, &wire.CommitRequest{Puts: []*wire.Row{rows.Put(key, item.Row)}})
+	s.unwritten.external = append(s.unwritten.external, &wire.CommitRequest{Puts: []*wire.Row{rows.Put(key, item.Row)}})
 }
 
 // cancelTasks stops a job's tasks; a drain leaves alone what may have started.
 func (s *State) cancelTasks(now time.Time, j *job, drain bool) {
 	for _, t := range j.tasks {
 		if !terminal(t.row.GetState()) && !(drain && t.startSent) {
-			s.askStop(now, t, cancelled)
+			s.requestStop(now, t, cancelled)
 		}
 	}
 }
@@ -198,7 +198,7 @@
 			continue
 		}
 		listed++
-		if w.whole == (ledger.Size{}) || size.Fits(w.whole) {
+		if w.totalCapacity == (ledger.Size{}) || size.Fits(w.totalCapacity) {
 			return false
 		}
 	}
--- a/pkg/process/hall/interfere.go
+++ b/pkg/process/hall/interfere.go
@@ -14,28 +14,28 @@
 // misses its target. What is decided is package interference's; this file gives
 // it the facts and carries the action out.
 
-// throttlePercent is what a throttled task keeps of its reservation.
-const throttlePercent = 30
+// throttledSharePercent is what a throttled task keeps of its reservation.
+const throttledSharePercent = 30
 
 // takeSamples learns from late latency samples, and acts on missed targets.
 func (s *State) takeSamples(now time.Time, w *worker, samples []*wire.ServiceSample) {
 	w.services = w.services[:0]
 	for _, sample := range samples {
 		w.services = append(w.services, sample.GetService())
-		target := s.target(sample.GetService())
+		target := s.strictestTarget(sample.GetService())
 		takenAt := now.Add(-time.Duration(sample.GetAgeMs()) * time.Millisecond)
-		if target == 0 || !takenAt.After(w.samples[sample.GetService()].Add(time.Millisecond)) {
+		if target == 0 || !takenAt.After(w.lastSampleAt[sample.GetService()].Add(time.Millisecond)) {
 			continue // said before
 		}
-		w.samples[sample.GetService()] = takenAt
+		w.lastSampleAt[sample.GetService()] = takenAt
 		ratio := float64(sample.GetTailMs()) / float64(target.Milliseconds())
-		s.model.Learn(sample.GetService(), ratio, s.presentAt(w, takenAt))
-		s.guard(now, w, interference.Sample{Service: sample.GetService(), Ratio: ratio, TakenAt: takenAt})
+		s.model.Learn(sample.GetService(), ratio, s.presentKindsAt(w, takenAt))
+		s.guardService(now, w, interference.Sample{Service: sample.GetService(), Ratio: ratio, TakenAt: takenAt})
 	}
 }
 
-// target is the strictest latency target among a service's kinds.
-func (s *State) target(service string) time.Duration {
+// strictestTarget is the strictest latency target among a service's kinds.
+func (s *State) strictestTarget(service string) time.Duration {
 	var target time.Duration
 	for _, name := range s.tree.KindNames() {
 		k, err := s.tree.Kind(service, strings.TrimPrefix(name, service+"/"))
@@ -46,8 +46,8 @@
 	return target
 }
 
-// presentAt counts what ran on a worker when a sample was taken.
-func (s *State) presentAt(w *worker, at time.Time) interference.Present {
+// presentKindsAt counts what ran on a worker when a sample was taken.
+func (s *State) presentKindsAt(w *worker, at time.Time) interference.Present {
 	p := interference.Present{}
 	for _, t := range w.tasks {
 		if t.running && t.runningAt.Before(at) {
@@ -57,13 +57,13 @@
 	return p
 }
 
-func (s *State) guard(now time.Time, w *worker, sample interference.Sample) {
+func (s *State) guardService(now time.Time, w *worker, sample interference.Sample) {
 	var tasks []interference.Candidate
 	for id, t := range w.tasks {
 		if t.running && t.stop == notStopping && t.runningAt.Before(sample.TakenAt) {
 			tasks = append(tasks, interference.Candidate{
 				Task: id, Kind: t.kindName(), Priority: int(t.row.GetPriority()),
-				Throttled: t.throttle != 0, Cost: now.Sub(t.runningAt).Seconds(),
+				Throttled: t.throttlePercent != 0, Cost: now.Sub(t.runningAt).Seconds(),
 			})
 		}
 	}
@@ -73,17 +73,17 @@
 	}
 	t := w.tasks[action.Task]
 	detail := fmt.Sprintf("%s at %.2f of its target on %s", action.Service, action.Ratio, w.name)
-	w.news = true
+	w.syncSoon = true
 	switch action.Verb {
 	case interference.Throttle:
-		t.throttle = throttlePercent
+		t.throttlePercent = throttledSharePercent
 		s.note(now, t.object(), TaskThrottled, detail)
 	case interference.Restore:
-		t.throttle = 0
+		t.throttlePercent = 0
 		s.note(now, t.object(), TaskRestored, detail)
 	case interference.Evict:
 		s.note(now, t.object(), TaskEvicting, detail)
-		s.askStop(now, t, evicted)
+		s.requestStop(now, t, evicted)
 	case interference.Nothing:
 	}
 }
--- a/pkg/process/hall/lead.go
+++ b/pkg/process/hall/lead.go
@@ -10,14 +10,14 @@
 // Leadership: watching the row, claiming it, loading, and losing it.
 // In the model: Leader.claim, Leader.renew, Leader.stepdown.
 
-// renewShare is how many renewals, and readings by followers, fit into the
+// renewalsPerTakeover is how many renewals, and readings by followers, fit into the
 // takeover time.
-const renewShare = 4
+const renewalsPerTakeover = 4
 
-func (s *State) renewEvery() time.Duration { return s.fleet().Takeover / renewShare }
+func (s *State) renewInterval() time.Duration { return s.fleet().Takeover / renewalsPerTakeover }
 
 func (s *State) advanceLeadership(now time.Time) {
-	switch s.lead.Role() {
+	switch s.leadership.Role() {
 	case leadership.Follower:
 		s.follow(now)
 	case leadership.Claiming:
@@ -31,39 +31,39 @@
 }
 
 func (s *State) follow(now time.Time) {
-	if !s.drain && s.lead.MayClaim(now, s.fleet().Takeover) {
+	if !s.draining && s.leadership.MayClaim(now, s.fleet().Takeover) {
 		s.claim(now)
 		return
 	}
-	if !s.reads.leader && !now.Before(s.reads.leaderAt) {
+	if !s.reads.leaderPending && !now.Before(s.reads.nextLeaderRead) {
 		s.readLeader(now)
 	}
 }
 
 func (s *State) readLeader(now time.Time) {
-	if s.reads.leader {
+	if s.reads.leaderPending {
 		return
 	}
-	s.reads.leader = true
-	s.reads.leaderAt = now.Add(s.renewEvery())
+	s.reads.leaderPending = true
+	s.reads.nextLeaderRead = now.Add(s.renewInterval())
 	s.emit(ReadLeader{})
 }
 
 func (s *State) takeLeader(now time.Time, e LeaderRead) {
-	s.reads.leader = false
+	s.reads.leaderPending = false
 	if e.Err != nil {
 		return
 	}
 	if s.pending != nil && s.pending.uncertain {
-		s.settle(now, e)
+		s.resolveUncertain(now, e)
 		return
 	}
-	s.lead = s.lead.WithObserved(now, e.Row, e.Revision)
+	s.leadership = s.leadership.WithObserved(now, e.Row, e.Revision)
 }
 
 func (s *State) claim(now time.Time) {
-	row := s.lead.Claim(s.fleet().Tenure)
-	s.lead = s.lead.WithClaiming()
+	row := s.leadership.Claim(s.fleet().Tenure)
+	s.leadership = s.leadership.WithClaiming()
 	s.send(now, &pendingCommit{
 		kind:    claimCommit,
 		row:     row,
@@ -71,74 +71,74 @@
 	})
 }
 
-// won begins a tenure. Everything remembered of workers belongs to an earlier
+// leadershipWon begins a tenure. Everything remembered of workers belongs to an earlier
 // epoch and is dropped.
-func (s *State) won(now time.Time, p *pendingCommit, revision int64) {
-	s.lead = s.lead.WithWon(p.sentAt, now, p.row, revision)
+func (s *State) leadershipWon(now time.Time, p *pendingCommit, revision int64) {
+	s.leadership = s.leadership.WithWon(p.sentAt, now, p.row, revision)
 	s.phase = loading
 	s.sequence = 0
 	s.longestLease = 0
-	s.reads.load = false
-	s.reads.loadAt = now
-	s.forget()
+	s.reads.loadPending = false
+	s.reads.nextLoad = now
+	s.clearLoaded()
 	for _, w := range s.workers {
-		w.newEpoch()
+		w.resetForEpoch()
 	}
 	s.note(now, s.hall, ClaimedLeadership, fmt.Sprintf("epoch %d", p.row.GetEpoch()))
 }
 
-// lost ends a tenure: some other process has claimed the row.
-func (s *State) lost(now time.Time, why string) {
-	if s.lead.Role() == leadership.Leader {
+// leadershipLost ends a tenure: some other process has claimed the row.
+func (s *State) leadershipLost(now time.Time, why string) {
+	if s.leadership.Role() == leadership.Leader {
 		s.note(now, s.hall, LostLeadership, why)
 	}
-	s.lead = s.lead.WithLost()
+	s.leadership = s.leadership.WithLost()
 	s.phase = following
 	s.pending = nil
-	s.reads.leaderAt = now
-	s.forget()
+	s.reads.nextLeaderRead = now
+	s.clearLoaded()
 }
 
 // checkTenure says once when a leader has been away from the table for so long
 // that it may grant no more.
 func (s *State) checkTenure(now time.Time) {
-	if !s.lead.MayGrant(now) {
-		s.note(now, s.hall, TenureOver, fmt.Sprintf("epoch %d", s.lead.Epoch()))
+	if !s.leadership.MayGrant(now) {
+		s.note(now, s.hall, TenureOver, fmt.Sprintf("epoch %d", s.leadership.Epoch()))
 	}
 }
 
 // ---------------------------------------------------------------- loading
 
-const loadRetry = 500 * time.Millisecond
+const loadRetryDelay = 500 * time.Millisecond
 
 func (s *State) load(now time.Time) {
-	if s.phase != loading || s.reads.load || now.Before(s.reads.loadAt) {
+	if s.phase != loading || s.reads.loadPending || now.Before(s.reads.nextLoad) {
 		return
 	}
-	s.reads.load = true
+	s.reads.loadPending = true
 	s.emit(Load{})
 }
 
 func (s *State) takeLoaded(now time.Time, e Loaded) {
-	s.reads.load = false
+	s.reads.loadPending = false
 	if s.phase != loading {
 		return
 	}
 	if e.Err != nil {
-		s.reads.loadAt = now.Add(loadRetry)
+		s.reads.nextLoad = now.Add(loadRetryDelay)
 		return
 	}
 	for _, j := range e.Jobs {
 		s.jobs[j.Row.GetKey()] = &job{row: j.Row, revision: j.Revision, tasks: map[string]*task{}}
 	}
 	for _, row := range e.Tasks {
-		s.adopt(now, row)
+		s.addLoadedTask(now, row)
 	}
 	for _, row := range e.Workers {
-		s.worker(row.GetName()).registered = row.GetIncarnation()
+		s.worker(row.GetName()).registeredIncarnation = row.GetIncarnation()
 	}
 	s.phase = leading
-	s.note(now, s.hall, LoadedState, fmt.Sprintf("epoch %d, %d tasks", s.lead.Epoch(), len(e.Tasks)))
+	s.note(now, s.hall, LoadedState, fmt.Sprintf("epoch %d, %d tasks", s.leadership.Epoch(), len(e.Tasks)))
 }
 
 // reload reads everything again after a conflict showed that what is in memory
@@ -146,7 +146,7 @@
 func (s *State) reload(now time.Time, why string) {
 	s.note(now, s.hall, CommitConflict, why)
 	s.phase = loading
-	s.reads.load = false
-	s.reads.loadAt = now
-	s.forget()
+	s.reads.loadPending = false
+	s.reads.nextLoad = now
+	s.clearLoaded()
 }
--- a/pkg/process/hall/place.go
+++ b/pkg/process/hall/place.go
@@ -16,70 +16,70 @@
 // One round of placement: the queue in order, each task to the best worker with
 // room; urgent work makes room; the rest is committed ahead.
 
-// placeRound is the most tasks that one round places, so that a burst doesn't
+// maxPlacedPerRound is the most tasks that one round places, so that a burst doesn't
 // hold the control thread for long and each group commit stays small.
-const placeRound = 250
+const maxPlacedPerRound = 250
 
 // round is what one round of placement knows.
 type round struct {
-	now        time.Time
-	policy     placement.Policy
-	workers    []*worker
-	candidates map[*worker]*placement.Worker
-	usage      quota.Usage
-	full       []ledger.Size // sizes that found no room in this round
-	placed     int
+	now              time.Time
+	policy           placement.Policy
+	workers          []*worker
+	candidates       map[*worker]*placement.Worker
+	usage            quota.Usage
+	sizesWithoutRoom []ledger.Size // sizes that found no room in this round
+	placed           int
 }
 
 func (s *State) place(now time.Time) {
-	if s.drain || s.pending != nil {
+	if s.draining || s.pending != nil {
 		return // the next round sees what this commit brings
 	}
 	for _, w := range s.workers {
-		w.made = ledger.Size{}
+		w.reservedForUrgent = ledger.Size{}
 	}
 	queue, usage := s.queue()
 	if len(queue) == 0 {
 		return
 	}
 	r := s.newRound(now, usage)
-	quota.Order(queue, usage, s.capacity())
+	quota.Order(queue, usage, s.totalCapacity())
 	for _, q := range queue {
-		if r.placed >= placeRound {
+		if r.placed >= maxPlacedPerRound {
 			return
 		}
 		s.placeTask(r, s.tasks[q.ID])
 	}
 }
 
-// isAhead says whether a task waits on its worker for room and surely never
+// isCommittedAhead says whether a task waits on its worker for room and surely never
 // started there.
-func (s *State) isAhead(t *task) bool {
+func (s *State) isCommittedAhead(t *task) bool {
 	w := s.workers[t.row.GetWorker()]
-	return t.placed() && t.clean() && !t.startSent && t.stop == notStopping && w != nil && w.raised && !w.account.Holds(t.name())
+	return t.placed() && t.isCommitted() && !t.startSent && t.stop == notStopping && w != nil && w.reached && !w.account.Holds(t.attemptName())
 }
 
-// moveAhead takes back a task that was committed ahead to one worker when another
+// moveCommittedAhead takes back a task that was committed ahead to one worker when another
 // has room now. It never started, so the next attempt may be placed at once.
-func (s *State) moveAhead(r *round, t *task) {
-	if t.size().Fits(s.open(s.workers[t.row.GetWorker()])) || !s.roomFor(r, t) {
+func (s *State) moveCommittedAhead(r *round, t *task) {
+	if t.size().Fits(s.openCapacity(s.workers[t.row.GetWorker()])) || !s.anyWorkerFits(r, t) {
 		return
 	}
 	s.requeue(r.now, t, "", TaskMoved, "room elsewhere")
 	s.placeWithRoom(r, t)
 }
 
-// roomFor says whether any usable worker has room for a task.
-func (s *State) roomFor(r *round, t *task) bool {
-	return slices.ContainsFunc(r.workers, func(w *worker) bool { return t.size().Fits(s.open(w)) })
+// anyWorkerFits says whether any usable worker has room for a task.
+func (s *State) anyWorkerFits(r *round, t *task) bool {
+	return slices.ContainsFunc(r.workers, func(w *worker) bool { return t.size().Fits(s.openCapacity(w)) })
 }
 
-// open is the room of a worker that anyone may have: what is free, less what was
+// openCapacity is the room of a worker that anyone may have: what is free, less what was
 // made for urgent work that still waits. Without the latter, smaller tasks take
 // that room piece by piece and are evicted again, for ever.
-func (s *State) open(w *worker) ledger.Size {
+func (s *State) openCapacity(w *worker) ledger.Size {
 	free := w.account.Free()
-	return free.Min(free.Plus(s.stopping(w)).Minus(w.made))
+	return free.Min(free.Plus(s.sizeBeingStopped(w)).Minus(w.reservedForUrgent))
 }
 
 // queue lists what waits, there or on a worker without room, and sums what each
@@ -89,9 +89,9 @@
 	usage := quota.Usage{}
 	for id, t := range s.tasks {
 		team := t.row.GetTeam()
-		if t.waiting() || s.isAhead(t) {
+		if t.waiting() || s.isCommittedAhead(t) {
 			queue = append(queue, quota.Waiting{
-				ID: id, Team: team, Priority: int(t.row.GetPriority()), Since: t.since, Size: t.size(),
+				ID: id, Team: team, Priority: int(t.row.GetPriority()), Since: t.waitingSince, Size: t.size(),
 			})
 		}
 		if t.placed() {
@@ -101,7 +101,7 @@
 	return queue, usage
 }
 
-func (s *State) capacity() ledger.Size {
+func (s *State) totalCapacity() ledger.Size {
 	var total ledger.Size
 	for _, w := range s.workers {
 		total = total.Plus(w.account.Capacity())
@@ -117,7 +117,7 @@
 		candidates: map[*worker]*placement.Worker{},
 	}
 	for _, w := range s.workers {
-		if s.usable(now, w) {
+		if s.canPlaceOn(now, w) {
 			r.workers = append(r.workers, w)
 		}
 	}
@@ -125,16 +125,16 @@
 	return r
 }
 
-// usable says whether work may be placed on a worker now.
-func (s *State) usable(now time.Time, w *worker) bool {
-	fresh := !w.markAt.IsZero() && now.Sub(w.markAt) < s.fleet().Lease/2
-	known := w.raised && w.registered != "" && w.registered == w.reported
+// canPlaceOn says whether work may be placed on a worker now.
+func (s *State) canPlaceOn(now time.Time, w *worker) bool {
+	fresh := !w.markReceivedAt.IsZero() && now.Sub(w.markReceivedAt) < s.fleet().Lease/2
+	known := w.reached && w.registeredIncarnation != "" && w.registeredIncarnation == w.reportedIncarnation
 	return fresh && known && w.listed && !w.leaving && s.quarantine.MayPlace(now, w.name)
 }
 
 func (s *State) placeTask(r *round, t *task) {
 	if t.placed() {
-		s.moveAhead(r, t)
+		s.moveCommittedAhead(r, t)
 		return
 	}
 	size := t.size()
@@ -153,7 +153,7 @@
 		s.makeRoom(r, t)
 		return
 	}
-	s.placeAhead(r, t)
+	s.commitAhead(r, t)
 }
 
 func (s *State) overQuota(r *round, t *task) bool {
@@ -166,35 +166,35 @@
 // earlier in the round finds none now: the round only fills workers up.
 func (s *State) placeWithRoom(r *round, t *task) bool {
 	size := t.size()
-	for _, f := range r.full {
+	for _, f := range r.sizesWithoutRoom {
 		if f.Fits(size) {
 			return false
 		}
 	}
 	fitting := make([]placement.Worker, 0, len(r.workers))
 	for _, w := range r.workers {
-		if s.unsafe.NoLedger || size.Fits(s.open(w)) {
+		if s.unsafe.NoLedger || size.Fits(s.openCapacity(w)) {
 			fitting = append(fitting, s.candidate(r, w, t))
 		}
 	}
 	if len(fitting) > 1 {
 		// A worker that fails everything is always free: another one first.
-		fitting = slices.DeleteFunc(fitting, func(c placement.Worker) bool { return c.Name == t.failedOn })
+		fitting = slices.DeleteFunc(fitting, func(c placement.Worker) bool { return c.Name == t.lastFailedOn })
 	}
 	choice := r.policy.Choose(s.model, placement.Task{
 		ID: t.row.GetId(), Job: t.row.GetJobKey(), Kind: t.kindName(), Size: size,
 	}, fitting)
 	if choice.Worker == "" {
-		r.full = append(r.full, size)
+		r.sizesWithoutRoom = append(r.sizesWithoutRoom, size)
 		return false
 	}
 	w := s.workers[choice.Worker]
 	s.reserve(w, t)
-	s.placedOn(r, t, w, TaskPlaced, fmt.Sprintf("%s, cost %.3f among %d", choice.Reason, choice.Cost, len(fitting)))
+	s.placeOn(r, t, w, TaskPlaced, fmt.Sprintf("%s, cost %.3f among %d", choice.Reason, choice.Cost, len(fitting)))
 	return true
 }
 
-func (s *State) placedOn(r *round, t *task, w *worker, reason Reason, detail string) {
+func (s *State) placeOn(r *round, t *task, w *worker, reason Reason, detail string) {
 	s.assign(r.now, t, w, reason, detail)
 	team := t.row.GetTeam()
 	r.usage[team] = r.usage[team].Plus(t.size())
@@ -212,19 +212,19 @@
 			Rack:     w.rack,
 			Capacity: w.account.Capacity(),
 			Services: w.services,
-			Present:  s.present(w),
+			Present:  s.presentKinds(w),
 		}
 		r.candidates[w] = c
 	}
-	c.Free = s.open(w)
+	c.Free = s.openCapacity(w)
 	out := *c
 	if len(t.job.tasks) > 1 {
-		out.JobTasksInRack = s.inRack(t.job, w.rack)
+		out.JobTasksInRack = s.tasksInRack(t.job, w.rack)
 	}
 	return out
 }
 
-func (s *State) inRack(j *job, rack string) int {
+func (s *State) tasksInRack(j *job, rack string) int {
 	n := 0
 	for _, t := range j.tasks {
 		if w := s.workers[t.row.GetWorker()]; w != nil && w.rack == rack && t.placed() {
@@ -234,24 +234,24 @@
 	return n
 }
 
-// present counts what runs, or is about to run, on a worker.
-func (s *State) present(w *worker) interference.Present {
+// presentKinds counts what runs, or is about to run, on a worker.
+func (s *State) presentKinds(w *worker) interference.Present {
 	p := interference.Present{}
 	for _, t := range w.tasks {
-		if w.account.Holds(t.name()) {
+		if w.account.Holds(t.attemptName()) {
 			p[t.kindName()]++
 		}
 	}
 	return p
 }
 
-// placeAhead commits a task to the worker with the shortest queue, so that the
+// commitAhead commits a task to the worker with the shortest queue, so that the
 // worker goes on when the table is away.
-func (s *State) placeAhead(r *round, t *task) {
+func (s *State) commitAhead(r *round, t *task) {
 	var best *worker
 	shortest := s.fleet().Ahead
 	for _, w := range r.workers {
-		n := s.aheadOf(w)
+		n := s.tasksWithoutRoom(w)
 		if n < shortest && t.size().Fits(w.account.Capacity()) && !s.quarantine.Aside(w.name) {
 			best, shortest = w, n
 		}
@@ -260,14 +260,14 @@
 		s.note(r.now, t.object(), TaskNoRoom, fmt.Sprintf("%d workers looked at", len(r.workers)))
 		return
 	}
-	s.placedOn(r, t, best, TaskAhead, fmt.Sprintf("%d before it", shortest))
+	s.placeOn(r, t, best, TaskAhead, fmt.Sprintf("%d before it", shortest))
 }
 
-// aheadOf counts the tasks that wait on a worker for room.
-func (s *State) aheadOf(w *worker) int {
+// tasksWithoutRoom counts the tasks that wait on a worker for room.
+func (s *State) tasksWithoutRoom(w *worker) int {
 	n := 0
 	for _, t := range w.tasks {
-		if !w.account.Holds(t.name()) {
+		if !w.account.Holds(t.attemptName()) {
 			n++
 		}
 	}
--- a/pkg/process/hall/placement_test.go
+++ b/pkg/process/hall/placement_test.go
@@ -42,7 +42,7 @@
 
 func placementRun(b *testing.B, policy string) {
 	d := newDriver(b, placementWorkers, strings.Replace(placementTree, "POLICY", policy, 1))
-	d.work = func(string) time.Duration { return 20 * time.Second }
+	d.durationOf = func(string) time.Duration { return 20 * time.Second }
 	var over, samples, jobs int
 	kinds := []string{"quiet", "quiet", "middle", "noisy"}
 	for second := range placementSpan {
@@ -54,7 +54,7 @@
 			d.submit(fmt.Sprintf("j%d", jobs), kinds[jobs%len(kinds)], 1, &wire.Size{Millicores: 4000, MemoryMb: 8000})
 			jobs++
 		}
-		d.pass(time.Second)
+		d.advance(time.Second)
 		missed, all := d.sampleAll()
 		over += missed
 		samples += all
@@ -67,8 +67,8 @@
 	}
 	b.ReportMetric(100*float64(over)/float64(samples), "over-target-%")
 	b.ReportMetric(float64(done), "jobs-done")
-	b.ReportMetric(float64(d.reasons[hall.TaskEvicting]), "evictions")
-	b.ReportMetric(float64(d.reasons[hall.TaskThrottled]), "throttles")
+	b.ReportMetric(float64(d.reasonCounts[hall.TaskEvicting]), "evictions")
+	b.ReportMetric(float64(d.reasonCounts[hall.TaskThrottled]), "throttles")
 	b.ReportMetric(0, "ns/op")
 }
 
--- a/pkg/process/hall/state.go
+++ b/pkg/process/hall/state.go
@@ -35,25 +35,25 @@
 
 // State is the control state of one hall. It belongs to one thread.
 type State struct {
-	hall   string
-	lead   leadership.Leadership
-	phase  phase
-	tree   *settings.Tree
-	drain  bool
-	others []string
+	hall       string
+	leadership leadership.Leadership
+	phase      phase
+	tree       *settings.Tree
+	draining   bool
+	otherHalls []string
 
-	tasks   map[string]*task
-	jobs    map[string]*job
-	workers map[string]*worker
-	changed changes
+	tasks     map[string]*task
+	jobs      map[string]*job
+	workers   map[string]*worker
+	unwritten changes
 
-	pending    *pendingCommit
-	nextCommit int64
-	commitAt   time.Time
-	sequence   int64
+	pending      *pendingCommit
+	nextCommit   int64
+	lastCommitAt time.Time
+	sequence     int64
 	// longestLease is the longest that was granted in this epoch.
 	longestLease time.Duration
-	reads        reads
+	reads        tableReads
 
 	model      *interference.Model
 	quarantine *quarantine.Record
@@ -63,17 +63,17 @@
 	unsafe Unsafe
 }
 
-// reads remembers which questions to the table are under way, and when the
+// tableReads remembers which questions to the table are under way, and when the
 // next one is due.
-type reads struct {
-	leader   bool
-	leaderAt time.Time
-	load     bool
-	loadAt   time.Time
-	inbox    bool
-	inboxAt  time.Time
-	foreign  map[string]time.Time
-	round    int
+type tableReads struct {
+	leaderPending  bool
+	nextLeaderRead time.Time
+	loadPending    bool
+	nextLoad       time.Time
+	inboxPending   bool
+	nextInboxRead  time.Time
+	foreignSince   map[string]time.Time
+	inboxReads     int
 }
 
 // Unsafe takes out one fence each. It exists so that a test can show that the
@@ -100,37 +100,37 @@
 
 // factObjects and factsEach bound what is kept for "explain".
 const (
-	factObjects = 8192
-	factsEach   = 32
+	maxFactObjects    = 8192
+	maxFactsPerObject = 32
 )
 
 // New returns the state of a process that knows nothing yet. The holder must
 // be different for each start of each process.
 func New(hall, holder, address string, options ...Option) *State {
-	facts, _ := lru.New[string, []Fact](factObjects) // fails for a negative size only
+	facts, _ := lru.New[string, []Fact](maxFactObjects) // fails for a negative size only
 	s := &State{
 		hall:       hall,
-		lead:       leadership.New(hall, holder, address),
+		leadership: leadership.New(hall, holder, address),
 		workers:    map[string]*worker{},
 		model:      interference.NewModel(),
 		quarantine: quarantine.New(),
 		facts:      facts,
 	}
-	s.forget()
+	s.clearLoaded()
 	for _, o := range options {
 		o(s)
 	}
 	return s
 }
 
-// forget drops everything that a load brings anew.
-func (s *State) forget() {
+// clearLoaded drops everything that a load brings anew.
+func (s *State) clearLoaded() {
 	s.tasks = map[string]*task{}
 	s.jobs = map[string]*job{}
-	s.changed = newChanges()
-	s.reads.foreign = map[string]time.Time{}
+	s.unwritten = newChanges()
+	s.reads.foreignSince = map[string]time.Time{}
 	for _, w := range s.workers {
-		w.forget()
+		w.clearLoaded()
 	}
 }
 
@@ -172,7 +172,7 @@
 	case Synced:
 		s.takeSynced(now, e)
 	case Drain:
-		s.drain = true
+		s.draining = true
 	}
 }
 
@@ -185,11 +185,11 @@
 	}
 	s.advanceLeadership(now)
 	if s.phase == leading {
-		s.checkWorkers(now)
+		s.loseExpiredWorkers(now)
 		s.place(now)
 		s.commit(now)
 	}
-	if s.lead.Role() == leadership.Leader {
+	if s.leadership.Role() == leadership.Leader {
 		s.syncWorkers(now)
 	}
 }
@@ -203,7 +203,7 @@
 	if n := len(known); n > 0 && known[n-1].Reason == reason && known[n-1].Detail == detail {
 		return
 	}
-	if len(known) >= factsEach {
+	if len(known) >= maxFactsPerObject {
 		known = known[1:]
 	}
 	s.facts.Add(object, append(known[:len(known):len(known)], f))
@@ -219,12 +219,12 @@
 func (s *State) Leading() bool { return s.phase == leading }
 
 // Leader returns the leader row last seen.
-func (s *State) Leader() *wire.LeaderRow { return s.lead.Row() }
+func (s *State) Leader() *wire.LeaderRow { return s.leadership.Row() }
 
 // Released says whether a planned stop may end: the leadership, if it was
 // held, has been given up for sure.
 func (s *State) Released() bool {
-	return s.drain && s.lead.Role() == leadership.Follower
+	return s.draining && s.leadership.Role() == leadership.Follower
 }
 
 // Counts is a summary for the status page.
@@ -248,7 +248,7 @@
 		}
 	}
 	for name, w := range s.workers {
-		if w.raised {
+		if w.reached {
 			c.Reached++
 		}
 		if s.quarantine.Aside(name) {
--- a/pkg/process/hall/sync.go
+++ b/pkg/process/hall/sync.go
@@ -15,10 +15,10 @@
 // number, and a worker refuses an older one.
 
 const (
-	// syncShare is how many messages fit into a lease.
-	syncShare = 5
-	// syncGap is the least time between two messages to one worker.
-	syncGap = 25 * time.Millisecond
+	// syncsPerLease is how many messages fit into a lease.
+	syncsPerLease = 5
+	// minSyncInterval is the least time between two messages to one worker.
+	minSyncInterval = 25 * time.Millisecond
 )
 
 func (s *State) syncWorkers(now time.Time) {
@@ -27,7 +27,7 @@
 			continue
 		}
 		due := !now.Before(w.nextSync)
-		if !due && !(w.news && now.Sub(w.markAt) >= syncGap) {
+		if !due && !(w.syncSoon && now.Sub(w.markReceivedAt) >= minSyncInterval) {
 			continue
 		}
 		s.syncWorker(now, w)
@@ -38,9 +38,9 @@
 	s.sequence++
 	req := &wire.SyncRequest{
 		Hall:        s.hall,
-		Epoch:       s.lead.Epoch(),
+		Epoch:       s.leadership.Epoch(),
 		Sequence:    s.sequence,
-		Incarnation: w.reported,
+		Incarnation: w.reportedIncarnation,
 	}
 	granted := s.grant(now, w, req)
 	if granted && s.phase == leading {
@@ -50,24 +50,24 @@
 		s.addRecorded(w, req)
 	}
 	w.inFlight = true
-	w.news = false
-	w.nextSync = now.Add(s.fleet().Lease / syncShare)
+	w.syncSoon = false
+	w.nextSync = now.Add(s.fleet().Lease / syncsPerLease)
 	s.emit(Sync{Worker: w.name, Address: w.address, Request: req})
 }
 
 // grant writes the lease into the message, if there is one to give. No lease
 // reaches past the end of the tenure. In the model: Leader.grant.
 func (s *State) grant(now time.Time, w *worker, req *wire.SyncRequest) bool {
-	if !s.lead.MayGrant(now) || w.markAt.IsZero() || w.registered == "" || w.registered != w.reported {
+	if !s.leadership.MayGrant(now) || w.markReceivedAt.IsZero() || w.registeredIncarnation == "" || w.registeredIncarnation != w.reportedIncarnation {
 		return false
 	}
-	span := min(s.fleet().Lease, s.lead.TenureEnd().Sub(w.markAt))
-	if !now.Before(w.markAt.Add(span)) {
+	span := min(s.fleet().Lease, s.leadership.TenureEnd().Sub(w.markReceivedAt))
+	if !now.Before(w.markReceivedAt.Add(span)) {
 		return false // the mark is too old to grant from: ask for a new one
 	}
 	s.longestLease = max(s.longestLease, span)
 	req.LeaseUntilMark = w.mark + span.Milliseconds()
-	w.leaseOver = latest(w.leaseOver, w.markAt.Add(leadership.WithMargin(span)))
+	w.leaseExpiresAt = laterOf(w.leaseExpiresAt, w.markReceivedAt.Add(leadership.WithMargin(span)))
 	return true
 }
 
@@ -75,11 +75,11 @@
 // room. Tasks that were committed ahead start here as room comes free, without
 // any write.
 func (s *State) addStarts(now time.Time, w *worker, req *wire.SyncRequest) {
-	if !w.raised {
+	if !w.reached {
 		return
 	}
 	for _, t := range s.startable(w) {
-		if !w.account.Holds(t.name()) && !t.size().Fits(s.open(w)) && !s.unsafe.NoLedger {
+		if !w.account.Holds(t.attemptName()) && !t.size().Fits(s.openCapacity(w)) && !s.unsafe.NoLedger {
 			continue // the room was made for urgent work
 		}
 		if !s.reserve(w, t) {
@@ -104,16 +104,16 @@
 // reserve books room; without it nothing is started.
 func (s *State) reserve(w *worker, t *task) bool {
 	if s.unsafe.NoLedger {
-		w.account.Adopt(t.name(), t.size())
+		w.account.Adopt(t.attemptName(), t.size())
 		return true
 	}
-	return w.account.Reserve(t.name(), t.size())
+	return w.account.Reserve(t.attemptName(), t.size())
 }
 
 func (s *State) startable(w *worker) []*task {
 	list := make([]*task, 0, len(w.tasks))
 	for _, t := range w.tasks {
-		if t.clean() && !t.running && t.stop == notStopping && t.row.GetIncarnation() == w.registered {
+		if t.isCommitted() && !t.running && t.stop == notStopping && t.row.GetIncarnation() == w.registeredIncarnation {
 			list = append(list, t)
 		}
 	}
@@ -134,7 +134,7 @@
 		}
 	}
 	for name, r := range w.runs {
-		if r.GetState() == wire.RunState_RUN_STATE_RUNNING && !s.wanted(w, name) {
+		if r.GetState() == wire.RunState_RUN_STATE_RUNNING && !s.isAssigned(w, name) {
 			req.Stops = append(req.Stops, &wire.Stop{TaskId: r.GetTaskId(), Attempt: r.GetAttempt()})
 		}
 	}
@@ -142,10 +142,10 @@
 
 func (s *State) addThrottles(w *worker, req *wire.SyncRequest) {
 	for _, t := range w.tasks {
-		r := w.runs[t.name()]
-		if r != nil && t.running && t.throttle != r.GetThrottlePercent() {
+		r := w.runs[t.attemptName()]
+		if r != nil && t.running && t.throttlePercent != r.GetThrottlePercent() {
 			req.Throttles = append(req.Throttles, &wire.Throttle{
-				TaskId: t.row.GetId(), Attempt: t.row.GetAttempt(), Percent: t.throttle,
+				TaskId: t.row.GetId(), Attempt: t.row.GetAttempt(), Percent: t.throttlePercent,
 			})
 		}
 	}
--- a/pkg/process/hall/tasks.go
+++ b/pkg/process/hall/tasks.go
@@ -32,21 +32,21 @@
 	writing   *wire.TaskRow
 	committed *wire.TaskRow
 
-	since    time.Time // when it began to wait
-	failedOn string    // the worker that failed it last, which others go before
+	waitingSince time.Time // when it began to wait
+	lastFailedOn string    // the worker that failed it last, which others go before
 	attempt
 }
 
 // attempt is what is known of the present attempt; each new one starts blank.
 type attempt struct {
-	startSent  bool // a worker may have taken the start in
-	startTries int  // how many answered messages carried the start in vain
-	running    bool // the worker has said that it runs
-	runningAt  time.Time
-	lostAt     time.Time // when its worker's lease was surely over
-	stop       stopCause
-	throttle   int32
-	throttleAt time.Time
+	startSent       bool // a worker may have taken the start in
+	unackedStarts   int  // how many answered messages carried the start in vain
+	running         bool // the worker has said that it runs
+	runningAt       time.Time
+	inDoubtSince    time.Time // when its worker's lease was surely over
+	stop            stopCause
+	throttlePercent int32
+	throttleAt      time.Time
 }
 
 // job is one job of this hall, with all its tasks.
@@ -60,13 +60,13 @@
 // attemptName names one attempt, in the ledger and in workers' replies.
 func attemptName(id string, attempt int64) string { return fmt.Sprintf("%s#%d", id, attempt) }
 
-func (t *task) name() string      { return attemptName(t.row.GetId(), t.row.GetAttempt()) }
-func (t *task) size() ledger.Size { return ledger.FromWire(t.row.GetSize()) }
-func (t *task) object() string    { return "task/" + t.row.GetId() }
-func (t *task) kindName() string  { return t.row.GetService() + "/" + t.row.GetKind() }
-func (t *task) placed() bool      { return t.row.GetState() == wire.TaskState_TASK_STATE_PLACED }
-func (t *task) waiting() bool     { return t.row.GetState() == wire.TaskState_TASK_STATE_WAITING }
-func (t *task) clean() bool       { return t.row == t.committed }
+func (t *task) attemptName() string { return attemptName(t.row.GetId(), t.row.GetAttempt()) }
+func (t *task) size() ledger.Size   { return ledger.FromWire(t.row.GetSize()) }
+func (t *task) object() string      { return "task/" + t.row.GetId() }
+func (t *task) kindName() string    { return t.row.GetService() + "/" + t.row.GetKind() }
+func (t *task) placed() bool        { return t.row.GetState() == wire.TaskState_TASK_STATE_PLACED }
+func (t *task) waiting() bool       { return t.row.GetState() == wire.TaskState_TASK_STATE_WAITING }
+func (t *task) isCommitted() bool   { return t.row == t.committed }
 
 // terminal says whether a state is final.
 func terminal(s wire.TaskState) bool {
@@ -85,13 +85,13 @@
 
 // ------------------------------------------------------------ bookkeeping
 
-// adopt takes in a task row as the table holds it.
-func (s *State) adopt(now time.Time, row *wire.TaskRow) {
+// addLoadedTask takes in a task row as the table holds it.
+func (s *State) addLoadedTask(now time.Time, row *wire.TaskRow) {
 	j := s.jobs[row.GetJobKey()]
 	if j == nil {
 		return
 	}
-	t := &task{job: j, row: row, committed: row, since: now}
+	t := &task{job: j, row: row, committed: row, waitingSince: now}
 	// Whether an earlier leader has sent the start can't be known until the
 	// worker says.
 	t.startSent = t.placed()
@@ -106,12 +106,12 @@
 	}
 }
 
-// change makes a new version of the task's row, to be written.
-func (s *State) change(t *task, f func(*wire.TaskRow)) {
+// updateRow makes a new version of the task's row, to be written.
+func (s *State) updateRow(t *task, f func(*wire.TaskRow)) {
 	row := proto.CloneOf(t.row)
 	f(row)
 	t.row = row
-	s.changed.tasks[row.GetId()] = true
+	s.unwritten.tasks[row.GetId()] = true
 }
 
 func (s *State) taskCommitted(t *task) {
@@ -134,9 +134,9 @@
 	delete(s.jobs, j.row.GetKey())
 }
 
-// kind returns the settings of a task's kind. A kind that was taken out of the
+// kindSettings returns the settings of a task's kind. A kind that was taken out of the
 // settings while tasks of it are about keeps the defaults.
-func (s *State) kind(t *task) settings.Kind {
+func (s *State) kindSettings(t *task) settings.Kind {
 	k, err := s.tree.Kind(t.row.GetService(), t.row.GetKind())
 	if err != nil {
 		k.FailureLimit = 1
@@ -148,11 +148,11 @@
 
 // assign places a waiting task on a worker.
 func (s *State) assign(now time.Time, t *task, w *worker, reason Reason, detail string) {
-	s.change(t, func(r *wire.TaskRow) {
+	s.updateRow(t, func(r *wire.TaskRow) {
 		r.State = wire.TaskState_TASK_STATE_PLACED
 		r.Worker = w.name
-		r.Incarnation = w.registered
-		r.Epoch = s.lead.Epoch()
+		r.Incarnation = w.registeredIncarnation
+		r.Epoch = s.leadership.Epoch()
 		r.Reason = string(reason)
 	})
 	w.tasks[t.row.GetId()] = t
@@ -171,7 +171,7 @@
 // requeue makes the next attempt wait. The attempt before must surely be over.
 func (s *State) requeue(now time.Time, t *task, checkpoint string, reason Reason, detail string) {
 	s.unplace(t)
-	s.change(t, func(r *wire.TaskRow) {
+	s.updateRow(t, func(r *wire.TaskRow) {
 		r.State = wire.TaskState_TASK_STATE_WAITING
 		r.Attempt++
 		r.Worker = ""
@@ -182,14 +182,14 @@
 			r.Checkpoint = checkpoint
 		}
 	})
-	t.since = now
+	t.waitingSince = now
 	s.note(now, t.object(), reason, detail)
 }
 
 // finish ends a task for good, and its job with the last of its tasks.
 func (s *State) finish(now time.Time, t *task, state wire.TaskState, result string, reason Reason) {
 	s.unplace(t)
-	s.change(t, func(r *wire.TaskRow) {
+	s.updateRow(t, func(r *wire.TaskRow) {
 		r.State = state
 		r.Result = result
 		r.Reason = string(reason)
@@ -201,16 +201,16 @@
 		row.DoneTasks++
 	}
 	if j.ended() {
-		endJob(row, j)
+		summarizeJob(row, j)
 		s.note(now, "job/"+row.GetKey(), JobEnded, row.GetState().String())
 	}
 	j.row = row
-	s.changed.jobs[row.GetKey()] = true
+	s.unwritten.jobs[row.GetKey()] = true
 }
 
-// endJob sums a job up: done if all its tasks are; otherwise the worst of them,
+// summarizeJob sums a job up: done if all its tasks are; otherwise the worst of them,
 // with that task's reason.
-func endJob(row *wire.JobRow, j *job) {
+func summarizeJob(row *wire.JobRow, j *job) {
 	row.State = wire.JobState_JOB_STATE_DONE
 	for _, t := range j.tasks {
 		state := jobStates[t.row.GetState()]
@@ -239,24 +239,24 @@
 	return t.row.GetRepeatable() || s.unsafe.RepeatAll
 }
 
-// lose handles an attempt whose worker can't be running it any more. What the
+// loseAttempt handles an attempt whose worker can't be running it any more. What the
 // worker did before is known only if it comes back.
-func (s *State) lose(now time.Time, t *task, forGood bool, detail string) {
+func (s *State) loseAttempt(now time.Time, t *task, forGood bool, detail string) {
 	switch {
 	case t.stop == cancelled:
 		s.finish(now, t, wire.TaskState_TASK_STATE_CANCELLED, "", TaskCancelled)
 	case !t.startSent || s.mayRepeat(t):
 		s.requeue(now, t, "", TaskRequeued, detail)
-	case forGood || (!t.lostAt.IsZero() && now.Sub(t.lostAt) >= s.fleet().Patience):
+	case forGood || (!t.inDoubtSince.IsZero() && now.Sub(t.inDoubtSince) >= s.fleet().Patience):
 		s.finish(now, t, wire.TaskState_TASK_STATE_UNKNOWN, detail, TaskDoubtful)
-	case t.lostAt.IsZero():
-		t.lostAt = now
+	case t.inDoubtSince.IsZero():
+		t.inDoubtSince = now
 		t.running = false
 	}
 }
 
-// ended takes in a worker's word that an attempt has ended.
-func (s *State) ended(now time.Time, w *worker, t *task, run *wire.Run) {
+// attemptEnded takes in a worker's word that an attempt has ended.
+func (s *State) attemptEnded(now time.Time, w *worker, t *task, run *wire.Run) {
 	kind := t.kindName()
 	switch run.GetState() {
 	case wire.RunState_RUN_STATE_FINISHED:
@@ -268,15 +268,15 @@
 		if s.quarantine.Failed(now, w.name, kind) {
 			s.note(now, w.object(), WorkerAside, kind)
 		}
-		s.failed(now, w, t, run)
+		s.attemptFailed(now, w, t, run)
 	case wire.RunState_RUN_STATE_STOPPED:
-		s.stopped(now, w, t, run)
+		s.attemptStopped(now, w, t, run)
 	}
 }
 
-// failed counts a failure. A worker that fails everything is not held against
+// attemptFailed counts a failure. A worker that fails everything is not held against
 // the task, but a kind that fails everywhere is.
-func (s *State) failed(now time.Time, w *worker, t *task, run *wire.Run) {
+func (s *State) attemptFailed(now time.Time, w *worker, t *task, run *wire.Run) {
 	if !s.mayRepeat(t) {
 		s.finish(now, t, wire.TaskState_TASK_STATE_FAILED, run.GetResult(), TaskFailed)
 		return
@@ -286,25 +286,25 @@
 		return
 	}
 	if !s.quarantine.Aside(w.name) {
-		s.change(t, func(r *wire.TaskRow) { r.Failures++ })
+		s.updateRow(t, func(r *wire.TaskRow) { r.Failures++ })
 	}
-	if int(t.row.GetFailures()) >= s.kind(t).FailureLimit {
+	if int(t.row.GetFailures()) >= s.kindSettings(t).FailureLimit {
 		s.finish(now, t, wire.TaskState_TASK_STATE_FAILED, run.GetResult(), TaskGivenUp)
 		return
 	}
-	t.failedOn = w.name
+	t.lastFailedOn = w.name
 	s.requeue(now, t, "", TaskFailed, w.name+": "+run.GetResult())
 }
 
-// stopped handles a confirmed stop: the checkpoint, if any, is what the next
+// attemptStopped handles a confirmed stop: the checkpoint, if any, is what the next
 // attempt resumes from. In the model: Leader.resume.
-func (s *State) stopped(now time.Time, w *worker, t *task, run *wire.Run) {
+func (s *State) attemptStopped(now time.Time, w *worker, t *task, run *wire.Run) {
 	switch {
 	case t.stop == cancelled:
 		s.finish(now, t, wire.TaskState_TASK_STATE_CANCELLED, "", TaskCancelled)
 	case run.GetCheckpoint() != "" || s.mayRepeat(t):
 		if t.stop == evicted {
-			s.change(t, func(r *wire.TaskRow) { r.Evictions++ })
+			s.updateRow(t, func(r *wire.TaskRow) { r.Evictions++ })
 		}
 		s.requeue(now, t, run.GetCheckpoint(), TaskEvicted, w.name+": checkpoint "+run.GetCheckpoint())
 	default:
@@ -312,21 +312,21 @@
 	}
 }
 
-// askStop begins to stop a task for a cause; a task that surely never started
+// requestStop begins to stop a task for a cause; a task that surely never started
 // needs no worker's word.
-func (s *State) askStop(now time.Time, t *task, cause stopCause) {
+func (s *State) requestStop(now time.Time, t *task, cause stopCause) {
 	if t.stop != notStopping && cause != cancelled {
 		return
 	}
 	if t.placed() && t.startSent {
 		t.stop = cause
 		if w := s.workers[t.row.GetWorker()]; w != nil {
-			w.news = true
+			w.syncSoon = true
 		}
 		return
 	}
 	if t.placed() {
-		s.workers[t.row.GetWorker()].account.Release(t.name())
+		s.workers[t.row.GetWorker()].account.Release(t.attemptName())
 	}
 	if cause == cancelled {
 		s.finish(now, t, wire.TaskState_TASK_STATE_CANCELLED, "", TaskCancelled)
--- a/pkg/process/hall/workers.go
+++ b/pkg/process/hall/workers.go
@@ -26,27 +26,27 @@
 	listed  bool
 	leaving bool
 
-	registered  string // the incarnation that the table holds
-	registering string
-	reported    string // the incarnation that last answered
+	registeredIncarnation  string // the incarnation that the table holds
+	registeringIncarnation string
+	reportedIncarnation    string // the incarnation that last answered
 
-	raised    bool // has answered at this leader's epoch
-	mark      int64
-	markAt    time.Time
-	leaseOver time.Time // when any lease that this leader knows of is over
+	reached        bool // has answered at this leader's epoch
+	mark           int64
+	markReceivedAt time.Time
+	leaseExpiresAt time.Time // when any lease that this leader knows of is over
 
-	whole    ledger.Size
-	account  *ledger.Worker
-	made     ledger.Size // room made for urgent tasks that still wait, as of the last round
-	runs     map[string]*wire.Run
-	tasks    map[string]*task
-	services []string
-	guard    *interference.Guard
-	samples  map[string]time.Time
+	totalCapacity     ledger.Size
+	account           *ledger.Worker
+	reservedForUrgent ledger.Size // room made for urgent tasks that still wait, as of the last round
+	runs              map[string]*wire.Run
+	tasks             map[string]*task
+	services          []string
+	guard             *interference.Guard
+	lastSampleAt      map[string]time.Time
 
 	inFlight bool
 	nextSync time.Time
-	news     bool // has something to be told at once
+	syncSoon bool // has something to be told at once
 }
 
 func (w *worker) object() string { return "worker/" + w.name }
@@ -55,28 +55,28 @@
 func (s *State) worker(name string) *worker {
 	w := s.workers[name]
 	if w == nil {
-		w = &worker{name: name, guard: interference.NewGuard(s.model), samples: map[string]time.Time{}}
-		w.newEpoch()
-		w.forget()
+		w = &worker{name: name, guard: interference.NewGuard(s.model), lastSampleAt: map[string]time.Time{}}
+		w.resetForEpoch()
+		w.clearLoaded()
 		s.workers[name] = w
 	}
 	return w
 }
 
-// newEpoch drops what was known under an earlier epoch of this process.
-func (w *worker) newEpoch() {
-	w.registered = ""
-	w.registering = ""
-	w.reported = ""
-	w.markAt = time.Time{}
+// resetForEpoch drops what was known under an earlier epoch of this process.
+func (w *worker) resetForEpoch() {
+	w.registeredIncarnation = ""
+	w.registeringIncarnation = ""
+	w.reportedIncarnation = ""
+	w.markReceivedAt = time.Time{}
 	w.inFlight = false
 	w.nextSync = time.Time{}
-	w.leaseOver = time.Time{}
+	w.leaseExpiresAt = time.Time{}
 }
 
-// forget drops what a load and the worker's next reply bring anew.
-func (w *worker) forget() {
-	w.raised = false
+// clearLoaded drops what a load and the worker's next reply bring anew.
+func (w *worker) clearLoaded() {
+	w.reached = false
 	w.runs = nil
 	w.tasks = map[string]*task{}
 	w.account = ledger.NewWorker()
@@ -97,8 +97,8 @@
 		w.rack = h.GetRack()
 		w.address = h.GetAddress()
 		w.leaving = h.GetLeaving()
-		if w.whole == (ledger.Size{}) {
-			w.whole = ledger.FromWire(h.GetCapacity())
+		if w.totalCapacity == (ledger.Size{}) {
+			w.totalCapacity = ledger.FromWire(h.GetCapacity())
 		}
 	}
 	for name, w := range s.workers {
@@ -117,48 +117,48 @@
 
 // ---------------------------------------------------------------- replies
 
-// syncRetry is how soon a worker that did not answer is asked again.
-const syncRetry = 500 * time.Millisecond
+// syncRetryDelay is how soon a worker that did not answer is asked again.
+const syncRetryDelay = 500 * time.Millisecond
 
 func (s *State) takeSynced(now time.Time, e Synced) {
 	w := s.workers[e.Worker]
-	if w == nil || e.Epoch != s.lead.Epoch() {
+	if w == nil || e.Epoch != s.leadership.Epoch() {
 		return
 	}
 	w.inFlight = false
 	if e.Err != nil {
-		w.nextSync = now.Add(syncRetry)
+		w.nextSync = now.Add(syncRetryDelay)
 		return
 	}
-	if e.Reply.GetEpoch() > s.lead.Epoch() {
-		s.lost(now, fmt.Sprintf("worker %s knows epoch %d", w.name, e.Reply.GetEpoch()))
+	if e.Reply.GetEpoch() > s.leadership.Epoch() {
+		s.leadershipLost(now, fmt.Sprintf("worker %s knows epoch %d", w.name, e.Reply.GetEpoch()))
 		return
 	}
 	if s.phase != leading {
-		w.mark, w.markAt = e.Reply.GetMark(), now
+		w.mark, w.markReceivedAt = e.Reply.GetMark(), now
 		return
 	}
 	s.takeReply(now, w, e.Reply)
 }
 
 func (s *State) takeReply(now time.Time, w *worker, r *wire.SyncReply) {
-	if w.reported != r.GetIncarnation() {
+	if w.reportedIncarnation != r.GetIncarnation() {
 		s.newIncarnation(now, w, r.GetIncarnation())
 	}
-	w.mark, w.markAt = r.GetMark(), now
+	w.mark, w.markReceivedAt = r.GetMark(), now
 	if r.GetRefused() {
-		w.news = true
+		w.syncSoon = true
 		return
 	}
-	if !w.raised {
-		w.raised = true
-		w.news = true
+	if !w.reached {
+		w.reached = true
+		w.syncSoon = true
 		left := time.Duration(r.GetLeaseUntilMark()-r.GetMark()) * time.Millisecond
-		w.leaseOver = latest(w.leaseOver, now.Add(max(0, left)))
-		s.note(now, w.object(), WorkerReached, fmt.Sprintf("epoch %d, incarnation %s", s.lead.Epoch(), w.reported))
+		w.leaseExpiresAt = laterOf(w.leaseExpiresAt, now.Add(max(0, left)))
+		s.note(now, w.object(), WorkerReached, fmt.Sprintf("epoch %d, incarnation %s", s.leadership.Epoch(), w.reportedIncarnation))
 	}
-	w.whole = ledger.FromWire(r.GetCapacity())
-	w.account.SetCapacity(w.whole, ledger.FromWire(r.GetServices()))
+	w.totalCapacity = ledger.FromWire(r.GetCapacity())
+	w.account.SetCapacity(w.totalCapacity, ledger.FromWire(r.GetServices()))
 	s.takeRuns(now, w, r.GetRuns())
 	s.takeSamples(now, w, r.GetSamples())
 }
@@ -167,35 +167,35 @@
 // incarnation before is over, for good. Nothing is granted to the new one until
 // the table holds its name. In the model: Worker.reboot and Leader.register.
 func (s *State) newIncarnation(now time.Time, w *worker, incarnation string) {
-	w.reported = incarnation
-	w.leaseOver = time.Time{}
-	w.raised = false
+	w.reportedIncarnation = incarnation
+	w.leaseExpiresAt = time.Time{}
+	w.reached = false
 	if s.unsafe.NoRegistration {
-		w.registered = incarnation
+		w.registeredIncarnation = incarnation
 	}
-	if w.registered == incarnation {
+	if w.registeredIncarnation == incarnation {
 		return
 	}
-	if w.registered != "" {
+	if w.registeredIncarnation != "" {
 		s.note(now, w.object(), WorkerRestarted, incarnation)
 	}
 	w.account = ledger.NewWorker()
 	w.runs = nil
 	for _, t := range w.tasks {
-		s.lose(now, t, true, w.name+" started afresh")
+		s.loseAttempt(now, t, true, w.name+" started afresh")
 	}
-	s.changed.workers[w.name] = true
+	s.unwritten.workers[w.name] = true
 }
 
-// registered takes in that the table holds the worker's incarnation.
-func (s *State) registered(now time.Time, name string) {
+// workerRegistered takes in that the table holds the worker's incarnation.
+func (s *State) workerRegistered(now time.Time, name string) {
 	w := s.workers[name]
 	if w == nil {
 		return
 	}
-	w.registered = w.registering
-	w.news = true
-	s.note(now, w.object(), WorkerRegistered, w.registered)
+	w.registeredIncarnation = w.registeringIncarnation
+	w.syncSoon = true
+	s.note(now, w.object(), WorkerRegistered, w.registeredIncarnation)
 }
 
 // takeRuns compares what the worker holds with what it should hold.
@@ -207,8 +207,8 @@
 		s.takeRun(now, w, name, r)
 	}
 	for _, t := range w.tasks {
-		if w.runs[t.name()] == nil && t.startSent && t.row.GetIncarnation() == w.registered {
-			s.missing(now, w, t)
+		if w.runs[t.attemptName()] == nil && t.startSent && t.row.GetIncarnation() == w.registeredIncarnation {
+			s.startMissing(now, w, t)
 		}
 	}
 	s.releaseEnded(w)
@@ -219,20 +219,20 @@
 	current := t != nil && t.row.GetAttempt() == r.GetAttempt()
 	if r.GetState() != wire.RunState_RUN_STATE_RUNNING {
 		w.account.Release(name)
-		w.news = true // it wants to hear that the end is recorded
+		w.syncSoon = true // it wants to hear that the end is recorded
 		if current {
-			s.ended(now, w, t, r)
+			s.attemptEnded(now, w, t, r)
 		}
 		return
 	}
 	w.account.Adopt(name, ledger.FromWire(r.GetSize()))
 	if !current {
-		w.news = true
+		w.syncSoon = true
 		s.note(now, w.object(), TaskOutOfBounds, name)
 		return
 	}
 	t.startSent = true
-	t.lostAt = time.Time{}
+	t.inDoubtSince = time.Time{}
 	if !t.running {
 		t.running = true
 		t.runningAt = now
@@ -240,26 +240,26 @@
 	}
 }
 
-// startTriesMost is how often a start is sent to a worker that answers and yet
+// maxUnackedStarts is how often a start is sent to a worker that answers and yet
 // doesn't take it.
-const startTriesMost = 3
+const maxUnackedStarts = 3
 
-// missing handles a start that the worker doesn't list. One that never ran is
+// startMissing handles a start that the worker doesn't list. One that never ran is
 // sent again: the worker refuses the earlier message by its sequence. One that
 // ran and is gone was lost there, and so was one that the worker refuses again
 // and again: it must have met that attempt before.
-func (s *State) missing(now time.Time, w *worker, t *task) {
-	t.startTries++
-	if t.running || !t.lostAt.IsZero() || t.startTries > startTriesMost {
-		w.account.Release(t.name())
-		s.lose(now, t, true, w.name+" no longer has it")
+func (s *State) startMissing(now time.Time, w *worker, t *task) {
+	t.unackedStarts++
+	if t.running || !t.inDoubtSince.IsZero() || t.unackedStarts > maxUnackedStarts {
+		w.account.Release(t.attemptName())
+		s.loseAttempt(now, t, true, w.name+" no longer has it")
 		return
 	}
 	t.startSent = false
 	if t.stop != notStopping {
 		cause := t.stop
 		t.stop = notStopping
-		s.askStop(now, t, cause)
+		s.requestStop(now, t, cause)
 	}
 }
 
@@ -270,15 +270,15 @@
 		if r.GetState() == wire.RunState_RUN_STATE_RUNNING {
 			continue
 		}
-		if !s.wanted(w, name) {
+		if !s.isAssigned(w, name) {
 			w.account.Release(name)
 		}
 	}
 }
 
-func (s *State) wanted(w *worker, name string) bool {
+func (s *State) isAssigned(w *worker, name string) bool {
 	for _, t := range w.tasks {
-		if t.name() == name {
+		if t.attemptName() == name {
 			return true
 		}
 	}
@@ -287,43 +287,43 @@
 
 // ------------------------------------------------------------------- loss
 
-// checkWorkers looks for workers whose lease is surely over.
-func (s *State) checkWorkers(now time.Time) {
+// loseExpiredWorkers looks for workers whose lease is surely over.
+func (s *State) loseExpiredWorkers(now time.Time) {
 	for _, w := range s.workers {
-		if len(w.tasks) == 0 || !s.leaseSurelyOver(now, w) {
+		if len(w.tasks) == 0 || !s.leaseCertainlyExpired(now, w) {
 			continue
 		}
-		s.loseWorker(now, w)
+		s.workerLost(now, w)
 	}
 }
 
-// leaseSurelyOver says whether nothing granted to the worker, by this leader or
+// leaseCertainlyExpired says whether nothing granted to the worker, by this leader or
 // an earlier one, can still be alive. In the model: Leader.giveup.
-func (s *State) leaseSurelyOver(now time.Time, w *worker) bool {
-	if !w.markAt.IsZero() && now.Sub(w.markAt) < s.fleet().Lease {
+func (s *State) leaseCertainlyExpired(now time.Time, w *worker) bool {
+	if !w.markReceivedAt.IsZero() && now.Sub(w.markReceivedAt) < s.fleet().Lease {
 		return false // it answers
 	}
-	over := w.leaseOver
-	if !w.raised && !s.unsafe.NoTenureWait {
-		over = latest(over, s.lead.PredecessorsOver())
+	over := w.leaseExpiresAt
+	if !w.reached && !s.unsafe.NoTenureWait {
+		over = laterOf(over, s.leadership.PredecessorsOver())
 	}
 	return now.After(over)
 }
 
-func (s *State) loseWorker(now time.Time, w *worker) {
+func (s *State) workerLost(now time.Time, w *worker) {
 	s.note(now, w.object(), WorkerLost, fmt.Sprintf("%d tasks", len(w.tasks)))
 	w.account = ledger.NewWorker()
 	w.runs = nil
-	w.raised = false
-	w.leaseOver = now
+	w.reached = false
+	w.leaseExpiresAt = now
 	for _, t := range w.tasks {
 		if t.placed() {
-			s.lose(now, t, false, w.name+" does not answer")
+			s.loseAttempt(now, t, false, w.name+" does not answer")
 		}
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
