--- a/pkg/process/hall/capacity_test.go
+++ b/pkg/process/hall/capacity_test.go
@@ -9,8 +9,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// The slopes of docs/CAPACITY.md: one second of one hall's leader, at several
-// sizes. A tenth of the target is 82 workers, 420 batch tasks, 22 starts/s.
+// The benchmark behind docs/CAPACITY.md: the cost of one simulated second of a
+// hall's leader, at several sizes. A tenth of the target is 82 workers, 420 batch
+// tasks, 22 starts/s.
 
 const capacityTree = `{"teams": {"t": {"services": {"desk": {"kinds": {
 	"ingest": {"type": "job", "repeatable": true, "millicores": 2000, "memoryMB": 4000}}}}}}}`
@@ -33,7 +34,8 @@
 	}
 }
 
-// leaderSecond keeps so many tasks running with so many starts a second.
+// leaderSecond reports the cost of a simulated second with the given numbers of
+// workers, running tasks and starts a second.
 func leaderSecond(b *testing.B, workers, running, starts int) {
 	d := newDriver(b, workers, capacityTree)
 	d.runFor = time.Hour
@@ -45,7 +47,7 @@
 		d.submit(fmt.Sprintf("j%d", jobs), "ingest", int32(min(20, running-have)), taskSize)
 		jobs++
 	}
-	d.until(b, "all run", func() bool { return d.state.Counts().Running >= running*9/10 })
+	d.until(b, "nine tenths of the tasks run", func() bool { return d.state.Counts().Running >= running*9/10 })
 	heap := heapMB()
 	d.traffic, d.stepTime = traffic{}, 0
 	b.ResetTimer()
--- a/pkg/process/hall/commit.go
+++ b/pkg/process/hall/commit.go
@@ -10,22 +10,23 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Group commit. All that has changed goes into one transaction, which also
-// renews the leadership and is conditional on it. So the number of writes grows
-// with halls and not with tasks, and a deposed leader can write nothing: its
+// Group commit. All changed rows go into one transaction, which also renews the
+// leadership and has the leader row as a condition. So the number of writes
+// grows with halls, not with tasks, and a deposed leader can write nothing: its
 // condition on the leader row fails (the model's fence "epoch").
 //
-// One transaction is under way at a time. When its answer is lost, nobody knows
-// whether it took effect, so the same transaction is sent again, unchanged,
-// until the table says yes or names a conflict. After a conflict the leader row
-// is read: it carries the number of the last commit that took effect.
+// One transaction is pending at a time. When its answer is lost, its outcome is
+// unknown, so the same transaction is sent again, unchanged, until the table
+// accepts it or names a conflict. After such a conflict the leader row is read:
+// it holds the number of the last commit that took effect.
 
 const (
-	// minCommitInterval is the least time between two group commits.
+	// minCommitInterval is the minimum time between two group commits.
 	minCommitInterval = 100 * time.Millisecond
-	// maxCommitRows is the most rows that one transaction touches.
+	// maxCommitRows is the number of rows in a transaction at which gather adds
+	// no further ones.
 	maxCommitRows = 600
-	// resendDelay is how long to wait before a commit is sent again.
+	// resendDelay is the time from a failed answer until the commit is sent again.
 	resendDelay = 300 * time.Millisecond
 )
 
@@ -37,7 +38,7 @@
 	releaseCommit
 )
 
-// pendingCommit is the one transaction under way.
+// pendingCommit is the one transaction that awaits its result.
 type pendingCommit struct {
 	id        int64
 	kind      commitKind
@@ -50,13 +51,13 @@
 	uncertain bool
 }
 
-// changes is what is waiting to be written.
+// changes is a set of rows to write, by name, id or key.
 type changes struct {
 	tasks   map[string]bool
 	jobs    map[string]bool
 	workers map[string]bool
-	// external are rows of others' making with their conditions: inbox rows that
-	// are taken out, and put into another hall's inbox.
+	// external holds writes to inbox rows, with their conditions: deletions of
+	// handled rows, and rows forwarded to the inbox of another hall.
 	external []*wire.CommitRequest
 }
 
@@ -68,7 +69,8 @@
 	return len(c.tasks) == 0 && len(c.jobs) == 0 && len(c.workers) == 0 && len(c.external) == 0
 }
 
-// leaderWrite is a transaction that writes the leader row and nothing else.
+// leaderWrite returns a transaction that writes only the leader row, on the
+// condition that its revision is the one read last.
 func (s *State) leaderWrite(row *wire.LeaderRow) *wire.CommitRequest {
 	key := rows.Leader(s.hall)
 	return &wire.CommitRequest{
@@ -79,6 +81,7 @@
 
 // ---------------------------------------------------------------- sending
 
+// send makes p the pending commit and sends it.
 func (s *State) send(now time.Time, p *pendingCommit) {
 	s.nextCommit++
 	p.id = s.nextCommit
@@ -86,6 +89,7 @@
 	s.transmit(now)
 }
 
+// transmit sends the pending commit, for the first time or again.
 func (s *State) transmit(now time.Time) {
 	p := s.pending
 	p.sentAt = now
@@ -102,8 +106,8 @@
 	s.transmit(now)
 }
 
-// commit sends the next group when there is something to write, when the
-// leadership wants renewing, or when it is to be given up.
+// commit sends the next group commit when rows are unwritten, when the
+// leadership is due for renewal, or when a planned stop releases it.
 func (s *State) commit(now time.Time) {
 	if s.pending != nil || s.leadership.Role() != leadership.Leader || now.Sub(s.lastCommitAt) < minCommitInterval {
 		return
@@ -125,7 +129,7 @@
 	s.send(now, p)
 }
 
-// gather moves what has changed into the transaction, up to its limit.
+// gather moves unwritten rows into the transaction, up to maxCommitRows.
 func (s *State) gather(p *pendingCommit) {
 	for len(s.unwritten.external) > 0 && len(p.request.Puts)+len(p.request.Deletes) < maxCommitRows {
 		r := s.unwritten.external[0]
@@ -151,6 +155,8 @@
 	}
 }
 
+// gatherWorker adds a worker's row to the transaction, which registers the
+// worker's incarnation.
 func (s *State) gatherWorker(p *pendingCommit, name string) {
 	delete(s.unwritten.workers, name)
 	w := s.workers[name]
@@ -160,8 +166,9 @@
 	p.batch.workers[name] = true
 }
 
-// gatherTask writes a task's row. The rows of a job that has ended aren't
-// written one by one: they go when the job's own row is written.
+// gatherTask adds a task's row to the transaction. The task rows of a job that
+// has ended aren't written: gatherJob deletes them with the write of the job's
+// row.
 func (s *State) gatherTask(p *pendingCommit, id string) {
 	delete(s.unwritten.tasks, id)
 	t := s.tasks[id]
@@ -174,8 +181,9 @@
 	p.request.Puts = append(p.request.Puts, rows.Put(rows.Task(s.hall, id), t.row))
 }
 
-// gatherJob writes a job's row. When the job has ended, its tasks' rows are
-// deleted in the same transaction, so that no crash can part the two.
+// gatherJob adds a job's row to the transaction. When the job has ended, the
+// same transaction deletes the rows of its tasks, so that no crash can separate
+// the two writes.
 func (s *State) gatherJob(p *pendingCommit, key string) {
 	delete(s.unwritten.jobs, key)
 	j := s.jobs[key]
@@ -194,6 +202,7 @@
 
 // ---------------------------------------------------------------- answers
 
+// takeCommitted handles the answer to the pending commit, or its loss.
 func (s *State) takeCommitted(now time.Time, e Committed) {
 	p := s.pending
 	if p == nil || p.id != e.ID {
@@ -216,8 +225,8 @@
 	}
 }
 
-// resolveUncertain learns from the leader row what became of a commit whose answer was
-// lost. The number of renewals tells one commit from the next.
+// resolveUncertain finds out from the leader row whether a commit took effect
+// whose answer was lost. Each commit of a leader has its own number of renewals.
 func (s *State) resolveUncertain(now time.Time, e LeaderRead) {
 	p := s.pending
 	if p.inFlight {
@@ -229,8 +238,8 @@
 		p.sentAt = e.SentAt
 		s.commitApplied(now, p, e.Revision)
 	case mine || (p.kind == claimCommit && e.Revision == s.leadership.Revision()):
-		// The row has not moved, so the commit did not take effect and another
-		// of its conditions no longer holds.
+		// The leader row is unchanged, so the commit did not take effect, and
+		// another of its conditions no longer holds.
 		s.commitConflicted(now, p, nil)
 	default:
 		s.commitConflicted(now, p, []string{rows.Leader(s.hall)})
@@ -238,6 +247,9 @@
 	}
 }
 
+// commitConflicted handles a commit that certainly did not take effect, since the
+// rows with these keys have changed. When the leader row is one of them, the
+// leadership is lost; otherwise the state is read again.
 func (s *State) commitConflicted(now time.Time, p *pendingCommit, keys []string) {
 	s.pending = nil
 	if p.kind == claimCommit || slices.Contains(keys, rows.Leader(s.hall)) {
@@ -247,7 +259,7 @@
 	s.reload(now, strings.Join(keys, " "))
 }
 
-// commitApplied takes in a commit that surely took effect.
+// commitApplied handles a commit that certainly took effect.
 func (s *State) commitApplied(now time.Time, p *pendingCommit, revision int64) {
 	s.pending = nil
 	switch p.kind {
@@ -264,9 +276,10 @@
 	}
 }
 
+// batchApplied marks the rows of a commit as held by the table.
 func (s *State) batchApplied(now time.Time, p *pendingCommit, revision int64) {
 	if s.phase != leading {
-		return // a reload is under way and will bring it
+		return // the reload in progress reads the result from the table
 	}
 	for name := range p.batch.workers {
 		s.workerRegistered(now, name)
--- a/pkg/process/hall/driver_test.go
+++ b/pkg/process/hall/driver_test.go
@@ -15,15 +15,15 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// The driver runs a State against small fakes of the table and the workers, on
-// a clock of its own: an answer comes in at the next tick after its question.
+// The driver runs a State against fakes of the table and the workers, on a
+// simulated clock. The answer to an effect arrives at the next tick.
 
 const (
 	tick     = 20 * time.Millisecond
 	hallName = "a"
 )
 
-// fakeWorker runs every attempt for a fixed time.
+// fakeWorker is a worker whose attempts end after driver.runFor, or durationOf.
 type fakeWorker struct {
 	boot        time.Time
 	name        string
@@ -36,11 +36,12 @@
 	samples     []*wire.ServiceSample
 }
 
-// traffic counts what a State asks for.
+// traffic counts the effects of a State, and the rows, bytes and starts in them.
 type traffic struct {
 	commits, written, reads, syncs, syncBytes, starts int
 }
 
+// driver runs a State against a table and workers in memory.
 type driver struct {
 	state          *hall.State
 	now            time.Time
@@ -53,7 +54,7 @@
 	traffic        traffic
 	reasonCounts   map[hall.Reason]int
 	outage         bool
-	stepTime       time.Duration // processor time of the steps
+	stepTime       time.Duration // total time spent in State.Step
 	durationOf     func(task string) time.Duration
 	stopOneAtATime bool // workers stop one attempt at a time
 }
@@ -82,6 +83,7 @@
 
 var workerSize = &wire.Size{Millicores: 32000, MemoryMb: 125000, Accelerators: 1}
 
+// step passes an event to the State and performs the effects.
 func (d *driver) step(e hall.Event) {
 	begin := time.Now()
 	effects := d.state.Step(d.now, e)
@@ -91,7 +93,8 @@
 	}
 }
 
-// advance lets time pass.
+// advance moves the clock on by span, tick by tick, and delivers the answers that
+// are due.
 func (d *driver) advance(span time.Duration) {
 	for end := d.now.Add(span); d.now.Before(end); {
 		d.now = d.now.Add(tick)
@@ -104,7 +107,7 @@
 	}
 }
 
-// until lets time pass until a condition holds.
+// until moves the clock on until the condition holds, for 5000 ticks at most.
 func (d *driver) until(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for range 5000 {
@@ -113,9 +116,10 @@
 		}
 		d.advance(tick)
 	}
-	t.Fatalf("it never came about: %s", what)
+	t.Fatalf("condition not met in time: %s", what)
 }
 
+// perform carries out an effect and queues its answer for the next tick.
 func (d *driver) perform(effect hall.Effect) {
 	switch e := effect.(type) {
 	case hall.Note:
@@ -165,7 +169,7 @@
 
 type unreachableError struct{}
 
-func (unreachableError) Error() string { return "the table is away" }
+func (unreachableError) Error() string { return "the fake does not answer" }
 
 var errUnreachable = unreachableError{}
 
@@ -230,7 +234,7 @@
 	return out
 }
 
-// submit puts a job into the inbox, as an entry host does.
+// submit writes a job and its inbox row to the table, as an entry host does.
 func (d *driver) submit(key, kind string, tasks int32, size *wire.Size) {
 	d.version++
 	job := &wire.JobRow{
@@ -266,6 +270,7 @@
 	return answer
 }
 
+// handleSync applies a message to a worker and returns the worker's reply.
 func (d *driver) handleSync(w *fakeWorker, req *wire.SyncRequest) *wire.SyncReply {
 	w.epoch = req.GetEpoch()
 	for _, s := range req.GetStarts() {
--- a/pkg/process/hall/events.go
+++ b/pkg/process/hall/events.go
@@ -9,21 +9,21 @@
 
 // ----------------------------------------------------------------- events
 
-// Event is something that happened outside: the answer to an effect, or the
-// passing of time. Events go in one at a time.
+// Event is an input of State.Step: the answer to an effect, new settings or
+// hosts, a tick of the clock, or a planned stop.
 type Event interface{ event() }
 
-// Tick says that time has passed.
+// Tick makes the State do all that is due at the time of the step.
 type Tick struct{}
 
-// SettingsChanged brings a newly accepted version.
+// SettingsChanged carries a newly accepted version of the settings.
 type SettingsChanged struct{ Tree *settings.Tree }
 
-// HostsListed brings the platform's list of hosts, which lags.
+// HostsListed carries the platform's list of hosts, which may be out of date.
 type HostsListed struct{ Hosts []*wire.Host }
 
-// LeaderRead brings a reading of the hall's leader row. SentAt is when the
-// question was sent; an absent row has revision 0.
+// LeaderRead is the answer to a ReadLeader. SentAt is the time when the request
+// was sent; an absent row has revision 0.
 type LeaderRead struct {
 	SentAt   time.Time
 	Row      *wire.LeaderRow
@@ -37,7 +37,8 @@
 	Revision int64
 }
 
-// Loaded brings everything that the table holds of this hall's work.
+// Loaded is the answer to a Load: all task rows of this hall, the rows of their
+// jobs, and the rows of its workers, with their registered incarnations.
 type Loaded struct {
 	Tasks   []*wire.TaskRow
 	Jobs    []JobAt
@@ -45,7 +46,7 @@
 	Err     error
 }
 
-// InboxItem is one inbox row with its job.
+// InboxItem is an inbox row with the row of its job.
 type InboxItem struct {
 	Key      string
 	Revision int64
@@ -53,16 +54,16 @@
 	Job      JobAt
 }
 
-// InboxRead brings what waits in the inbox of a hall: the own one, or that of
-// another hall whose leader hasn't pulled for a while.
+// InboxRead is the answer to a ReadInbox: the rows in the inbox of this hall, or
+// of another hall, whose leader may not have read it for a while.
 type InboxRead struct {
 	Hall  string
 	Items []InboxItem
 	Err   error
 }
 
-// Committed is the answer to a Commit. An Err means that nobody knows whether
-// it took effect.
+// Committed is the answer to a Commit. With an Err, it is unknown whether the
+// transaction took effect.
 type Committed struct {
 	ID        int64
 	SentAt    time.Time
@@ -71,8 +72,8 @@
 	Err       error
 }
 
-// Synced is a worker's answer. An Err means that nobody knows whether the
-// worker took the message in.
+// Synced is the answer to a Sync. With an Err, it is unknown whether the worker
+// handled the message.
 type Synced struct {
 	Worker   string
 	Epoch    int64
@@ -81,7 +82,7 @@
 	Err      error
 }
 
-// Drain begins a planned stop: the leadership is given up.
+// Drain begins a planned stop, in which the leadership is released.
 type Drain struct{}
 
 func (Tick) event()            {}
@@ -96,7 +97,8 @@
 
 // ---------------------------------------------------------------- effects
 
-// Effect is something to be done outside. Each is answered by one event.
+// Effect is a request of State.Step to its caller. One event answers each effect
+// but Note.
 type Effect interface{ effect() }
 
 // Commit asks for one transaction on the table.
@@ -108,10 +110,10 @@
 // ReadLeader asks for the hall's leader row.
 type ReadLeader struct{}
 
-// Load asks for everything that the table holds of the hall's work.
+// Load asks for the rows of the hall's tasks, of their jobs, and of its workers.
 type Load struct{}
 
-// ReadInbox asks for a hall's inbox.
+// ReadInbox asks for the rows in a hall's inbox.
 type ReadInbox struct{ Hall string }
 
 // Sync sends one message to a worker.
--- a/pkg/process/hall/evict.go
+++ b/pkg/process/hall/evict.go
@@ -6,10 +6,11 @@
 	"github.com/wrenferry/wrenferry/pkg/process/ledger"
 )
 
-// Eviction: making room for urgent work.
+// Eviction of tasks of lower priority to make room for an urgent task.
 
-// makeRoom evicts for an urgent task, on the worker where that costs least. Room
-// that is already coming free is waited for and not made twice.
+// makeRoom evicts tasks for an urgent task, on the worker that needs the fewest
+// evictions. It evicts none if the stops already requested on a worker make room
+// enough: the task waits for them.
 func (s *State) makeRoom(r *round, t *task) {
 	size := t.size()
 	var best []*task
@@ -36,7 +37,8 @@
 	}
 }
 
-// sizeBeingStopped sums what is being stopped on a worker.
+// sizeBeingStopped returns the total size of the tasks on a worker that were
+// asked to stop and still hold room.
 func (s *State) sizeBeingStopped(w *worker) ledger.Size {
 	var sum ledger.Size
 	for _, t := range w.tasks {
@@ -47,8 +49,10 @@
 	return sum
 }
 
-// victims picks the fewest tasks of lower priority whose end makes room, those
-// that have run for the shortest time first: they are the cheapest to resume.
+// victims returns the tasks to evict from a worker so that t fits: the lowest
+// priority first, and within a priority the shortest run first, which is the
+// cheapest to resume. It returns nil if all tasks of lower priority together do
+// not make enough room.
 func (s *State) victims(t *task, w *worker, free ledger.Size) []*task {
 	var lower []*task
 	for _, v := range w.tasks {
--- a/pkg/process/hall/explain.go
+++ b/pkg/process/hall/explain.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Explain answers "wrenferry explain NAME": the facts kept about an object and,
-// for a job, about its tasks; last, what it is now and what it waits for.
+// Explain returns the answer to "wrenferry explain NAME": the recorded facts of
+// the object and, for a job, of its tasks, by time; then the current state of
+// each and what it waits for.
 func (s *State) Explain(now time.Time, name string) []Fact {
 	var facts []Fact
 	for _, object := range s.objects(name) {
@@ -20,7 +21,7 @@
 	return append(facts, s.currentFacts(now, name)...)
 }
 
-// objects lists the objects that a name may stand for.
+// objects returns the objects that a name may refer to.
 func (s *State) objects(name string) []string {
 	objects := []string{name, "job/" + name, "task/" + name, "worker/" + name}
 	for _, object := range s.facts.Keys() {
@@ -31,7 +32,8 @@
 	return objects
 }
 
-// currentFacts says what the object is at this moment.
+// currentFacts returns facts with the reason "now", which describe the current
+// state of the named task, job, worker or hall.
 func (s *State) currentFacts(now time.Time, name string) []Fact {
 	var facts []Fact
 	say := func(object, detail string) {
@@ -53,6 +55,8 @@
 	return facts
 }
 
+// describe returns the state of a task, what it waits for, and the reason of its
+// last change.
 func (t *task) describe() string {
 	text := fmt.Sprintf("%s, attempt %d", strings.ToLower(strings.TrimPrefix(t.row.GetState().String(), "TASK_STATE_")), t.row.GetAttempt())
 	switch {
--- a/pkg/process/hall/inbox.go
+++ b/pkg/process/hall/inbox.go
@@ -12,29 +12,31 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// New work. Entry hosts put rows into a hall's inbox; the hall's leader pulls
-// them in. An inbox row is taken out in the same transaction that claims its
-// job, so a job is claimed by one hall only, however many try.
+// New work. Entry hosts put rows into a hall's inbox, and the leader of the hall
+// reads them. The transaction that claims a job also deletes its inbox row, so
+// only one hall claims a job, however many try.
 
 const (
-	// inboxInterval is how often the own inbox is read without being woken.
+	// inboxInterval is the time between two inbox reads without a Wake.
 	inboxInterval = 500 * time.Millisecond
-	// foreignInboxEvery is after how many readings of the own inbox one other
-	// hall's is read.
+	// foreignInboxEvery is the number of inbox reads of which one goes to another
+	// hall's inbox.
 	foreignInboxEvery = 10
-	// stealAfter is how long a row must have waited in another hall's inbox,
-	// by this leader's clock, before this hall takes it.
+	// stealAfter is the time that a row must have been in another hall's inbox,
+	// counted from this leader's first read of it, before this hall takes it.
 	stealAfter = 15 * time.Second
 )
 
-// WithOthers names the other halls, whose inboxes are looked into.
+// WithOthers sets the other halls, whose inboxes this hall's leader reads, too.
 func WithOthers(halls []string) Option {
 	return func(s *State) { s.otherHalls = halls }
 }
 
-// Wake makes the next step read the inbox at once.
+// Wake makes the next inbox read due at once.
 func (s *State) Wake() { s.reads.nextInboxRead = time.Time{} }
 
+// readInboxes reads an inbox when a read is due: this hall's, or every
+// foreignInboxEvery reads another hall's, in turn.
 func (s *State) readInboxes(now time.Time) {
 	if s.phase != leading || s.draining || s.reads.inboxPending || s.removingItems() || now.Before(s.reads.nextInboxRead) {
 		return
@@ -49,6 +51,7 @@
 	s.emit(ReadInbox{Hall: s.hall})
 }
 
+// takeInbox handles the rows of an inbox.
 func (s *State) takeInbox(now time.Time, e InboxRead) {
 	s.reads.inboxPending = false
 	if e.Err != nil || s.phase != leading || s.removingItems() {
@@ -65,8 +68,8 @@
 	}
 }
 
-// forgetRemoved drops what was remembered of rows that have left another hall's
-// inbox.
+// forgetRemoved drops the waiting times of rows that are no longer in another
+// hall's inbox.
 func (s *State) forgetRemoved(e InboxRead) {
 	there := make(map[string]bool, len(e.Items))
 	for _, item := range e.Items {
@@ -79,13 +82,15 @@
 	}
 }
 
-// removingItems says whether rows are on their way out of an inbox. A reading taken
-// meanwhile might still show them, and would lead to a conflict.
+// removingItems reports whether deletions of inbox rows are unwritten or pending.
+// A read taken meanwhile might still return these rows, and handling them again
+// would lead to a conflict.
 func (s *State) removingItems() bool {
 	return len(s.unwritten.external) > 0 || s.pending != nil && len(s.pending.request.GetDeletes()) > 0
 }
 
-// maySteal says whether a row has waited long enough in another hall.
+// maySteal reports whether a row of another hall's inbox is a submitted job that
+// has waited there for stealAfter. The first call for a row starts its wait.
 func (s *State) maySteal(now time.Time, item InboxItem) bool {
 	first, ok := s.reads.foreignSince[item.Key]
 	if !ok {
@@ -95,6 +100,8 @@
 	return item.Row.GetVerb() == rows.Submit && now.Sub(first) >= stealAfter
 }
 
+// takeItem handles one inbox row. A submit of a job that is claimed already is
+// deleted.
 func (s *State) takeItem(now time.Time, from string, item InboxItem) {
 	switch {
 	case item.Row.GetVerb() == rows.Cancel || item.Row.GetVerb() == rows.Drain:
@@ -106,7 +113,7 @@
 	}
 }
 
-// removeItem takes a row out of the inbox.
+// removeItem deletes a row from its inbox with the next commit.
 func (s *State) removeItem(item InboxItem) {
 	s.unwritten.external = append(s.unwritten.external, &wire.CommitRequest{
 		Conditions: []*wire.Condition{{Key: item.Key, Revision: item.Revision}},
@@ -114,7 +121,7 @@
 	})
 }
 
-// claimJob makes the job this hall's, and makes its tasks.
+// claimJob claims the job for this hall and creates its tasks.
 func (s *State) claimJob(now time.Time, from string, item InboxItem) {
 	s.removeItem(item)
 	row := proto.CloneOf(item.Job.Row)
@@ -135,6 +142,8 @@
 	s.note(now, "job/"+row.GetKey(), reason, fmt.Sprintf("hall %s, %d tasks", from, len(j.tasks)))
 }
 
+// newTask returns the row of a job's task, with the team, priority and
+// repeatability that the settings give to its kind.
 func (s *State) newTask(now time.Time, j *wire.JobRow, index int32) *wire.TaskRow {
 	row := &wire.TaskRow{
 		Id:                 fmt.Sprintf("%s.%d", j.GetKey(), index),
@@ -154,8 +163,8 @@
 	return row
 }
 
-// takeCancel cancels or drains a job of this hall. A job that another hall has claimed is
-// passed on to that hall's inbox.
+// takeCancel cancels or drains a job of this hall. The request for a job that
+// another hall has claimed is forwarded to the inbox of that hall.
 func (s *State) takeCancel(now time.Time, item InboxItem) {
 	key := item.Row.GetJobKey()
 	j := s.jobs[key]
@@ -165,22 +174,24 @@
 		s.note(now, "job/"+key, JobCancelled, item.Row.GetVerb())
 		s.cancelTasks(now, j, item.Row.GetVerb() == rows.Drain)
 	case item.Job.Row.GetState() == wire.JobState_JOB_STATE_ACCEPTED:
-		// Its submit row is in this inbox too and will make it this hall's: it
-		// is cancelled on a later reading, when it is.
+		// The submit row of the job is in this inbox, too, and this hall claims
+		// the job with it. The cancel row stays until a read after that.
 	case item.Job.Row.GetState() == wire.JobState_JOB_STATE_CLAIMED && item.Job.Row.GetHall() != s.hall:
 		s.forwardItem(item)
 	default:
-		s.removeItem(item) // it has ended
+		s.removeItem(item) // the job has ended
 	}
 }
 
+// forwardItem moves an inbox row to the inbox of the hall that has claimed its job.
 func (s *State) forwardItem(item InboxItem) {
 	s.removeItem(item)
 	key := rows.Inbox(item.Job.Row.GetHall(), item.Row.GetVerb(), item.Row.GetJobKey())
 	s.unwritten.external = append(s.unwritten.external, &wire.CommitRequest{Puts: []*wire.Row{rows.Put(key, item.Row)}})
 }
 
-// cancelTasks stops a job's tasks; a drain leaves alone what may have started.
+// cancelTasks cancels the tasks of a job; a drain spares those that may have
+// started.
 func (s *State) cancelTasks(now time.Time, j *job, drain bool) {
 	for _, t := range j.tasks {
 		if !terminal(t.row.GetState()) && !(drain && t.startSent) {
@@ -189,8 +200,8 @@
 	}
 }
 
-// neverFits says whether a size is larger than every worker of the hall. It can
-// be said only when each listed worker has been heard.
+// neverFits reports whether a size is larger than every worker of the hall. It
+// is false while the capacity of any listed worker is unknown.
 func (s *State) neverFits(size ledger.Size) bool {
 	listed := 0
 	for _, w := range s.workers {
--- a/pkg/process/hall/interfere.go
+++ b/pkg/process/hall/interfere.go
@@ -10,14 +10,16 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Interference: learning from late latency samples, and acting when a service
-// misses its target. What is decided is package interference's; this file gives
-// it the facts and carries the action out.
+// Interference of batch tasks with services. Package interference decides what
+// to do when a service misses its latency target; this file passes the samples to
+// it and carries out its actions.
 
-// throttledSharePercent is what a throttled task keeps of its reservation.
+// throttledSharePercent is the share of its reservation that a throttled task
+// may use, in percent.
 const throttledSharePercent = 30
 
-// takeSamples learns from late latency samples, and acts on missed targets.
+// takeSamples feeds new latency samples, which arrive late, to the interference
+// model, and acts on missed targets.
 func (s *State) takeSamples(now time.Time, w *worker, samples []*wire.ServiceSample) {
 	w.services = w.services[:0]
 	for _, sample := range samples {
@@ -25,7 +27,7 @@
 		target := s.strictestTarget(sample.GetService())
 		takenAt := now.Add(-time.Duration(sample.GetAgeMs()) * time.Millisecond)
 		if target == 0 || !takenAt.After(w.lastSampleAt[sample.GetService()].Add(time.Millisecond)) {
-			continue // said before
+			continue // no target, or a sample that an earlier reply carried
 		}
 		w.lastSampleAt[sample.GetService()] = takenAt
 		ratio := float64(sample.GetTailMs()) / float64(target.Milliseconds())
@@ -34,7 +36,8 @@
 	}
 }
 
-// strictestTarget is the strictest latency target among a service's kinds.
+// strictestTarget returns the shortest latency target among the request kinds of
+// a service, or zero if it has none.
 func (s *State) strictestTarget(service string) time.Duration {
 	var target time.Duration
 	for _, name := range s.tree.KindNames() {
@@ -46,7 +49,8 @@
 	return target
 }
 
-// presentKindsAt counts what ran on a worker when a sample was taken.
+// presentKindsAt counts, by kind, the running tasks of a worker that ran already
+// when a sample was taken.
 func (s *State) presentKindsAt(w *worker, at time.Time) interference.Present {
 	p := interference.Present{}
 	for _, t := range w.tasks {
@@ -57,6 +61,8 @@
 	return p
 }
 
+// guardService carries out the guard's action for a latency sample: it throttles,
+// restores or evicts one of the tasks that ran when the sample was taken.
 func (s *State) guardService(now time.Time, w *worker, sample interference.Sample) {
 	var tasks []interference.Candidate
 	for id, t := range w.tasks {
--- a/pkg/process/hall/lead.go
+++ b/pkg/process/hall/lead.go
@@ -7,15 +7,18 @@
 	"github.com/wrenferry/wrenferry/pkg/process/leadership"
 )
 
-// Leadership: watching the row, claiming it, loading, and losing it.
-// In the model: Leader.claim, Leader.renew, Leader.stepdown.
+// Leadership: reading the leader row, claiming it, loading the hall's rows, and
+// losing the leadership. In the model: Leader.claim, Leader.renew,
+// Leader.stepdown.
 
-// renewalsPerTakeover is how many renewals, and readings by followers, fit into the
-// takeover time.
+// renewalsPerTakeover is the number of renewals by the leader, and of reads by a
+// follower, in the takeover time.
 const renewalsPerTakeover = 4
 
+// renewInterval returns the time between two renewals, or two reads by a follower.
 func (s *State) renewInterval() time.Duration { return s.fleet().Takeover / renewalsPerTakeover }
 
+// advanceLeadership does what is due in the present role.
 func (s *State) advanceLeadership(now time.Time) {
 	switch s.leadership.Role() {
 	case leadership.Follower:
@@ -30,6 +33,8 @@
 	}
 }
 
+// follow claims the leadership when it is free, and otherwise reads the leader row
+// when a read is due.
 func (s *State) follow(now time.Time) {
 	if !s.draining && s.leadership.MayClaim(now, s.fleet().Takeover) {
 		s.claim(now)
@@ -49,6 +54,7 @@
 	s.emit(ReadLeader{})
 }
 
+// takeLeader handles a read of the leader row.
 func (s *State) takeLeader(now time.Time, e LeaderRead) {
 	s.reads.leaderPending = false
 	if e.Err != nil {
@@ -61,6 +67,7 @@
 	s.leadership = s.leadership.WithObserved(now, e.Row, e.Revision)
 }
 
+// claim sends a commit that claims the leadership.
 func (s *State) claim(now time.Time) {
 	row := s.leadership.Claim(s.fleet().Tenure)
 	s.leadership = s.leadership.WithClaiming()
@@ -71,8 +78,8 @@
 	})
 }
 
-// leadershipWon begins a tenure. Everything remembered of workers belongs to an earlier
-// epoch and is dropped.
+// leadershipWon begins a tenure. The state of workers comes from an earlier epoch
+// and is dropped.
 func (s *State) leadershipWon(now time.Time, p *pendingCommit, revision int64) {
 	s.leadership = s.leadership.WithWon(p.sentAt, now, p.row, revision)
 	s.phase = loading
@@ -87,7 +94,8 @@
 	s.note(now, s.hall, ClaimedLeadership, fmt.Sprintf("epoch %d", p.row.GetEpoch()))
 }
 
-// leadershipLost ends a tenure: some other process has claimed the row.
+// leadershipLost ends a tenure, or a claim that failed: another process has
+// claimed the leader row.
 func (s *State) leadershipLost(now time.Time, why string) {
 	if s.leadership.Role() == leadership.Leader {
 		s.note(now, s.hall, LostLeadership, why)
@@ -99,8 +107,8 @@
 	s.clearLoaded()
 }
 
-// checkTenure says once when a leader has been away from the table for so long
-// that it may grant no more.
+// checkTenure notes, once, that the leader has been without the table for so
+// long that it may grant no more leases.
 func (s *State) checkTenure(now time.Time) {
 	if !s.leadership.MayGrant(now) {
 		s.note(now, s.hall, TenureOver, fmt.Sprintf("epoch %d", s.leadership.Epoch()))
@@ -109,8 +117,10 @@
 
 // ---------------------------------------------------------------- loading
 
+// loadRetryDelay is the time from a failed load until the next.
 const loadRetryDelay = 500 * time.Millisecond
 
+// load asks for the hall's rows when the state is not loaded and a load is due.
 func (s *State) load(now time.Time) {
 	if s.phase != loading || s.reads.loadPending || now.Before(s.reads.nextLoad) {
 		return
@@ -119,6 +129,7 @@
 	s.emit(Load{})
 }
 
+// takeLoaded builds the state from the hall's rows. The process leads from then on.
 func (s *State) takeLoaded(now time.Time, e Loaded) {
 	s.reads.loadPending = false
 	if s.phase != loading {
@@ -141,8 +152,8 @@
 	s.note(now, s.hall, LoadedState, fmt.Sprintf("epoch %d, %d tasks", s.leadership.Epoch(), len(e.Tasks)))
 }
 
-// reload reads everything again after a conflict showed that what is in memory
-// is not what is in the table. It is rare, so it is simple.
+// reload discards the state and reads everything again, after a conflict has
+// shown that memory and table differ. It is rare, so it is kept simple.
 func (s *State) reload(now time.Time, why string) {
 	s.note(now, s.hall, CommitConflict, why)
 	s.phase = loading
--- a/pkg/process/hall/place.go
+++ b/pkg/process/hall/place.go
@@ -13,27 +13,30 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// One round of placement: the queue in order, each task to the best worker with
-// room; urgent work makes room; the rest is committed ahead.
+// One round of placement goes through the queue in order and places each task on
+// the best worker with room. When there is none, an urgent task evicts others,
+// and any other task is committed ahead: placed on a full worker, to start there
+// when room comes free.
 
-// maxPlacedPerRound is the most tasks that one round places, so that a burst doesn't
-// hold the control thread for long and each group commit stays small.
+// maxPlacedPerRound limits the tasks that one round places, so that a burst
+// doesn't occupy the control thread for long and each group commit stays small.
 const maxPlacedPerRound = 250
 
-// round is what one round of placement knows.
+// round is the state of one round of placement.
 type round struct {
 	now              time.Time
 	policy           placement.Policy
 	workers          []*worker
 	candidates       map[*worker]*placement.Worker
 	usage            quota.Usage
-	sizesWithoutRoom []ledger.Size // sizes that found no room in this round
+	sizesWithoutRoom []ledger.Size // sizes that fitted no worker in this round
 	placed           int
 }
 
+// place runs one round of placement, unless a commit is pending.
 func (s *State) place(now time.Time) {
 	if s.draining || s.pending != nil {
-		return // the next round sees what this commit brings
+		return // the next round starts from the result of the pending commit
 	}
 	for _, w := range s.workers {
 		w.reservedForUrgent = ledger.Size{}
@@ -52,15 +55,16 @@
 	}
 }
 
-// isCommittedAhead says whether a task waits on its worker for room and surely never
-// started there.
+// isCommittedAhead reports whether a task waits on its worker for room and
+// certainly never started there.
 func (s *State) isCommittedAhead(t *task) bool {
 	w := s.workers[t.row.GetWorker()]
 	return t.placed() && t.isCommitted() && !t.startSent && t.stop == notStopping && w != nil && w.reached && !w.account.Holds(t.attemptName())
 }
 
-// moveCommittedAhead takes back a task that was committed ahead to one worker when another
-// has room now. It never started, so the next attempt may be placed at once.
+// moveCommittedAhead moves a task that was committed ahead to a worker with room,
+// if its own has none. The task never started, so its next attempt may be placed
+// at once.
 func (s *State) moveCommittedAhead(r *round, t *task) {
 	if t.size().Fits(s.openCapacity(s.workers[t.row.GetWorker()])) || !s.anyWorkerFits(r, t) {
 		return
@@ -69,21 +73,22 @@
 	s.placeWithRoom(r, t)
 }
 
-// anyWorkerFits says whether any usable worker has room for a task.
+// anyWorkerFits reports whether any worker of the round has room for a task.
 func (s *State) anyWorkerFits(r *round, t *task) bool {
 	return slices.ContainsFunc(r.workers, func(w *worker) bool { return t.size().Fits(s.openCapacity(w)) })
 }
 
-// openCapacity is the room of a worker that anyone may have: what is free, less what was
-// made for urgent work that still waits. Without the latter, smaller tasks take
-// that room piece by piece and are evicted again, for ever.
+// openCapacity returns the capacity of a worker that is open to any task: the free
+// capacity, less the room reserved for urgent tasks that still wait. Without the
+// reservation smaller tasks take that room piece by piece and are evicted again,
+// for ever.
 func (s *State) openCapacity(w *worker) ledger.Size {
 	free := w.account.Free()
 	return free.Min(free.Plus(s.sizeBeingStopped(w)).Minus(w.reservedForUrgent))
 }
 
-// queue lists what waits, there or on a worker without room, and sums what each
-// team holds.
+// queue returns the tasks that wait, unplaced or committed ahead to a worker
+// without room, and the total size of the placed tasks of each team.
 func (s *State) queue() ([]quota.Waiting, quota.Usage) {
 	var queue []quota.Waiting
 	usage := quota.Usage{}
@@ -101,6 +106,8 @@
 	return queue, usage
 }
 
+// totalCapacity returns the sum of the workers' capacities for tasks, without the
+// share of their services.
 func (s *State) totalCapacity() ledger.Size {
 	var total ledger.Size
 	for _, w := range s.workers {
@@ -109,6 +116,7 @@
 	return total
 }
 
+// newRound starts a round with the workers that may get tasks, sorted by name.
 func (s *State) newRound(now time.Time, usage quota.Usage) *round {
 	r := &round{
 		now:        now,
@@ -125,13 +133,18 @@
 	return r
 }
 
-// canPlaceOn says whether work may be placed on a worker now.
+// canPlaceOn reports whether tasks may be placed on a worker now: it is listed,
+// not leaving, has answered lately, and its incarnation is registered,
+// and the quarantine of failing workers allows it.
 func (s *State) canPlaceOn(now time.Time, w *worker) bool {
 	fresh := !w.markReceivedAt.IsZero() && now.Sub(w.markReceivedAt) < s.fleet().Lease/2
 	known := w.reached && w.registeredIncarnation != "" && w.registeredIncarnation == w.reportedIncarnation
 	return fresh && known && w.listed && !w.leaving && s.quarantine.MayPlace(now, w.name)
 }
 
+// placeTask decides on one task of the queue: it moves, ends as one that never
+// fits, waits for its team's quota, is placed, evicts others, or is committed
+// ahead.
 func (s *State) placeTask(r *round, t *task) {
 	if t.placed() {
 		s.moveCommittedAhead(r, t)
@@ -156,14 +169,16 @@
 	s.commitAhead(r, t)
 }
 
+// overQuota reports whether placing the task would exceed the quota of its team.
 func (s *State) overQuota(r *round, t *task) bool {
 	q := s.tree.Quota(t.row.GetTeam())
 	limit := quota.Limit{Millicores: q.Millicores, MemoryMB: q.MemoryMB, Accelerators: q.Accelerators}
 	return quota.Over(r.usage[t.row.GetTeam()], t.size(), limit)
 }
 
-// placeWithRoom chooses among the workers with room. A size that found none
-// earlier in the round finds none now: the round only fills workers up.
+// placeWithRoom places a task on the best of the workers with room, and reports
+// whether there was one. A size that fitted no worker earlier in the round fits
+// none now, since a round only fills workers up.
 func (s *State) placeWithRoom(r *round, t *task) bool {
 	size := t.size()
 	for _, f := range r.sizesWithoutRoom {
@@ -178,7 +193,7 @@
 		}
 	}
 	if len(fitting) > 1 {
-		// A worker that fails everything is always free: another one first.
+		// A worker where every task fails always has room: prefer another one.
 		fitting = slices.DeleteFunc(fitting, func(c placement.Worker) bool { return c.Name == t.lastFailedOn })
 	}
 	choice := r.policy.Choose(s.model, placement.Task{
@@ -194,6 +209,7 @@
 	return true
 }
 
+// placeOn assigns a task to a worker and counts it in the round.
 func (s *State) placeOn(r *round, t *task, w *worker, reason Reason, detail string) {
 	s.assign(r.now, t, w, reason, detail)
 	team := t.row.GetTeam()
@@ -202,8 +218,8 @@
 	r.placed++
 }
 
-// candidate describes a worker to the policy; it is computed once a round and
-// anew after each placement there.
+// candidate returns the worker's description for the placement policy. It is
+// computed once a round, and again after each placement on that worker.
 func (s *State) candidate(r *round, w *worker, t *task) placement.Worker {
 	c := r.candidates[w]
 	if c == nil {
@@ -224,6 +240,7 @@
 	return out
 }
 
+// tasksInRack returns the number of the job's tasks that are placed in a rack.
 func (s *State) tasksInRack(j *job, rack string) int {
 	n := 0
 	for _, t := range j.tasks {
@@ -234,7 +251,8 @@
 	return n
 }
 
-// presentKinds counts what runs, or is about to run, on a worker.
+// presentKinds counts the tasks with room on a worker, running or about to, by
+// kind.
 func (s *State) presentKinds(w *worker) interference.Present {
 	p := interference.Present{}
 	for _, t := range w.tasks {
@@ -245,8 +263,9 @@
 	return p
 }
 
-// commitAhead commits a task to the worker with the shortest queue, so that the
-// worker goes on when the table is away.
+// commitAhead places a task on the worker where the fewest tasks wait for room.
+// The commit happens now, so the worker can start the task later without the
+// table.
 func (s *State) commitAhead(r *round, t *task) {
 	var best *worker
 	shortest := s.fleet().Ahead
@@ -263,7 +282,7 @@
 	s.placeOn(r, t, best, TaskAhead, fmt.Sprintf("%d before it", shortest))
 }
 
-// tasksWithoutRoom counts the tasks that wait on a worker for room.
+// tasksWithoutRoom returns the number of tasks that wait on a worker for room.
 func (s *State) tasksWithoutRoom(w *worker) int {
 	n := 0
 	for _, t := range w.tasks {
--- a/pkg/process/hall/placement_test.go
+++ b/pkg/process/hall/placement_test.go
@@ -11,8 +11,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Placement against its baselines: a table of what each kind of batch work does to
-// each service, samples that arrive late, and a load that changes in waves.
+// Comparison of the placement policies in a simulation: a table gives the slowdown
+// of each service by each kind of batch work, samples arrive late, and the load
+// changes in waves.
 
 const placementTree = `{"placePolicy": "POLICY", "teams": {"t": {"services": {
 	"tender": {"kinds": {"quick": {"targetLatency": "100ms"}}},
@@ -21,8 +22,9 @@
 		"quiet": {"type": "job", "repeatable": true}, "middle": {"type": "job", "repeatable": true}, "noisy": {"type": "job", "repeatable": true}}}
 }}}}`
 
-// slowdowns is what one task adds to a service's tail, in milliseconds; without
-// batch work both stand at 50 of 100.
+// slowdowns holds the tail latency that one task adds to a service, in
+// milliseconds, by service and kind. Without batch work the tail latency of both
+// services is 50 ms; their target is 100 ms.
 var slowdowns = map[string]map[string]int64{
 	"tender": {"quiet": 1, "middle": 10, "noisy": 30},
 	"tough":  {"quiet": 0, "middle": 1, "noisy": 3},
@@ -40,6 +42,7 @@
 	}
 }
 
+// placementRun reports missed targets, finished jobs and actions of a policy.
 func placementRun(b *testing.B, policy string) {
 	d := newDriver(b, placementWorkers, strings.Replace(placementTree, "POLICY", policy, 1))
 	d.durationOf = func(string) time.Duration { return 20 * time.Second }
@@ -72,8 +75,9 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// sampleAll measures each worker's service and lets the worker report it late. A
-// third of the workers have a tender service, a third a tough one.
+// sampleAll computes the tail latency of each worker's service, which the worker
+// reports late, and returns the numbers of missed targets and of samples. A third
+// of the workers have the service "tender", a third "tough", the others none.
 func (d *driver) sampleAll() (over, all int) {
 	for i, name := range d.order {
 		service := [...]string{"tender", "tough", ""}[i%3]
@@ -100,6 +104,7 @@
 	return over, all
 }
 
+// kindOf returns the kind that placementRun gave to the task's job.
 func (d *driver) kindOf(task string) string {
 	var n int
 	_, _ = fmt.Sscanf(task, "j%d.", &n)
--- a/pkg/process/hall/reasons.go
+++ b/pkg/process/hall/reasons.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Reason is why something was decided. Reasons are typed: they are counted as
-// metrics and shown by "wrenferry explain".
+// Reason is the reason of a decision. Metrics count decisions by reason, and
+// "wrenferry explain" shows it.
 type Reason string
 
-// The reasons for what happens to a hall, a worker, a job or a task.
+// The reasons of decisions about a hall, a worker, a job or a task.
 const (
 	ClaimedLeadership  Reason = "claimed-leadership"
 	LostLeadership     Reason = "lost-leadership"
@@ -51,7 +51,8 @@
 	TaskOutOfBounds Reason = "stray-attempt-stopped"
 )
 
-// Fact is one decision with its evidence.
+// Fact is a recorded decision about an object: a hall's name, or a kind and a
+// name, such as "task/ID". Detail holds the evidence.
 type Fact struct {
 	At     time.Time
 	Object string
--- a/pkg/process/hall/state.go
+++ b/pkg/process/hall/state.go
@@ -1,12 +1,12 @@
-// Package hall is the scheduler of one hall: who leads it, what runs where, and what happens
-// next.
+// Package hall schedules the work of one hall: it elects the leader, places tasks on workers,
+// and handles lost workers.
 //
-// One thread of package control owns a State and feeds it events; each Step returns effects,
-// which others carry out and answer with more events. What the model calls a step is named
-// in the comments: see model/lease.pml.
+// One thread of package control owns a State and feeds it events. Each Step returns effects,
+// which the caller carries out and answers with more events. Comments that say "In the model"
+// name the step of model/lease.pml that the code implements.
 //
-// It does no I/O, reads no clock and starts no goroutine, so every failure can be brought
-// about in a test by the events alone.
+// The package does no I/O, reads no clock and starts no goroutine, so a test can produce
+// every failure by events alone.
 package hall
 
 import (
@@ -21,19 +21,20 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// phase is how far a leader has got.
+// phase is the stage of leadership that this process has reached.
 type phase int
 
 const (
-	// following: not the leader.
+	// following: another process leads, or none does.
 	following phase = iota
-	// loading: the leader, reading the table.
+	// loading: this process leads and reads the hall's rows from the table.
 	loading
-	// leading: the leader, with the whole state in memory.
+	// leading: this process leads and has the whole state in memory.
 	leading
 )
 
-// State is the control state of one hall. It belongs to one thread.
+// State is the control state of one hall. It is not safe for concurrent use:
+// one thread owns it.
 type State struct {
 	hall       string
 	leadership leadership.Leadership
@@ -51,7 +52,7 @@
 	nextCommit   int64
 	lastCommitAt time.Time
 	sequence     int64
-	// longestLease is the longest that was granted in this epoch.
+	// longestLease is the longest lease granted in this epoch.
 	longestLease time.Duration
 	reads        tableReads
 
@@ -63,8 +64,8 @@
 	unsafe Unsafe
 }
 
-// tableReads remembers which questions to the table are under way, and when the
-// next one is due.
+// tableReads records which reads of the table await their answer, and when the
+// next read of each kind is due.
 type tableReads struct {
 	leaderPending  bool
 	nextLeaderRead time.Time
@@ -72,13 +73,13 @@
 	nextLoad       time.Time
 	inboxPending   bool
 	nextInboxRead  time.Time
-	foreignSince   map[string]time.Time
-	inboxReads     int
+	foreignSince   map[string]time.Time // first read of each row in another hall's inbox, by key
+	inboxReads     int                  // reads of any inbox by this process
 }
 
-// Unsafe takes out one fence each. It exists so that a test can show that the
-// fence is needed; a daemon never sets it unless it is told to in so many words
-// on its command line.
+// Unsafe disables safety checks, one per field, so that a test can show that
+// each check is needed. A daemon sets a field only when its command line asks
+// for that field explicitly.
 type Unsafe struct {
 	// NoTenureWait requeues the tasks of an unreachable worker at once.
 	NoTenureWait bool
@@ -92,20 +93,21 @@
 	RepeatAll bool
 }
 
-// Option changes how a State is made.
+// Option configures a State that New creates.
 type Option func(*State)
 
-// WithUnsafe takes fences out, for tests.
+// WithUnsafe disables safety checks, for tests.
 func WithUnsafe(u Unsafe) Option { return func(s *State) { s.unsafe = u } }
 
-// factObjects and factsEach bound what is kept for "explain".
+// maxFactObjects and maxFactsPerObject bound the facts kept for "explain".
 const (
 	maxFactObjects    = 8192
 	maxFactsPerObject = 32
 )
 
-// New returns the state of a process that knows nothing yet. The holder must
-// be different for each start of each process.
+// New returns the State of a process that has read nothing yet. The holder is
+// the name that the process writes into the leader row; it must differ for each
+// start of each process.
 func New(hall, holder, address string, options ...Option) *State {
 	facts, _ := lru.New[string, []Fact](maxFactObjects) // fails for a negative size only
 	s := &State{
@@ -123,7 +125,7 @@
 	return s
 }
 
-// clearLoaded drops everything that a load brings anew.
+// clearLoaded drops the state that a load reads from the table again.
 func (s *State) clearLoaded() {
 	s.tasks = map[string]*task{}
 	s.jobs = map[string]*job{}
@@ -134,10 +136,10 @@
 	}
 }
 
-// Step takes in one event at the time now and returns what is to be done. What
-// follows from it is decided at the next Tick, or at once when a commit has been
-// answered: a look at all workers and tasks after each worker's answer would
-// make the cost grow with the square of their number.
+// Step applies one event at the time now and returns the effects to carry out.
+// Decisions follow at the next Tick, or at once after a Committed event:
+// scanning all workers and tasks after each worker's reply would make the cost
+// grow with the square of their number.
 //
 // Data flows one way:
 //
@@ -154,6 +156,7 @@
 	return s.outbox
 }
 
+// take applies an event to the state.
 func (s *State) take(now time.Time, e Event) {
 	switch e := e.(type) {
 	case Tick:
@@ -176,9 +179,9 @@
 	}
 }
 
-// advance does all that has become due. Its order matters: what was lost is
-// known before places are chosen, and choices are made before they are
-// committed and sent.
+// advance does all that is due. The order matters: lost workers are found
+// before tasks are placed, and placements are decided before they are committed
+// and sent.
 func (s *State) advance(now time.Time) {
 	if s.tree == nil {
 		return
@@ -194,9 +197,11 @@
 	}
 }
 
+// emit adds an effect to those that the current Step returns.
 func (s *State) emit(e Effect) { s.outbox = append(s.outbox, e) }
 
-// note records a decision under the object that it is about.
+// note records a decision under its object, for "explain". A repetition of the
+// object's last fact is dropped.
 func (s *State) note(now time.Time, object string, reason Reason, detail string) {
 	f := Fact{At: now, Object: object, Reason: reason, Detail: detail}
 	known, _ := s.facts.Get(object)
@@ -210,27 +215,27 @@
 	s.emit(Note{Fact: f})
 }
 
-// fleet returns the settings of the root.
+// fleet returns the fleet-wide settings, which stand at the root of the tree.
 func (s *State) fleet() settings.Fleet { return s.tree.Fleet() }
 
-// --------------------------------------------------------------- readings
+// -------------------------------------------------------------- accessors
 
-// Leading says whether this process leads the hall and has loaded its state.
+// Leading reports whether this process leads the hall and has loaded its state.
 func (s *State) Leading() bool { return s.phase == leading }
 
-// Leader returns the leader row last seen.
+// Leader returns the leader row that was read last.
 func (s *State) Leader() *wire.LeaderRow { return s.leadership.Row() }
 
-// Released says whether a planned stop may end: the leadership, if it was
-// held, has been given up for sure.
+// Released reports whether a planned stop is complete: it was requested, and
+// this process certainly no longer holds the leadership.
 func (s *State) Released() bool {
 	return s.draining && s.leadership.Role() == leadership.Follower
 }
 
-// Counts is a summary for the status page.
+// Counts is the summary of a hall on the status page.
 type Counts struct {
 	Waiting, Placed, Running, Jobs, Workers, Reached, Aside int
-	// Unwritten counts tasks whose newest state the table does not hold yet.
+	// Unwritten is the number of tasks whose newest state the table does not hold yet.
 	Unwritten int
 }
 
--- a/pkg/process/hall/sync.go
+++ b/pkg/process/hall/sync.go
@@ -9,18 +9,20 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Messages to workers. One message carries all that a worker is to know: its
-// lease, starts, stops, throttles, and which ended attempts are recorded. One
-// message a worker is under way at a time; each carries the next sequence
-// number, and a worker refuses an older one.
+// Messages to workers. One message carries the lease, starts, stops, throttles,
+// and the ended attempts that the table has recorded. At most one message a
+// worker awaits its reply; each has the next sequence number, and a worker
+// refuses an older one.
 
 const (
-	// syncsPerLease is how many messages fit into a lease.
+	// syncsPerLease is the number of regular messages to a worker in a lease time.
 	syncsPerLease = 5
-	// minSyncInterval is the least time between two messages to one worker.
+	// minSyncInterval is the minimum time between a worker's reply and an early
+	// message to it.
 	minSyncInterval = 25 * time.Millisecond
 )
 
+// syncWorkers sends a message to each worker for which one is due.
 func (s *State) syncWorkers(now time.Time) {
 	for _, w := range s.workers {
 		if w.inFlight || w.address == "" {
@@ -34,6 +36,8 @@
 	}
 }
 
+// syncWorker sends a message to a worker. A message without a lease
+// carries no starts, stops, throttles or recorded ends.
 func (s *State) syncWorker(now time.Time, w *worker) {
 	s.sequence++
 	req := &wire.SyncRequest{
@@ -55,15 +59,15 @@
 	s.emit(Sync{Worker: w.name, Address: w.address, Request: req})
 }
 
-// grant writes the lease into the message, if there is one to give. No lease
-// reaches past the end of the tenure. In the model: Leader.grant.
+// grant writes a lease into the message, and reports whether the worker may get
+// one. No lease outlasts the leader's tenure. In the model: Leader.grant.
 func (s *State) grant(now time.Time, w *worker, req *wire.SyncRequest) bool {
 	if !s.leadership.MayGrant(now) || w.markReceivedAt.IsZero() || w.registeredIncarnation == "" || w.registeredIncarnation != w.reportedIncarnation {
 		return false
 	}
 	span := min(s.fleet().Lease, s.leadership.TenureEnd().Sub(w.markReceivedAt))
 	if !now.Before(w.markReceivedAt.Add(span)) {
-		return false // the mark is too old to grant from: ask for a new one
+		return false // a lease from this mark would be over: the reply brings a new mark
 	}
 	s.longestLease = max(s.longestLease, span)
 	req.LeaseUntilMark = w.mark + span.Milliseconds()
@@ -71,16 +75,16 @@
 	return true
 }
 
-// addStarts adds the starts of what is placed here, surely committed, and has
-// room. Tasks that were committed ahead start here as room comes free, without
-// any write.
+// addStarts adds the starts of tasks that are placed on this worker, certainly
+// committed, and have room. Tasks that were committed ahead start here as room
+// comes free, without a write to the table.
 func (s *State) addStarts(now time.Time, w *worker, req *wire.SyncRequest) {
 	if !w.reached {
 		return
 	}
 	for _, t := range s.startable(w) {
 		if !w.account.Holds(t.attemptName()) && !t.size().Fits(s.openCapacity(w)) && !s.unsafe.NoLedger {
-			continue // the room was made for urgent work
+			continue // the free room is reserved for an urgent task
 		}
 		if !s.reserve(w, t) {
 			continue
@@ -101,7 +105,8 @@
 	}
 }
 
-// reserve books room; without it nothing is started.
+// reserve books room for a task in the worker's ledger, and reports whether
+// there was enough. No task starts without a reservation.
 func (s *State) reserve(w *worker, t *task) bool {
 	if s.unsafe.NoLedger {
 		w.account.Adopt(t.attemptName(), t.size())
@@ -110,6 +115,8 @@
 	return w.account.Reserve(t.attemptName(), t.size())
 }
 
+// startable returns the committed tasks of a worker that do not run yet, by
+// priority.
 func (s *State) startable(w *worker) []*task {
 	list := make([]*task, 0, len(w.tasks))
 	for _, t := range w.tasks {
@@ -123,8 +130,8 @@
 	return list
 }
 
-// addStops adds the stops that were asked for, and those of strays: attempts
-// that run here but are not, or no longer, this worker's to run.
+// addStops adds the requested stops, and stops of strays: attempts that run on
+// this worker without being assigned to it, or no longer.
 func (s *State) addStops(w *worker, req *wire.SyncRequest) {
 	for _, t := range w.tasks {
 		if t.stop != notStopping && t.startSent {
@@ -140,6 +147,7 @@
 	}
 }
 
+// addThrottles adds the throttles that differ from what the worker reports.
 func (s *State) addThrottles(w *worker, req *wire.SyncRequest) {
 	for _, t := range w.tasks {
 		r := w.runs[t.attemptName()]
@@ -151,9 +159,8 @@
 	}
 }
 
-// addRecorded lists ended attempts that the worker may forget: those whose end
-// the table holds, and those that the table has moved past. In the model:
-// Leader.recorded.
+// addRecorded lists the ended attempts that the worker may forget: the table
+// holds their end or a later attempt. In the model: Leader.recorded.
 func (s *State) addRecorded(w *worker, req *wire.SyncRequest) {
 	for _, r := range w.runs {
 		if r.GetState() != wire.RunState_RUN_STATE_RUNNING && s.isRecorded(r) {
@@ -162,6 +169,8 @@
 	}
 }
 
+// isRecorded reports whether the worker may forget an ended attempt: its task is
+// gone, or the table holds a terminal state or a later attempt.
 func (s *State) isRecorded(r *wire.Run) bool {
 	t := s.tasks[r.GetTaskId()]
 	if t == nil || s.unsafe.NoRecorded {
--- a/pkg/process/hall/tasks.go
+++ b/pkg/process/hall/tasks.go
@@ -11,12 +11,12 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Tasks and their transitions. A task's row has three copies: what is wanted
-// (row), what is on its way to the table (writing), and what the table surely
-// holds (committed). Decisions read the first; nothing is started unless the
-// first and the last are one and the same.
+// Tasks and their transitions. A task's row has three versions: the newest
+// decision (row), the one in the pending commit (writing), and the one that the
+// table certainly holds (committed). Decisions read row; a task is started only
+// when row and committed are the same.
 
-// stopCause is why a running attempt was asked to stop.
+// stopCause is the reason for which a running attempt was asked to stop.
 type stopCause string
 
 const (
@@ -29,35 +29,36 @@
 type task struct {
 	job       *job
 	row       *wire.TaskRow
-	writing   *wire.TaskRow
+	writing   *wire.TaskRow // in the pending commit, or in an earlier one
 	committed *wire.TaskRow
 
-	waitingSince time.Time // when it began to wait
-	lastFailedOn string    // the worker that failed it last, which others go before
+	waitingSince time.Time // start of the present wait
+	lastFailedOn string    // worker of the last failure; placement prefers any other
 	attempt
 }
 
-// attempt is what is known of the present attempt; each new one starts blank.
+// attempt is the state of the current attempt; a new attempt starts from zero.
 type attempt struct {
-	startSent       bool // a worker may have taken the start in
-	unackedStarts   int  // how many answered messages carried the start in vain
-	running         bool // the worker has said that it runs
+	startSent       bool // the worker may have received the start
+	unackedStarts   int  // replies to a start that did not list the attempt
+	running         bool // the worker has reported the attempt as running
 	runningAt       time.Time
-	inDoubtSince    time.Time // when its worker's lease was surely over
+	inDoubtSince    time.Time // when the lease of its worker had certainly expired
 	stop            stopCause
-	throttlePercent int32
+	throttlePercent int32 // share of its reservation that the task may use; 0 is all
 	throttleAt      time.Time
 }
 
 // job is one job of this hall, with all its tasks.
 type job struct {
 	row      *wire.JobRow
-	writing  *wire.JobRow
-	revision int64
+	writing  *wire.JobRow // in the pending commit, or in an earlier one
+	revision int64        // of the row in the table
 	tasks    map[string]*task
 }
 
-// attemptName names one attempt, in the ledger and in workers' replies.
+// attemptName returns the name of one attempt, TASK#ATTEMPT, as the ledger and
+// worker.runs key it.
 func attemptName(id string, attempt int64) string { return fmt.Sprintf("%s#%d", id, attempt) }
 
 func (t *task) attemptName() string { return attemptName(t.row.GetId(), t.row.GetAttempt()) }
@@ -68,12 +69,12 @@
 func (t *task) waiting() bool       { return t.row.GetState() == wire.TaskState_TASK_STATE_WAITING }
 func (t *task) isCommitted() bool   { return t.row == t.committed }
 
-// terminal says whether a state is final.
+// terminal reports whether a task in this state never changes again.
 func terminal(s wire.TaskState) bool {
 	return s != wire.TaskState_TASK_STATE_WAITING && s != wire.TaskState_TASK_STATE_PLACED
 }
 
-// ended says whether every task of the job is in a final state.
+// ended reports whether every task of the job is in a terminal state.
 func (j *job) ended() bool {
 	for _, t := range j.tasks {
 		if !terminal(t.row.GetState()) {
@@ -85,19 +86,21 @@
 
 // ------------------------------------------------------------ bookkeeping
 
-// addLoadedTask takes in a task row as the table holds it.
+// addLoadedTask adds a task from its row in the table. A task whose job was not
+// loaded is skipped.
 func (s *State) addLoadedTask(now time.Time, row *wire.TaskRow) {
 	j := s.jobs[row.GetJobKey()]
 	if j == nil {
 		return
 	}
 	t := &task{job: j, row: row, committed: row, waitingSince: now}
-	// Whether an earlier leader has sent the start can't be known until the
-	// worker says.
+	// A predecessor may have sent the start; only the worker's next reply
+	// tells.
 	t.startSent = t.placed()
 	s.addTask(t)
 }
 
+// addTask indexes a task by its id, its job and its worker.
 func (s *State) addTask(t *task) {
 	s.tasks[t.row.GetId()] = t
 	t.job.tasks[t.row.GetId()] = t
@@ -106,7 +109,7 @@
 	}
 }
 
-// updateRow makes a new version of the task's row, to be written.
+// updateRow applies f to a copy of the task's row, which the next commit writes.
 func (s *State) updateRow(t *task, f func(*wire.TaskRow)) {
 	row := proto.CloneOf(t.row)
 	f(row)
@@ -114,19 +117,22 @@
 	s.unwritten.tasks[row.GetId()] = true
 }
 
+// taskCommitted handles a commit that wrote the task's row.
 func (s *State) taskCommitted(t *task) {
 	if t != nil {
 		t.committed = t.writing
 	}
 }
 
+// jobCommitted handles a commit that wrote the job's row. With the row of its end
+// the job and its tasks leave the state.
 func (s *State) jobCommitted(j *job, revision int64) {
 	if j == nil {
 		return
 	}
 	j.revision = revision
 	if j.writing.GetState() <= wire.JobState_JOB_STATE_CLAIMED {
-		return // what was written then was not yet the job's end
+		return // the row written was not the end of the job
 	}
 	for id := range j.tasks {
 		delete(s.tasks, id)
@@ -134,8 +140,8 @@
 	delete(s.jobs, j.row.GetKey())
 }
 
-// kindSettings returns the settings of a task's kind. A kind that was taken out of the
-// settings while tasks of it are about keeps the defaults.
+// kindSettings returns the settings of a task's kind. A kind that was removed
+// from the settings while tasks of it exist has the defaults.
 func (s *State) kindSettings(t *task) settings.Kind {
 	k, err := s.tree.Kind(t.row.GetService(), t.row.GetKind())
 	if err != nil {
@@ -146,7 +152,8 @@
 
 // ------------------------------------------------------------ transitions
 
-// assign places a waiting task on a worker.
+// assign places a waiting task on a worker: it updates the row, which the next
+// commit writes.
 func (s *State) assign(now time.Time, t *task, w *worker, reason Reason, detail string) {
 	s.updateRow(t, func(r *wire.TaskRow) {
 		r.State = wire.TaskState_TASK_STATE_PLACED
@@ -160,7 +167,7 @@
 	s.note(now, t.object(), reason, w.name+": "+detail)
 }
 
-// unplace takes a task off its worker in memory.
+// unplace removes a task from its worker's set in memory and resets its attempt.
 func (s *State) unplace(t *task) {
 	if w := s.workers[t.row.GetWorker()]; w != nil {
 		delete(w.tasks, t.row.GetId())
@@ -168,7 +175,8 @@
 	t.attempt = attempt{}
 }
 
-// requeue makes the next attempt wait. The attempt before must surely be over.
+// requeue returns a task to the queue with a new attempt. The previous attempt
+// must certainly be over.
 func (s *State) requeue(now time.Time, t *task, checkpoint string, reason Reason, detail string) {
 	s.unplace(t)
 	s.updateRow(t, func(r *wire.TaskRow) {
@@ -186,7 +194,7 @@
 	s.note(now, t.object(), reason, detail)
 }
 
-// finish ends a task for good, and its job with the last of its tasks.
+// finish moves a task to a terminal state, and ends its job with the last task.
 func (s *State) finish(now time.Time, t *task, state wire.TaskState, result string, reason Reason) {
 	s.unplace(t)
 	s.updateRow(t, func(r *wire.TaskRow) {
@@ -208,8 +216,8 @@
 	s.unwritten.jobs[row.GetKey()] = true
 }
 
-// summarizeJob sums a job up: done if all its tasks are; otherwise the worst of them,
-// with that task's reason.
+// summarizeJob sets the final state of a job: done if all its tasks are done;
+// otherwise the worst state of its tasks, with the reason of that task.
 func summarizeJob(row *wire.JobRow, j *job) {
 	row.State = wire.JobState_JOB_STATE_DONE
 	for _, t := range j.tasks {
@@ -225,7 +233,7 @@
 	}
 }
 
-// jobStates maps a task's final state to its job's.
+// jobStates maps the terminal state of a task to that of its job.
 var jobStates = map[wire.TaskState]wire.JobState{
 	wire.TaskState_TASK_STATE_DONE:      wire.JobState_JOB_STATE_DONE,
 	wire.TaskState_TASK_STATE_CANCELLED: wire.JobState_JOB_STATE_CANCELLED,
@@ -234,20 +242,22 @@
 	wire.TaskState_TASK_STATE_FAILED:    wire.JobState_JOB_STATE_FAILED,
 }
 
-// mayRepeat says whether a task may be started afresh after it may have run.
+// mayRepeat reports whether a task that may have run already may run again.
 func (s *State) mayRepeat(t *task) bool {
 	return t.row.GetRepeatable() || s.unsafe.RepeatAll
 }
 
-// loseAttempt handles an attempt whose worker can't be running it any more. What the
-// worker did before is known only if it comes back.
-func (s *State) loseAttempt(now time.Time, t *task, forGood bool, detail string) {
+// loseAttempt handles an attempt that its worker certainly no longer runs. A task
+// that never started or may be repeated is requeued. Any other waits until the
+// worker comes back and reports the result, for the fleet's Patience at most. With
+// outcomeLost, the worker can no longer report it, and the task ends at once.
+func (s *State) loseAttempt(now time.Time, t *task, outcomeLost bool, detail string) {
 	switch {
 	case t.stop == cancelled:
 		s.finish(now, t, wire.TaskState_TASK_STATE_CANCELLED, "", TaskCancelled)
 	case !t.startSent || s.mayRepeat(t):
 		s.requeue(now, t, "", TaskRequeued, detail)
-	case forGood || (!t.inDoubtSince.IsZero() && now.Sub(t.inDoubtSince) >= s.fleet().Patience):
+	case outcomeLost || (!t.inDoubtSince.IsZero() && now.Sub(t.inDoubtSince) >= s.fleet().Patience):
 		s.finish(now, t, wire.TaskState_TASK_STATE_UNKNOWN, detail, TaskDoubtful)
 	case t.inDoubtSince.IsZero():
 		t.inDoubtSince = now
@@ -255,7 +265,7 @@
 	}
 }
 
-// attemptEnded takes in a worker's word that an attempt has ended.
+// attemptEnded handles a worker's report that the current attempt has ended.
 func (s *State) attemptEnded(now time.Time, w *worker, t *task, run *wire.Run) {
 	kind := t.kindName()
 	switch run.GetState() {
@@ -274,8 +284,9 @@
 	}
 }
 
-// attemptFailed counts a failure. A worker that fails everything is not held against
-// the task, but a kind that fails everywhere is.
+// attemptFailed handles a failed attempt. The failure counts against the task
+// unless its worker is quarantined for failing every task. The task ends at once
+// when its kind fails on every worker.
 func (s *State) attemptFailed(now time.Time, w *worker, t *task, run *wire.Run) {
 	if !s.mayRepeat(t) {
 		s.finish(now, t, wire.TaskState_TASK_STATE_FAILED, run.GetResult(), TaskFailed)
@@ -296,8 +307,8 @@
 	s.requeue(now, t, "", TaskFailed, w.name+": "+run.GetResult())
 }
 
-// attemptStopped handles a confirmed stop: the checkpoint, if any, is what the next
-// attempt resumes from. In the model: Leader.resume.
+// attemptStopped handles the confirmed stop of an attempt. The next attempt
+// resumes from the checkpoint, if there is one. In the model: Leader.resume.
 func (s *State) attemptStopped(now time.Time, w *worker, t *task, run *wire.Run) {
 	switch {
 	case t.stop == cancelled:
@@ -312,8 +323,8 @@
 	}
 }
 
-// requestStop begins to stop a task for a cause; a task that surely never started
-// needs no worker's word.
+// requestStop asks the worker of a task to stop it. A task that certainly never
+// started is cancelled or requeued at once, without a reply of its worker.
 func (s *State) requestStop(now time.Time, t *task, cause stopCause) {
 	if t.stop != notStopping && cause != cancelled {
 		return
--- a/pkg/process/hall/workers.go
+++ b/pkg/process/hall/workers.go
@@ -9,14 +9,15 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Workers as the leader knows them, and what their replies change.
+// The leader's records of workers, and the handling of their replies.
 //
-// A worker's lease is a moment on the worker's own clock. Each reply carries a
-// reading of that clock (a mark); the next message may grant until that mark
-// plus the lease time. The mark was read before the reply came in, so by the
-// leader's clock the lease is over no later than the reply's arrival plus the
-// lease time, however long the message is on its way. No two clocks need agree
-// on the time, only on the length of a second, to within the margin.
+// A worker's lease ends at a time of the worker's own clock. Each reply carries
+// a reading of that clock (a mark); the next message may grant a lease until
+// that mark plus the lease time. The worker reads the mark before the leader
+// receives the reply. So, by the leader's clock, the lease ends no later than
+// the arrival of the reply plus the lease time, however long the message takes.
+// Clocks need not agree on the time, only on the length of a second, to within
+// the margin.
 
 // worker is one worker of this hall.
 type worker struct {
@@ -27,31 +28,31 @@
 	leaving bool
 
 	registeredIncarnation  string // the incarnation that the table holds
-	registeringIncarnation string
-	reportedIncarnation    string // the incarnation that last answered
+	registeringIncarnation string // the incarnation in the pending commit, or in an earlier one
+	reportedIncarnation    string // the incarnation of the last reply
 
-	reached        bool // has answered at this leader's epoch
-	mark           int64
+	reached        bool  // has answered in this leader's epoch
+	mark           int64 // the worker's clock in its last reply, in milliseconds
 	markReceivedAt time.Time
-	leaseExpiresAt time.Time // when any lease that this leader knows of is over
+	leaseExpiresAt time.Time // when the last lease known to this leader ends
 
-	totalCapacity     ledger.Size
+	totalCapacity     ledger.Size // including the share of the services
 	account           *ledger.Worker
-	reservedForUrgent ledger.Size // room made for urgent tasks that still wait, as of the last round
-	runs              map[string]*wire.Run
-	tasks             map[string]*task
-	services          []string
+	reservedForUrgent ledger.Size          // room of evictions for urgent tasks that still wait, recomputed each round
+	runs              map[string]*wire.Run // the attempts in the last reply, by attempt name
+	tasks             map[string]*task     // the tasks placed on this worker, by id
+	services          []string             // the services in the samples of the last reply
 	guard             *interference.Guard
 	lastSampleAt      map[string]time.Time
 
-	inFlight bool
+	inFlight bool // a message awaits its reply
 	nextSync time.Time
-	syncSoon bool // has something to be told at once
+	syncSoon bool // the next message is due after minSyncInterval, not at nextSync
 }
 
 func (w *worker) object() string { return "worker/" + w.name }
 
-// worker finds or makes the record of a worker.
+// worker returns the record of a worker, and creates it if there is none.
 func (s *State) worker(name string) *worker {
 	w := s.workers[name]
 	if w == nil {
@@ -63,7 +64,8 @@
 	return w
 }
 
-// resetForEpoch drops what was known under an earlier epoch of this process.
+// resetForEpoch drops the state of the worker from an earlier epoch of this
+// process.
 func (w *worker) resetForEpoch() {
 	w.registeredIncarnation = ""
 	w.registeringIncarnation = ""
@@ -74,7 +76,7 @@
 	w.leaseExpiresAt = time.Time{}
 }
 
-// clearLoaded drops what a load and the worker's next reply bring anew.
+// clearLoaded drops the state that a load and the worker's next reply restore.
 func (w *worker) clearLoaded() {
 	w.reached = false
 	w.runs = nil
@@ -82,8 +84,8 @@
 	w.account = ledger.NewWorker()
 }
 
-// takeHosts takes in the platform's list. A worker that has left the list is
-// kept as long as something may run on it.
+// takeHosts applies the platform's list of hosts. A worker that has left the
+// list keeps its record: tasks may still run there.
 func (s *State) takeHosts(hosts []*wire.Host) {
 	for _, w := range s.workers {
 		w.listed = false
@@ -117,9 +119,11 @@
 
 // ---------------------------------------------------------------- replies
 
-// syncRetryDelay is how soon a worker that did not answer is asked again.
+// syncRetryDelay is the time from a failed message until the worker gets the next.
 const syncRetryDelay = 500 * time.Millisecond
 
+// takeSynced handles the answer to a message, or its loss. A reply with a higher
+// epoch means that another process leads.
 func (s *State) takeSynced(now time.Time, e Synced) {
 	w := s.workers[e.Worker]
 	if w == nil || e.Epoch != s.leadership.Epoch() {
@@ -141,6 +145,7 @@
 	s.takeReply(now, w, e.Reply)
 }
 
+// takeReply handles a worker's reply when the state is loaded.
 func (s *State) takeReply(now time.Time, w *worker, r *wire.SyncReply) {
 	if w.reportedIncarnation != r.GetIncarnation() {
 		s.newIncarnation(now, w, r.GetIncarnation())
@@ -163,9 +168,10 @@
 	s.takeSamples(now, w, r.GetSamples())
 }
 
-// newIncarnation handles a worker that has started afresh. All that ran on the
-// incarnation before is over, for good. Nothing is granted to the new one until
-// the table holds its name. In the model: Worker.reboot and Leader.register.
+// newIncarnation handles a worker that has restarted. All attempts of the
+// previous incarnation are over, and their results are lost. The new incarnation
+// gets no lease until the table holds its name. In the model: Worker.reboot and
+// Leader.register.
 func (s *State) newIncarnation(now time.Time, w *worker, incarnation string) {
 	w.reportedIncarnation = incarnation
 	w.leaseExpiresAt = time.Time{}
@@ -187,7 +193,8 @@
 	s.unwritten.workers[w.name] = true
 }
 
-// workerRegistered takes in that the table holds the worker's incarnation.
+// workerRegistered handles the commit that wrote a worker's incarnation to the
+// table.
 func (s *State) workerRegistered(now time.Time, name string) {
 	w := s.workers[name]
 	if w == nil {
@@ -198,7 +205,8 @@
 	s.note(now, w.object(), WorkerRegistered, w.registeredIncarnation)
 }
 
-// takeRuns compares what the worker holds with what it should hold.
+// takeRuns compares the attempts that the worker lists with the tasks that are
+// placed there.
 func (s *State) takeRuns(now time.Time, w *worker, runs []*wire.Run) {
 	w.runs = make(map[string]*wire.Run, len(runs))
 	for _, r := range runs {
@@ -214,12 +222,13 @@
 	s.releaseEnded(w)
 }
 
+// takeRun compares an attempt that the worker lists with the task placed there.
 func (s *State) takeRun(now time.Time, w *worker, name string, r *wire.Run) {
 	t := w.tasks[r.GetTaskId()]
 	current := t != nil && t.row.GetAttempt() == r.GetAttempt()
 	if r.GetState() != wire.RunState_RUN_STATE_RUNNING {
 		w.account.Release(name)
-		w.syncSoon = true // it wants to hear that the end is recorded
+		w.syncSoon = true // the worker keeps the end until it is told that the table holds it
 		if current {
 			s.attemptEnded(now, w, t, r)
 		}
@@ -240,14 +249,15 @@
 	}
 }
 
-// maxUnackedStarts is how often a start is sent to a worker that answers and yet
-// doesn't take it.
+// maxUnackedStarts is how many replies may omit a start that was sent, before
+// the attempt counts as lost.
 const maxUnackedStarts = 3
 
-// startMissing handles a start that the worker doesn't list. One that never ran is
-// sent again: the worker refuses the earlier message by its sequence. One that
-// ran and is gone was lost there, and so was one that the worker refuses again
-// and again: it must have met that attempt before.
+// startMissing handles an attempt whose start was sent and that the worker's
+// reply doesn't list. The start of an attempt that never ran is sent again: the
+// worker refuses the earlier message by its sequence number. An attempt that has
+// run is lost. So is one that the worker refuses maxUnackedStarts times: the
+// worker must have had that attempt before.
 func (s *State) startMissing(now time.Time, w *worker, t *task) {
 	t.unackedStarts++
 	if t.running || !t.inDoubtSince.IsZero() || t.unackedStarts > maxUnackedStarts {
@@ -263,7 +273,8 @@
 	}
 }
 
-// releaseEnded takes back bookings of attempts that neither run nor are to run.
+// releaseEnded releases the reservations of attempts that neither run nor are
+// assigned to the worker.
 func (s *State) releaseEnded(w *worker) {
 	for _, name := range w.account.Names() {
 		r := w.runs[name]
@@ -276,6 +287,8 @@
 	}
 }
 
+// isAssigned reports whether the attempt is the current one of a task that is
+// placed on the worker.
 func (s *State) isAssigned(w *worker, name string) bool {
 	for _, t := range w.tasks {
 		if t.attemptName() == name {
@@ -287,7 +300,8 @@
 
 // ------------------------------------------------------------------- loss
 
-// loseExpiredWorkers looks for workers whose lease is surely over.
+// loseExpiredWorkers treats each worker with tasks as lost whose lease has
+// certainly expired.
 func (s *State) loseExpiredWorkers(now time.Time) {
 	for _, w := range s.workers {
 		if len(w.tasks) == 0 || !s.leaseCertainlyExpired(now, w) {
@@ -297,11 +311,11 @@
 	}
 }
 
-// leaseCertainlyExpired says whether nothing granted to the worker, by this leader or
-// an earlier one, can still be alive. In the model: Leader.giveup.
+// leaseCertainlyExpired reports whether every lease that this leader or a
+// predecessor granted to the worker has expired. In the model: Leader.giveup.
 func (s *State) leaseCertainlyExpired(now time.Time, w *worker) bool {
 	if !w.markReceivedAt.IsZero() && now.Sub(w.markReceivedAt) < s.fleet().Lease {
-		return false // it answers
+		return false // the worker still answers
 	}
 	over := w.leaseExpiresAt
 	if !w.reached && !s.unsafe.NoTenureWait {
@@ -310,6 +324,8 @@
 	return now.After(over)
 }
 
+// workerLost handles a worker whose lease has certainly expired: all its attempts
+// are over.
 func (s *State) workerLost(now time.Time, w *worker) {
 	s.note(now, w.object(), WorkerLost, fmt.Sprintf("%d tasks", len(w.tasks)))
 	w.account = ledger.NewWorker()
@@ -323,6 +339,7 @@
 	}
 }
 
+// laterOf returns the later of two times.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
