--- a/pkg/process/hall/evict.go
+++ b/pkg/process/hall/evict.go
@@ -32,7 +32,7 @@
 	}
 	on.reservedForUrgent = on.reservedForUrgent.Plus(size)
 	for _, v := range best {
-		s.note(r.now, v.object(), TaskMakingRoom, "for "+t.row.GetId())
+		s.note(r.now, v.object(), TaskEvictedForUrgent, "for "+t.row.GetId())
 		s.requestStop(r.now, v, evicted)
 	}
 }
--- a/pkg/process/hall/place.go
+++ b/pkg/process/hall/place.go
@@ -279,7 +279,7 @@
 		s.note(r.now, t.object(), TaskNoRoom, fmt.Sprintf("%d workers looked at", len(r.workers)))
 		return
 	}
-	s.placeOn(r, t, best, TaskAhead, fmt.Sprintf("%d before it", shortest))
+	s.placeOn(r, t, best, TaskCommittedAhead, fmt.Sprintf("%d before it", shortest))
 }
 
 // tasksWithoutRoom returns the number of tasks that wait on a worker for room.
--- a/pkg/process/hall/tasks.go
+++ b/pkg/process/hall/tasks.go
@@ -258,7 +258,7 @@
 	case !t.startSent || s.mayRepeat(t):
 		s.requeue(now, t, "", TaskRequeued, detail)
 	case outcomeLost || (!t.inDoubtSince.IsZero() && now.Sub(t.inDoubtSince) >= s.fleet().Patience):
-		s.finish(now, t, wire.TaskState_TASK_STATE_UNKNOWN, detail, TaskDoubtful)
+		s.finish(now, t, wire.TaskState_TASK_STATE_UNKNOWN, detail, TaskOutcomeUnknown)
 	case t.inDoubtSince.IsZero():
 		t.inDoubtSince = now
 		t.running = false
@@ -293,14 +293,14 @@
 		return
 	}
 	if s.quarantine.KindIsBroken(t.kindName()) {
-		s.finish(now, t, wire.TaskState_TASK_STATE_FAILED, run.GetResult(), TaskKindBroken)
+		s.finish(now, t, wire.TaskState_TASK_STATE_FAILED, run.GetResult(), TaskKindFailsEverywhere)
 		return
 	}
 	if !s.quarantine.Aside(w.name) {
 		s.updateRow(t, func(r *wire.TaskRow) { r.Failures++ })
 	}
 	if int(t.row.GetFailures()) >= s.kindSettings(t).FailureLimit {
-		s.finish(now, t, wire.TaskState_TASK_STATE_FAILED, run.GetResult(), TaskGivenUp)
+		s.finish(now, t, wire.TaskState_TASK_STATE_FAILED, run.GetResult(), TaskAtFailureLimit)
 		return
 	}
 	t.lastFailedOn = w.name
@@ -319,7 +319,7 @@
 		}
 		s.requeue(now, t, run.GetCheckpoint(), TaskEvicted, w.name+": checkpoint "+run.GetCheckpoint())
 	default:
-		s.finish(now, t, wire.TaskState_TASK_STATE_UNKNOWN, "stopped without a checkpoint", TaskDoubtful)
+		s.finish(now, t, wire.TaskState_TASK_STATE_UNKNOWN, "stopped without a checkpoint", TaskOutcomeUnknown)
 	}
 }
 
--- a/pkg/process/hall/workers.go
+++ b/pkg/process/hall/workers.go
@@ -237,7 +237,7 @@
 	w.account.Adopt(name, ledger.FromWire(r.GetSize()))
 	if !current {
 		w.syncSoon = true
-		s.note(now, w.object(), TaskOutOfBounds, name)
+		s.note(now, w.object(), StrayAttemptStopped, name)
 		return
 	}
 	t.startSent = true
