--- a/pkg/process/hall/evict.go
+++ b/pkg/process/hall/evict.go
@@ -6,18 +6,19 @@
 	"github.com/wrenferry/wrenferry/pkg/process/ledger"
 )
 
-// Eviction: making room for urgent work.
+// Eviction of tasks of lower priority to make room for an urgent task.
 
-// makeRoom evicts for an urgent task, on the worker where that costs least. Room
-// that is already coming free is waited for and not made twice.
+// makeRoom evicts tasks for an urgent task, on the worker that needs the fewest
+// evictions. It evicts none if the stops already requested on a worker make room
+// enough: the task waits for them.
 func (s *State) makeRoom(r *round, t *task) {
 	size := t.size()
 	var best []*task
 	var on *worker
 	for _, w := range r.workers {
-		free := w.account.Free().Plus(s.stopping(w)).Minus(w.made)
+		free := w.account.Free().Plus(s.sizeBeingStopped(w)).Minus(w.reservedForUrgent)
 		if size.Fits(free) {
-			w.made = w.made.Plus(size)
+			w.reservedForUrgent = w.reservedForUrgent.Plus(size)
 			return
 		}
 		victims := s.victims(t, w, free)
@@ -29,30 +30,33 @@
 		s.note(r.now, t.object(), TaskNoRoom, "nothing of lower priority to evict")
 		return
 	}
-	on.made = on.made.Plus(size)
+	on.reservedForUrgent = on.reservedForUrgent.Plus(size)
 	for _, v := range best {
-		s.note(r.now, v.object(), TaskMakingRoom, "for "+t.row.GetId())
-		s.askStop(r.now, v, evicted)
+		s.note(r.now, v.object(), TaskEvictedForUrgent, "for "+t.row.GetId())
+		s.requestStop(r.now, v, evicted)
 	}
 }
 
-// stopping sums what is being stopped on a worker.
-func (s *State) stopping(w *worker) ledger.Size {
+// sizeBeingStopped returns the total size of the tasks on a worker that were
+// asked to stop and still hold room.
+func (s *State) sizeBeingStopped(w *worker) ledger.Size {
 	var sum ledger.Size
 	for _, t := range w.tasks {
-		if t.stop != notStopping && w.account.Holds(t.name()) {
+		if t.stop != notStopping && w.account.Holds(t.attemptName()) {
 			sum = sum.Plus(t.size())
 		}
 	}
 	return sum
 }
 
-// victims picks the fewest tasks of lower priority whose end makes room, those
-// that have run for the shortest time first: they are the cheapest to resume.
+// victims returns the tasks to evict from a worker so that t fits: the lowest
+// priority first, and within a priority the shortest run first, which is the
+// cheapest to resume. It returns nil if all tasks of lower priority together do
+// not make enough room.
 func (s *State) victims(t *task, w *worker, free ledger.Size) []*task {
 	var lower []*task
 	for _, v := range w.tasks {
-		if v.row.GetPriority() < t.row.GetPriority() && v.stop == notStopping && w.account.Holds(v.name()) {
+		if v.row.GetPriority() < t.row.GetPriority() && v.stop == notStopping && w.account.Holds(v.attemptName()) {
 			lower = append(lower, v)
 		}
 	}
--- a/pkg/process/hall/explain.go
+++ b/pkg/process/hall/explain.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Explain answers "wrenferry explain NAME": the facts kept about an object and,
-// for a job, about its tasks; last, what it is now and what it waits for.
+// Explain returns the answer to "wrenferry explain NAME": the recorded facts of
+// the object and, for a job, of its tasks, by time; then the current state of
+// each and what it waits for.
 func (s *State) Explain(now time.Time, name string) []Fact {
 	var facts []Fact
 	for _, object := range s.objects(name) {
@@ -17,10 +18,10 @@
 		facts = append(facts, known...)
 	}
 	slices.SortStableFunc(facts, func(a, b Fact) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
-	return append(facts, s.presently(now, name)...)
+	return append(facts, s.currentFacts(now, name)...)
 }
 
-// objects lists the objects that a name may stand for.
+// objects returns the objects that a name may refer to.
 func (s *State) objects(name string) []string {
 	objects := []string{name, "job/" + name, "task/" + name, "worker/" + name}
 	for _, object := range s.facts.Keys() {
@@ -31,8 +32,9 @@
 	return objects
 }
 
-// presently says what the object is at this moment.
-func (s *State) presently(now time.Time, name string) []Fact {
+// currentFacts returns facts with the reason "now", which describe the current
+// state of the named task, job, worker or hall.
+func (s *State) currentFacts(now time.Time, name string) []Fact {
 	var facts []Fact
 	say := func(object, detail string) {
 		facts = append(facts, Fact{At: now, Object: object, Reason: "now", Detail: detail})
@@ -44,21 +46,23 @@
 	}
 	if w := s.workers[name]; w != nil {
 		say(w.object(), fmt.Sprintf("reached %t, incarnation %q, %d tasks, free %+v, last heard %s ago",
-			w.raised, w.reported, len(w.tasks), w.account.Free(), now.Sub(w.markAt).Round(time.Millisecond)))
+			w.reached, w.reportedIncarnation, len(w.tasks), w.account.Free(), now.Sub(w.markReceivedAt).Round(time.Millisecond)))
 	}
 	if name == s.hall {
-		say(s.hall, fmt.Sprintf("%s, epoch %d, %+v", s.lead.Role(), s.lead.Epoch(), s.Counts()))
+		say(s.hall, fmt.Sprintf("%s, epoch %d, %+v", s.leadership.Role(), s.leadership.Epoch(), s.Counts()))
 	}
 	slices.SortFunc(facts, func(a, b Fact) int { return cmp.Compare(a.Object, b.Object) })
 	return facts
 }
 
+// describe returns the state of a task, what it waits for, and the reason of its
+// last change.
 func (t *task) describe() string {
 	text := fmt.Sprintf("%s, attempt %d", strings.ToLower(strings.TrimPrefix(t.row.GetState().String(), "TASK_STATE_")), t.row.GetAttempt())
 	switch {
 	case t.running:
 		text += " running on " + t.row.GetWorker()
-	case t.placed() && !t.clean():
+	case t.placed() && !t.isCommitted():
 		text += " for " + t.row.GetWorker() + ", waits for the table"
 	case t.placed():
 		text += " on " + t.row.GetWorker() + ", waits for room or for the worker's answer"
--- a/pkg/process/hall/reasons.go
+++ b/pkg/process/hall/reasons.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Reason is why something was decided. Reasons are typed: they are counted as
-// metrics and shown by "wrenferry explain".
+// Reason is the reason of a decision. Metrics count decisions by reason, and
+// "wrenferry explain" shows it.
 type Reason string
 
-// The reasons for what happens to a hall, a worker, a job or a task.
+// The reasons of decisions about a hall, a worker, a job or a task.
 const (
 	ClaimedLeadership  Reason = "claimed-leadership"
 	LostLeadership     Reason = "lost-leadership"
@@ -28,30 +28,31 @@
 	JobEnded     Reason = "job-ended"
 	JobCancelled Reason = "job-cancelled-by-caller"
 
-	TaskPlaced      Reason = "task-placed"
-	TaskAhead       Reason = "task-committed-ahead"
-	TaskMoved       Reason = "task-moved-to-where-room-is"
-	TaskStarted     Reason = "task-start-sent"
-	TaskRunning     Reason = "task-running"
-	TaskFinished    Reason = "task-finished"
-	TaskFailed      Reason = "task-failed"
-	TaskGivenUp     Reason = "task-failed-too-often"
-	TaskEvicting    Reason = "task-asked-to-checkpoint"
-	TaskEvicted     Reason = "task-stopped-with-checkpoint"
-	TaskThrottled   Reason = "task-throttled-for-service"
-	TaskRestored    Reason = "task-throttle-lifted"
-	TaskRequeued    Reason = "task-lost-with-worker"
-	TaskDoubtful    Reason = "task-may-have-run"
-	TaskNoRoom      Reason = "no-worker-has-room"
-	TaskOverQuota   Reason = "team-at-its-quota"
-	TaskNeverFits   Reason = "larger-than-any-worker"
-	TaskKindBroken  Reason = "kind-fails-everywhere"
-	TaskCancelled   Reason = "task-cancelled"
-	TaskMakingRoom  Reason = "evicted-for-urgent-work"
-	TaskOutOfBounds Reason = "stray-attempt-stopped"
+	TaskPlaced              Reason = "task-placed"
+	TaskCommittedAhead      Reason = "task-committed-ahead"
+	TaskMoved               Reason = "task-moved-to-where-room-is"
+	TaskStarted             Reason = "task-start-sent"
+	TaskRunning             Reason = "task-running"
+	TaskFinished            Reason = "task-finished"
+	TaskFailed              Reason = "task-failed"
+	TaskAtFailureLimit      Reason = "task-failed-too-often"
+	TaskEvicting            Reason = "task-asked-to-checkpoint"
+	TaskEvicted             Reason = "task-stopped-with-checkpoint"
+	TaskThrottled           Reason = "task-throttled-for-service"
+	TaskRestored            Reason = "task-throttle-lifted"
+	TaskRequeued            Reason = "task-lost-with-worker"
+	TaskOutcomeUnknown      Reason = "task-may-have-run"
+	TaskNoRoom              Reason = "no-worker-has-room"
+	TaskOverQuota           Reason = "team-at-its-quota"
+	TaskNeverFits           Reason = "larger-than-any-worker"
+	TaskKindFailsEverywhere Reason = "kind-fails-everywhere"
+	TaskCancelled           Reason = "task-cancelled"
+	TaskEvictedForUrgent    Reason = "evicted-for-urgent-work"
+	StrayAttemptStopped     Reason = "stray-attempt-stopped"
 )
 
-// Fact is one decision with its evidence.
+// Fact is a recorded decision about an object: a hall's name, or a kind and a
+// name, such as "task/ID". Detail holds the evidence.
 type Fact struct {
 	At     time.Time
 	Object string
--- a/pkg/process/hall/workers.go
+++ b/pkg/process/hall/workers.go
@@ -9,14 +9,15 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Workers as the leader knows them, and what their replies change.
+// The leader's records of workers, and the handling of their replies.
 //
-// A worker's lease is a moment on the worker's own clock. Each reply carries a
-// reading of that clock (a mark); the next message may grant until that mark
-// plus the lease time. The mark was read before the reply came in, so by the
-// leader's clock the lease is over no later than the reply's arrival plus the
-// lease time, however long the message is on its way. No two clocks need agree
-// on the time, only on the length of a second, to within the margin.
+// A worker's lease ends at a time of the worker's own clock. Each reply carries
+// a reading of that clock (a mark); the next message may grant a lease until
+// that mark plus the lease time. The worker reads the mark before the leader
+// receives the reply. So, by the leader's clock, the lease ends no later than
+// the arrival of the reply plus the lease time, however long the message takes.
+// Clocks need not agree on the time, only on the length of a second, to within
+// the margin.
 
 // worker is one worker of this hall.
 type worker struct {
@@ -26,64 +27,65 @@
 	listed  bool
 	leaving bool
 
-	registered  string // the incarnation that the table holds
-	registering string
-	reported    string // the incarnation that last answered
+	registeredIncarnation  string // the incarnation that the table holds
+	registeringIncarnation string // the incarnation in the pending commit, or in an earlier one
+	reportedIncarnation    string // the incarnation of the last reply
 
-	raised    bool // has answered at this leader's epoch
-	mark      int64
-	markAt    time.Time
-	leaseOver time.Time // when any lease that this leader knows of is over
+	reached        bool  // has answered in this leader's epoch
+	mark           int64 // the worker's clock in its last reply, in milliseconds
+	markReceivedAt time.Time
+	leaseExpiresAt time.Time // when the last lease known to this leader ends
 
-	whole    ledger.Size
-	account  *ledger.Worker
-	made     ledger.Size // room made for urgent tasks that still wait, as of the last round
-	runs     map[string]*wire.Run
-	tasks    map[string]*task
-	services []string
-	guard    *interference.Guard
-	samples  map[string]time.Time
+	totalCapacity     ledger.Size // including the share of the services
+	account           *ledger.Worker
+	reservedForUrgent ledger.Size          // room of evictions for urgent tasks that still wait, recomputed each round
+	runs              map[string]*wire.Run // the attempts in the last reply, by attempt name
+	tasks             map[string]*task     // the tasks placed on this worker, by id
+	services          []string             // the services in the samples of the last reply
+	guard             *interference.Guard
+	lastSampleAt      map[string]time.Time
 
-	inFlight bool
+	inFlight bool // a message awaits its reply
 	nextSync time.Time
-	news     bool // has something to be told at once
+	syncSoon bool // the next message is due after minSyncInterval, not at nextSync
 }
 
 func (w *worker) object() string { return "worker/" + w.name }
 
-// worker finds or makes the record of a worker.
+// worker returns the record of a worker, and creates it if there is none.
 func (s *State) worker(name string) *worker {
 	w := s.workers[name]
 	if w == nil {
-		w = &worker{name: name, guard: interference.NewGuard(s.model), samples: map[string]time.Time{}}
-		w.newEpoch()
-		w.forget()
+		w = &worker{name: name, guard: interference.NewGuard(s.model), lastSampleAt: map[string]time.Time{}}
+		w.resetForEpoch()
+		w.clearLoaded()
 		s.workers[name] = w
 	}
 	return w
 }
 
-// newEpoch drops what was known under an earlier epoch of this process.
-func (w *worker) newEpoch() {
-	w.registered = ""
-	w.registering = ""
-	w.reported = ""
-	w.markAt = time.Time{}
+// resetForEpoch drops the state of the worker from an earlier epoch of this
+// process.
+func (w *worker) resetForEpoch() {
+	w.registeredIncarnation = ""
+	w.registeringIncarnation = ""
+	w.reportedIncarnation = ""
+	w.markReceivedAt = time.Time{}
 	w.inFlight = false
 	w.nextSync = time.Time{}
-	w.leaseOver = time.Time{}
+	w.leaseExpiresAt = time.Time{}
 }
 
-// forget drops what a load and the worker's next reply bring anew.
-func (w *worker) forget() {
-	w.raised = false
+// clearLoaded drops the state that a load and the worker's next reply restore.
+func (w *worker) clearLoaded() {
+	w.reached = false
 	w.runs = nil
 	w.tasks = map[string]*task{}
 	w.account = ledger.NewWorker()
 }
 
-// takeHosts takes in the platform's list. A worker that has left the list is
-// kept as long as something may run on it.
+// takeHosts applies the platform's list of hosts. A worker that has left the
+// list keeps its record: tasks may still run there.
 func (s *State) takeHosts(hosts []*wire.Host) {
 	for _, w := range s.workers {
 		w.listed = false
@@ -97,8 +99,8 @@
 		w.rack = h.GetRack()
 		w.address = h.GetAddress()
 		w.leaving = h.GetLeaving()
-		if w.whole == (ledger.Size{}) {
-			w.whole = ledger.FromWire(h.GetCapacity())
+		if w.totalCapacity == (ledger.Size{}) {
+			w.totalCapacity = ledger.FromWire(h.GetCapacity())
 		}
 	}
 	for name, w := range s.workers {
@@ -117,88 +119,94 @@
 
 // ---------------------------------------------------------------- replies
 
-// syncRetry is how soon a worker that did not answer is asked again.
-const syncRetry = 500 * time.Millisecond
+// syncRetryDelay is the time from a failed message until the worker gets the next.
+const syncRetryDelay = 500 * time.Millisecond
 
+// takeSynced handles the answer to a message, or its loss. A reply with a higher
+// epoch means that another process leads.
 func (s *State) takeSynced(now time.Time, e Synced) {
 	w := s.workers[e.Worker]
-	if w == nil || e.Epoch != s.lead.Epoch() {
+	if w == nil || e.Epoch != s.leadership.Epoch() {
 		return
 	}
 	w.inFlight = false
 	if e.Err != nil {
-		w.nextSync = now.Add(syncRetry)
+		w.nextSync = now.Add(syncRetryDelay)
 		return
 	}
-	if e.Reply.GetEpoch() > s.lead.Epoch() {
-		s.lost(now, fmt.Sprintf("worker %s knows epoch %d", w.name, e.Reply.GetEpoch()))
+	if e.Reply.GetEpoch() > s.leadership.Epoch() {
+		s.leadershipLost(now, fmt.Sprintf("worker %s knows epoch %d", w.name, e.Reply.GetEpoch()))
 		return
 	}
 	if s.phase != leading {
-		w.mark, w.markAt = e.Reply.GetMark(), now
+		w.mark, w.markReceivedAt = e.Reply.GetMark(), now
 		return
 	}
 	s.takeReply(now, w, e.Reply)
 }
 
+// takeReply handles a worker's reply when the state is loaded.
 func (s *State) takeReply(now time.Time, w *worker, r *wire.SyncReply) {
-	if w.reported != r.GetIncarnation() {
+	if w.reportedIncarnation != r.GetIncarnation() {
 		s.newIncarnation(now, w, r.GetIncarnation())
 	}
-	w.mark, w.markAt = r.GetMark(), now
+	w.mark, w.markReceivedAt = r.GetMark(), now
 	if r.GetRefused() {
-		w.news = true
+		w.syncSoon = true
 		return
 	}
-	if !w.raised {
-		w.raised = true
-		w.news = true
+	if !w.reached {
+		w.reached = true
+		w.syncSoon = true
 		left := time.Duration(r.GetLeaseUntilMark()-r.GetMark()) * time.Millisecond
-		w.leaseOver = latest(w.leaseOver, now.Add(max(0, left)))
-		s.note(now, w.object(), WorkerReached, fmt.Sprintf("epoch %d, incarnation %s", s.lead.Epoch(), w.reported))
+		w.leaseExpiresAt = laterOf(w.leaseExpiresAt, now.Add(max(0, left)))
+		s.note(now, w.object(), WorkerReached, fmt.Sprintf("epoch %d, incarnation %s", s.leadership.Epoch(), w.reportedIncarnation))
 	}
-	w.whole = ledger.FromWire(r.GetCapacity())
-	w.account.SetCapacity(w.whole, ledger.FromWire(r.GetServices()))
+	w.totalCapacity = ledger.FromWire(r.GetCapacity())
+	w.account.SetCapacity(w.totalCapacity, ledger.FromWire(r.GetServices()))
 	s.takeRuns(now, w, r.GetRuns())
 	s.takeSamples(now, w, r.GetSamples())
 }
 
-// newIncarnation handles a worker that has started afresh. All that ran on the
-// incarnation before is over, for good. Nothing is granted to the new one until
-// the table holds its name. In the model: Worker.reboot and Leader.register.
+// newIncarnation handles a worker that has restarted. All attempts of the
+// previous incarnation are over, and their results are lost. The new incarnation
+// gets no lease until the table holds its name. In the model: Worker.reboot and
+// Leader.register.
 func (s *State) newIncarnation(now time.Time, w *worker, incarnation string) {
-	w.reported = incarnation
-	w.leaseOver = time.Time{}
-	w.raised = false
+	w.reportedIncarnation = incarnation
+	w.leaseExpiresAt = time.Time{}
+	w.reached = false
 	if s.unsafe.NoRegistration {
-		w.registered = incarnation
+		w.registeredIncarnation = incarnation
 	}
-	if w.registered == incarnation {
+	if w.registeredIncarnation == incarnation {
 		return
 	}
-	if w.registered != "" {
+	if w.registeredIncarnation != "" {
 		s.note(now, w.object(), WorkerRestarted, incarnation)
 	}
 	w.account = ledger.NewWorker()
 	w.runs = nil
 	for _, t := range w.tasks {
-		s.lose(now, t, true, w.name+" started afresh")
+		s.loseAttempt(now, t, true, w.name+" started afresh")
 	}
-	s.changed.workers[w.name] = true
+	s.unwritten.workers[w.name] = true
 }
 
-// registered takes in that the table holds the worker's incarnation.
-func (s *State) registered(now time.Time, name string) {
+// workerRegistered handles the commit that wrote a worker's incarnation to the
+// table.
+func (s *State) workerRegistered(now time.Time, name string) {
 	w := s.workers[name]
 	if w == nil {
 		return
 	}
-	w.registered = w.registering
-	w.news = true
-	s.note(now, w.object(), WorkerRegistered, w.registered)
+	w.registeredIncarnation = w.registeringIncarnation
+	w.syncSoon = true
+	s.note(now, w.object(), WorkerRegistered, w.registeredIncarnation)
 }
 
-// takeRuns compares what the worker holds with what it should hold.
+// takeRuns compares the attempts that the worker lists with the tasks that are
+// placed there.
 func (s *State) takeRuns(now time.Time, w *worker, runs []*wire.Run) {
 	w.runs = make(map[string]*wire.Run, len(runs))
 	for _, r := range runs {
@@ -207,32 +215,33 @@
 		s.takeRun(now, w, name, r)
 	}
 	for _, t := range w.tasks {
-		if w.runs[t.name()] == nil && t.startSent && t.row.GetIncarnation() == w.registered {
-			s.missing(now, w, t)
+		if w.runs[t.attemptName()] == nil && t.startSent && t.row.GetIncarnation() == w.registeredIncarnation {
+			s.startMissing(now, w, t)
 		}
 	}
 	s.releaseEnded(w)
 }
 
+// takeRun compares an attempt that the worker lists with the task placed there.
 func (s *State) takeRun(now time.Time, w *worker, name string, r *wire.Run) {
 	t := w.tasks[r.GetTaskId()]
 	current := t != nil && t.row.GetAttempt() == r.GetAttempt()
 	if r.GetState() != wire.RunState_RUN_STATE_RUNNING {
 		w.account.Release(name)
-		w.news = true // it wants to hear that the end is recorded
+		w.syncSoon = true // the worker keeps the end until it is told that the table holds it
 		if current {
-			s.ended(now, w, t, r)
+			s.attemptEnded(now, w, t, r)
 		}
 		return
 	}
 	w.account.Adopt(name, ledger.FromWire(r.GetSize()))
 	if !current {
-		w.news = true
-		s.note(now, w.object(), TaskOutOfBounds, name)
+		w.syncSoon = true
+		s.note(now, w.object(), StrayAttemptStopped, name)
 		return
 	}
 	t.startSent = true
-	t.lostAt = time.Time{}
+	t.inDoubtSince = time.Time{}
 	if !t.running {
 		t.running = true
 		t.runningAt = now
@@ -240,45 +249,49 @@
 	}
 }
 
-// startTriesMost is how often a start is sent to a worker that answers and yet
-// doesn't take it.
-const startTriesMost = 3
+// maxUnackedStarts is how many replies may omit a start that was sent, before
+// the attempt counts as lost.
+const maxUnackedStarts = 3
 
-// missing handles a start that the worker doesn't list. One that never ran is
-// sent again: the worker refuses the earlier message by its sequence. One that
-// ran and is gone was lost there, and so was one that the worker refuses again
-// and again: it must have met that attempt before.
-func (s *State) missing(now time.Time, w *worker, t *task) {
-	t.startTries++
-	if t.running || !t.lostAt.IsZero() || t.startTries > startTriesMost {
-		w.account.Release(t.name())
-		s.lose(now, t, true, w.name+" no longer has it")
+// startMissing handles an attempt whose start was sent and that the worker's
+// reply doesn't list. The start of an attempt that never ran is sent again: the
+// worker refuses the earlier message by its sequence number. An attempt that has
+// run is lost. So is one that the worker refuses maxUnackedStarts times: the
+// worker must have had that attempt before.
+func (s *State) startMissing(now time.Time, w *worker, t *task) {
+	t.unackedStarts++
+	if t.running || !t.inDoubtSince.IsZero() || t.unackedStarts > maxUnackedStarts {
+		w.account.Release(t.attemptName())
+		s.loseAttempt(now, t, true, w.name+" no longer has it")
 		return
 	}
 	t.startSent = false
 	if t.stop != notStopping {
 		cause := t.stop
 		t.stop = notStopping
-		s.askStop(now, t, cause)
+		s.requestStop(now, t, cause)
 	}
 }
 
-// releaseEnded takes back bookings of attempts that neither run nor are to run.
+// releaseEnded releases the reservations of attempts that neither run nor are
+// assigned to the worker.
 func (s *State) releaseEnded(w *worker) {
 	for _, name := range w.account.Names() {
 		r := w.runs[name]
 		if r.GetState() == wire.RunState_RUN_STATE_RUNNING {
 			continue
 		}
-		if !s.wanted(w, name) {
+		if !s.isAssigned(w, name) {
 			w.account.Release(name)
 		}
 	}
 }
 
-func (s *State) wanted(w *worker, name string) bool {
+// isAssigned reports whether the attempt is the current one of a task that is
+// placed on the worker.
+func (s *State) isAssigned(w *worker, name string) bool {
 	for _, t := range w.tasks {
-		if t.name() == name {
+		if t.attemptName() == name {
 			return true
 		}
 	}
@@ -287,43 +300,47 @@
 
 // ------------------------------------------------------------------- loss
 
-// checkWorkers looks for workers whose lease is surely over.
-func (s *State) checkWorkers(now time.Time) {
+// loseExpiredWorkers treats each worker with tasks as lost whose lease has
+// certainly expired.
+func (s *State) loseExpiredWorkers(now time.Time) {
 	for _, w := range s.workers {
-		if len(w.tasks) == 0 || !s.leaseSurelyOver(now, w) {
+		if len(w.tasks) == 0 || !s.leaseCertainlyExpired(now, w) {
 			continue
 		}
-		s.loseWorker(now, w)
+		s.workerLost(now, w)
 	}
 }
 
-// leaseSurelyOver says whether nothing granted to the worker, by this leader or
-// an earlier one, can still be alive. In the model: Leader.giveup.
-func (s *State) leaseSurelyOver(now time.Time, w *worker) bool {
-	if !w.markAt.IsZero() && now.Sub(w.markAt) < s.fleet().Lease {
-		return false // it answers
+// leaseCertainlyExpired reports whether every lease that this leader or a
+// predecessor granted to the worker has expired. In the model: Leader.giveup.
+func (s *State) leaseCertainlyExpired(now time.Time, w *worker) bool {
+	if !w.markReceivedAt.IsZero() && now.Sub(w.markReceivedAt) < s.fleet().Lease {
+		return false // the worker still answers
 	}
-	over := w.leaseOver
-	if !w.raised && !s.unsafe.NoTenureWait {
-		over = latest(over, s.lead.PredecessorsOver())
+	over := w.leaseExpiresAt
+	if !w.reached && !s.unsafe.NoTenureWait {
+		over = laterOf(over, s.leadership.PredecessorsOver())
 	}
 	return now.After(over)
 }
 
-func (s *State) loseWorker(now time.Time, w *worker) {
+// workerLost handles a worker whose lease has certainly expired: all its attempts
+// are over.
+func (s *State) workerLost(now time.Time, w *worker) {
 	s.note(now, w.object(), WorkerLost, fmt.Sprintf("%d tasks", len(w.tasks)))
 	w.account = ledger.NewWorker()
 	w.runs = nil
-	w.raised = false
-	w.leaseOver = now
+	w.reached = false
+	w.leaseExpiresAt = now
 	for _, t := range w.tasks {
 		if t.placed() {
-			s.lose(now, t, false, w.name+" does not answer")
+			s.loseAttempt(now, t, false, w.name+" does not answer")
 		}
 	}
 }
 
-func latest(a, b time.Time) time.Time {
+// laterOf returns the later of two times.
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
