--- a/pkg/request/admit/budget.go
+++ b/pkg/request/admit/budget.go
@@ -13,15 +13,15 @@
 // maxSavedRetries is how many retries may be saved up.
 const maxSavedRetries = 10
 
-// First notes a first try; percent is the share that retries may have.
-func (b *Budget) First(percent int) {
+// RecordFirstTry notes a first try; percent is the share that retries may have.
+func (b *Budget) RecordFirstTry(percent int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(maxSavedRetries, b.tokens+float64(percent)/100)
 }
 
-// Retry says whether one more try may be made.
-func (b *Budget) Retry() bool {
+// AllowRetry says whether one more try may be made.
+func (b *Budget) AllowRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/pkg/request/admit/gate.go
+++ b/pkg/request/admit/gate.go
@@ -51,8 +51,8 @@
 	priority int
 	// Turn is closed when the waiter is first in line.
 	Turn chan struct{}
-	// Out is closed when the waiter has been pushed out.
-	Out   chan struct{}
+	// Displaced is closed when the waiter has been pushed out.
+	Displaced     chan struct{}
 	turnAnnounced bool
 }
 
@@ -80,14 +80,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	place := g.position(priority)
-	wait := Wait(place, load)
+	wait := EstimateWait(place, load)
 	if wait > left {
 		return nil, &Refusal{WouldBeLate, max(minRetryAfter, wait-left+load.Latency)}
 	}
-	if len(g.waiting) >= limit && !g.pushOut(priority) {
-		return nil, &Refusal{QueueFull, max(minRetryAfter, Wait(len(g.waiting), load))}
+	if len(g.waiting) >= limit && !g.displaceLast(priority) {
+		return nil, &Refusal{QueueFull, max(minRetryAfter, EstimateWait(len(g.waiting), load))}
 	}
-	w := &Waiter{priority: priority, Turn: make(chan struct{}), Out: make(chan struct{})}
+	w := &Waiter{priority: priority, Turn: make(chan struct{}), Displaced: make(chan struct{})}
 	g.waiting = slices.Insert(g.waiting, place, w)
 	g.announceTurn()
 	return w, nil
@@ -102,8 +102,8 @@
 	return i
 }
 
-// pushOut drops the last waiter if its priority is lower.
-func (g *Gate) pushOut(priority int) bool {
+// displaceLast drops the last waiter if its priority is lower.
+func (g *Gate) displaceLast(priority int) bool {
 	if len(g.waiting) == 0 {
 		return false
 	}
@@ -112,7 +112,7 @@
 		return false
 	}
 	g.waiting = g.waiting[:len(g.waiting)-1]
-	close(last.Out)
+	close(last.Displaced)
 	return true
 }
 
@@ -140,9 +140,9 @@
 	g.announceTurn()
 }
 
-// Wait estimates how long a request at the given place in line waits and is
+// EstimateWait estimates how long a request at the given place in line waits and is
 // served, when the servers turn over so many slots in each answer time.
-func Wait(place int, load Load) time.Duration {
+func EstimateWait(place int, load Load) time.Duration {
 	if load.Slots <= 0 {
 		return math.MaxInt64
 	}
--- a/pkg/request/binding/binding.go
+++ b/pkg/request/binding/binding.go
@@ -47,10 +47,10 @@
 
 // Entry is one key's life at this host.
 type Entry struct {
-	state  State
-	askedByPeer  bool // another host has asked: from now on this host must ask too
-	answer any  // what the caller was told, for one that asks again here
-	done   chan struct{}
+	state       State
+	askedByPeer bool // another host has asked: from now on this host must ask too
+	answer      any  // what the caller was told, for one that asks again here
+	done        chan struct{}
 }
 
 // Keys is what one entry host remembers. It is safe for many goroutines.
@@ -78,8 +78,8 @@
 	return now.Sub(latest(k.started, k.entries.LostUntil()))
 }
 
-// Begun is what Begin found.
-type Begun struct {
+// BeginResult is what Begin found.
+type BeginResult struct {
 	// Fresh: the key is new here, or is known not to have run, and is now this
 	// call's to run.
 	Fresh bool
@@ -90,15 +90,15 @@
 }
 
 // Begin takes a key in, for the length of the window.
-func (k *Keys) Begin(now time.Time, key Key, window time.Duration) Begun {
+func (k *Keys) Begin(now time.Time, key Key, window time.Duration) BeginResult {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e, ok := k.entries.Get(now, key)
 	if ok && e.state != Promised && e.state != NotRun && e.state != Yielded {
-		return Begun{Earlier: e}
+		return BeginResult{Earlier: e}
 	}
 	k.entries.Put(now, key, &Entry{state: Asking, done: make(chan struct{})}, window)
-	return Begun{Fresh: true, MustAsk: ok && e.askedByPeer}
+	return BeginResult{Fresh: true, MustAsk: ok && e.askedByPeer}
 }
 
 // Answer answers another host's question, and leaves a promise.
--- a/pkg/request/cellchoice/cost.go
+++ b/pkg/request/cellchoice/cost.go
@@ -34,7 +34,7 @@
 type demand struct {
 	lastingMillicores, plainCoreMs, fillerCoreMs int64
 	// lastingImage is the image of the lasting tasks, fillers the work by image.
-	lastingImage string
+	lastingImage        string
 	fillerCoreMsByImage map[string]int64
 }
 
--- a/pkg/request/gateway/gateway.go
+++ b/pkg/request/gateway/gateway.go
@@ -70,10 +70,10 @@
 	now      func() time.Time
 	unsafe   Unsafe
 
-	mu       sync.Mutex
-	services map[string]*service
-	largest  *wire.Size // the largest worker listed
-	drained  chan struct{}
+	mu            sync.Mutex
+	services      map[string]*service
+	largestWorker *wire.Size // the largest worker listed
+	draining      chan struct{}
 }
 
 // service is what outlives the requests of one service.
@@ -111,7 +111,7 @@
 	return &Gateway{
 		hall: c.Hall, settings: c.Settings, peers: c.Peers, table: c.Table, keys: c.Keys,
 		client: runner.NewClient(c.Connections), metrics: c.Metrics, now: time.Now, unsafe: c.Unsafe,
-		services: map[string]*service{}, drained: make(chan struct{}),
+		services: map[string]*service{}, draining: make(chan struct{}),
 	}
 }
 
@@ -129,9 +129,9 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
-	case <-g.drained:
+	case <-g.draining:
 	default:
-		close(g.drained)
+		close(g.draining)
 	}
 }
 
@@ -161,11 +161,11 @@
 			}
 			byService[h.GetService()] = append(byService[h.GetService()], h)
 		case h.GetCapacity() != nil:
-			largest = larger(largest, h.GetCapacity())
+			largest = maxSize(largest, h.GetCapacity())
 		}
 	}
 	g.mu.Lock()
-	g.largest = largest
+	g.largestWorker = largest
 	for name := range g.services {
 		if _, ok := byService[name]; !ok {
 			byService[name] = nil
@@ -177,7 +177,7 @@
 	}
 }
 
-func larger(a, b *wire.Size) *wire.Size {
+func maxSize(a, b *wire.Size) *wire.Size {
 	if a == nil {
 		return b
 	}
--- a/pkg/request/gateway/jobs.go
+++ b/pkg/request/gateway/jobs.go
@@ -29,12 +29,12 @@
 const (
 	// maxTasks keeps the end of a job within one transaction.
 	maxTasks = 500
-	// submitTries is how often a submission without an answer is repeated
+	// maxCommitTries is how often a submission without an answer is repeated
 	// before the caller is told that it is unknown.
-	submitTries = 2
+	maxCommitTries = 2
 )
 
-var keyForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.:-]{0,127}$`)
+var keyPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.:-]{0,127}$`)
 
 // JobView is what a caller reads of its job.
 type JobView struct {
@@ -63,7 +63,7 @@
 	row, err := g.submit(w, r, tree)
 	if err != nil {
 		g.count("jobs.refused." + string(fault.CodeOf(err)))
-		fromFault(err).write(w, tree.Version())
+		faultAnswer(err).write(w, tree.Version())
 		return
 	}
 	g.count("jobs.accepted")
@@ -74,7 +74,7 @@
 func writeJob(w http.ResponseWriter, status int, row *wire.JobRow, version int64) {
 	body, err := json.Marshal(ViewOf(row))
 	if err != nil {
-		fromFault(fault.New(fault.Internal, row.GetKey(), "the job can't be shown", "").WithCause(err)).write(w, version)
+		faultAnswer(fault.New(fault.Internal, row.GetKey(), "the job can't be shown", "").WithCause(err)).write(w, version)
 		return
 	}
 	header := http.Header{"Content-Type": []string{"application/json"}}
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	if kind.Type != settings.TypeJob {
-		return nil, wrongType(kind)
+		return nil, wrongTypeError(kind)
 	}
 	if state := g.settings.ServiceState(kind.Service); state == Draining || state == Stopped {
 		return nil, fault.New(fault.NotRun, kind.Service, "the service is "+state, "an operator must start it")
@@ -102,7 +102,7 @@
 // newJob checks a submission and makes its row.
 func (g *Gateway) newJob(w http.ResponseWriter, r *http.Request, kind settings.Kind, version int64) (*wire.JobRow, error) {
 	key := r.Header.Get(KeyHeader)
-	if !keyForm.MatchString(key) {
+	if !keyPattern.MatchString(key) {
 		return nil, fault.New(fault.BadInput, KeyHeader, fmt.Sprintf("%q is not a key", key),
 			"send a key of your own that is unique to the job: letters, digits and _.:- , at most 128")
 	}
@@ -141,7 +141,7 @@
 // checkSize refuses a job that no listed worker could ever run.
 func (g *Gateway) checkSize(kind settings.Kind) error {
 	g.mu.Lock()
-	largest := g.largest
+	largest := g.largestWorker
 	g.mu.Unlock()
 	size, most := capacity.FromWire(kind.Size), capacity.FromWire(largest)
 	if largest == nil || size.Fits(most) {
@@ -162,7 +162,7 @@
 			rows.Put(inbox, &wire.InboxRow{Verb: rows.Submit, JobKey: row.GetKey()}),
 		},
 	}
-	reply, err := g.commitSurely(ctx, req)
+	reply, err := g.commitWithRetries(ctx, req)
 	if err != nil {
 		return nil, err
 	}
@@ -179,13 +179,13 @@
 	return known, nil
 }
 
-// commitSurely repeats a commit whose answer was lost. Its condition makes the
+// commitWithRetries repeats a commit whose answer was lost. Its condition makes the
 // repeat harmless. What never left this host did not run.
-func (g *Gateway) commitSurely(ctx context.Context, req *wire.CommitRequest) (*wire.CommitReply, error) {
+func (g *Gateway) commitWithRetries(ctx context.Context, req *wire.CommitRequest) (*wire.CommitReply, error) {
 	var reply *wire.CommitReply
 	var err error
 	sent := false
-	for range submitTries {
+	for range maxCommitTries {
 		reply, err = g.table.Commit(ctx, req)
 		if err == nil {
 			return reply, nil
@@ -214,7 +214,7 @@
 	version := g.settings.Current().Version()
 	job, err := g.readJob(r.Context(), r.PathValue("key"))
 	if err != nil {
-		fromFault(err).write(w, version)
+		faultAnswer(err).write(w, version)
 		return
 	}
 	writeJob(w, http.StatusOK, job, version)
@@ -224,7 +224,7 @@
 	version := g.settings.Current().Version()
 	job, err := g.EndJob(r.Context(), r.PathValue("key"), rows.Cancel, nil)
 	if err != nil {
-		fromFault(err).write(w, version)
+		faultAnswer(err).write(w, version)
 		return
 	}
 	g.count("jobs.cancels")
@@ -247,7 +247,7 @@
 	if audit != nil {
 		req.Puts = append(req.Puts, audit)
 	}
-	if _, err := g.commitSurely(ctx, req); err != nil {
+	if _, err := g.commitWithRetries(ctx, req); err != nil {
 		return nil, err
 	}
 	g.peers.WakeLeader(job.GetHall())
--- a/pkg/request/gateway/outcome.go
+++ b/pkg/request/gateway/outcome.go
@@ -59,8 +59,8 @@
 	Remedy  string  `json:"remedy,omitempty"`
 }
 
-// refused turns a refusal into an answer: nothing ran, come back then.
-func refused(r admit.Refusal, detail string) Answer {
+// refusedAnswer turns a refusal into an answer: nothing ran, come back then.
+func refusedAnswer(r admit.Refusal, detail string) Answer {
 	return Answer{
 		Outcome:    NotRun,
 		Reason:     string(r.Reason),
@@ -70,13 +70,13 @@
 	}
 }
 
-// unknown is the answer when nobody can say whether the work ran.
-func unknown(reason, detail string) Answer {
+// unknownAnswer is the answer when nobody can say whether the work ran.
+func unknownAnswer(reason, detail string) Answer {
 	return Answer{Outcome: Unknown, Reason: reason, Status: http.StatusGatewayTimeout, Body: []byte(detail)}
 }
 
-// fromFault turns a failure that came before anything ran into an answer.
-func fromFault(err error) Answer {
+// faultAnswer turns a failure that came before anything ran into an answer.
+func faultAnswer(err error) Answer {
 	code := fault.CodeOf(err)
 	a := Answer{Outcome: NotRun, Reason: string(code), Status: fault.Status(code), Body: []byte(err.Error())}
 	switch code {
--- a/pkg/request/gateway/request.go
+++ b/pkg/request/gateway/request.go
@@ -20,13 +20,13 @@
 
 // call is one request on its way.
 type call struct {
-	kind     settings.Kind
-	key      string
-	marked   bool
-	header   http.Header
-	body     []byte
-	deadline time.Time
-	service  *service
+	kind        settings.Kind
+	key         string
+	markedRetry bool
+	header      http.Header
+	body        []byte
+	deadline    time.Time
+	service     *service
 }
 
 func (g *Gateway) serveRequest(w http.ResponseWriter, r *http.Request) {
@@ -44,28 +44,28 @@
 func (g *Gateway) answerRequest(w http.ResponseWriter, r *http.Request, tree *settings.Tree, now time.Time) Answer {
 	kind, err := tree.Kind(r.PathValue("service"), r.PathValue("kind"))
 	if err != nil {
-		return fromFault(err)
+		return faultAnswer(err)
 	}
 	if kind.Type != settings.TypeRequest {
-		return fromFault(wrongType(kind))
+		return faultAnswer(wrongTypeError(kind))
 	}
 	c, err := g.parse(w, r, kind, now)
 	if err != nil {
-		return fromFault(err)
+		return faultAnswer(err)
 	}
 	if state := g.settings.ServiceState(kind.Service); state == Draining || state == Stopped {
-		return refused(admit.Refusal{Reason: admit.NotStarted, RetryAfter: 30 * time.Second},
+		return refusedAnswer(admit.Refusal{Reason: admit.NotStarted, RetryAfter: 30 * time.Second},
 			fmt.Sprintf("service %s is %s; an operator must start it", kind.Service, state))
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), c.deadline)
 	defer cancel()
 	if kind.Repeatable || c.key == "" {
-		return g.run(ctx, c)
+		return g.runWithRetries(ctx, c)
 	}
 	return g.runOnce(ctx, c)
 }
 
-func wrongType(kind settings.Kind) error {
+func wrongTypeError(kind settings.Kind) error {
 	return fault.New(fault.BadInput, kind.Service+"/"+kind.Name, "this kind is a "+kind.Type,
 		"use /v1/"+kind.Type+"s/ for it")
 }
@@ -85,13 +85,13 @@
 		deadline = min(deadline, time.Duration(n)*time.Millisecond)
 	}
 	return &call{
-		kind:     kind,
-		key:      r.Header.Get(KeyHeader),
-		marked:   r.Header.Get(RetryHeader) != "",
-		header:   forwarded(r.Header),
-		body:     body,
-		deadline: now.Add(deadline),
-		service:  g.service(kind.Service),
+		kind:        kind,
+		key:         r.Header.Get(KeyHeader),
+		markedRetry: r.Header.Get(RetryHeader) != "",
+		header:      forwarded(r.Header),
+		body:        body,
+		deadline:    now.Add(deadline),
+		service:     g.service(kind.Service),
 	}, nil
 }
 
@@ -114,92 +114,92 @@
 	key := binding.Key{Service: c.kind.Service, Kind: c.kind.Name, Key: c.key}
 	begun := g.keys.Begin(g.now(), key, c.kind.KeyWindow)
 	if !begun.Fresh {
-		return g.earlier(ctx, begun.Earlier)
+		return g.answerOfEarlierTry(ctx, begun.Earlier)
 	}
-	answer := g.runBound(ctx, c, key, begun.MustAsk || c.marked)
-	g.keys.End(g.now(), key, answer.Outcome != NotRun, kept(answer))
+	answer := g.runUnderKey(ctx, c, key, begun.MustAsk || c.markedRetry)
+	g.keys.End(g.now(), key, answer.Outcome != NotRun, cacheableAnswer(answer))
 	return answer
 }
 
-// keptBody is the largest body that is kept for a caller that asks again at the
+// maxCachedBody is the largest body that is kept for a caller that asks again at the
 // same entry host; it bounds what the keys of one window take.
-const keptBody = 8 << 10
+const maxCachedBody = 8 << 10
 
-// kept is what is remembered of an answer.
-func kept(answer Answer) any {
-	if len(answer.Body) > keptBody {
+// cacheableAnswer is what is remembered of an answer.
+func cacheableAnswer(answer Answer) any {
+	if len(answer.Body) > maxCachedBody {
 		return nil
 	}
 	return answer
 }
 
-// runBound asks the other entry hosts if need be, and runs. An unsure answer
+// runUnderKey asks the other entry hosts if need be, and runs. An unsure answer
 // stops a second try, but not a first one: nobody can have run that before.
-func (g *Gateway) runBound(ctx context.Context, c *call, key binding.Key, again bool) Answer {
+func (g *Gateway) runUnderKey(ctx context.Context, c *call, key binding.Key, again bool) Answer {
 	if !g.unsafe.NoAsk && (again || c.kind.AskPeers == settings.AskAlways) {
 		asked := g.peers.Ask(ctx, key.Question(c.kind.KeyWindow))
 		if asked.MaybeRan {
-			return unknown(string(admit.SeenElsewhere), "another entry host has had this key; look whether the work was done")
+			return unknownAnswer(string(admit.SeenElsewhere), "another entry host has had this key; look whether the work was done")
 		}
 		young := g.keys.Age(g.now()) < c.kind.KeyWindow
 		if again && (asked.Unsure || young) {
-			return unknown("no-entry-host-can-vouch", "an entry host is away or too young to vouch for this key; look whether the work was done, or ask again later")
+			return unknownAnswer("no-entry-host-can-vouch", "an entry host is away or too young to vouch for this key; look whether the work was done, or ask again later")
 		}
 		if asked.Unsure {
 			g.count("requests.first-try-unsure")
 		}
 	}
 	if !g.keys.Run(g.now(), key) {
-		return refused(admit.Refusal{Reason: admit.SeenElsewhere, RetryAfter: time.Second},
+		return refusedAnswer(admit.Refusal{Reason: admit.SeenElsewhere, RetryAfter: time.Second},
 			"another entry host took this key up at the same moment; ask again")
 	}
-	return g.run(ctx, c)
+	return g.runWithRetries(ctx, c)
 }
 
-// earlier gives a caller that asks again at the same entry host the answer of
+// answerOfEarlierTry gives a caller that asks again at the same entry host the answer of
 // the first try, as soon as there is one.
-func (g *Gateway) earlier(ctx context.Context, e *binding.Entry) Answer {
+func (g *Gateway) answerOfEarlierTry(ctx context.Context, e *binding.Entry) Answer {
 	if done := g.keys.Wait(e); done != nil {
 		select {
 		case <-done:
 		case <-ctx.Done():
-			return unknown("first-try-still-runs", "the first try under this key is still running; ask again")
+			return unknownAnswer("first-try-still-runs", "the first try under this key is still running; ask again")
 		}
 	}
 	if answer, ok := g.keys.AnswerOf(e).(Answer); ok {
 		return answer
 	}
-	return unknown("first-try-left-no-answer", "the first try under this key left no answer")
+	return unknownAnswer("first-try-left-no-answer", "the first try under this key left no answer")
 }
 
 // ------------------------------------------------------------------ tries
 
-// busyTries is how many servers may say that they are full before a further try
+// maxFreeRetries is how many servers may say that they are full before a further try
 // counts against the retry budget. A full server costs little to ask, and other
 // entry hosts' requests are why it was not known to be full.
-const busyTries = 4
+const maxFreeRetries = 4
 
-// run sends the request to one server after another until it is done, nobody
+// runWithRetries sends the request to one server after another until it is done, nobody
 // can say, or there is no use in going on.
-func (g *Gateway) run(ctx context.Context, c *call) Answer {
-	c.service.budget.First(c.kind.RetryBudget)
+func (g *Gateway) runWithRetries(ctx context.Context, c *call) Answer {
+	c.service.budget.RecordFirstTry(c.kind.RetryBudget)
 	tried := map[string]bool{}
 	for busy := 0; ; {
 		lease, refusal := g.acquire(ctx, c, tried)
 		if refusal != nil {
-			return refused(*refusal, "no server could take the request in time; come back later")
+			return refusedAnswer(*refusal, "no server could take the request in time; come back later")
 		}
 		tried[lease.Name] = true
-		answer, again := g.try(ctx, c, lease)
+		answer, again := g.sendOnce(ctx, c, lease)
 		if !again || ctx.Err() != nil {
 			return answer
 		}
-		if answer.Reason == string(admit.ServerFull) && busy < busyTries {
+		if answer.Reason == string(admit.ServerFull) && busy < maxFreeRetries {
 			busy++
 			g.count("requests.server-full")
 			continue
 		}
-		if !c.service.budget.Retry() {
+		if !c.service.budget.AllowRetry() {
 			g.count("requests.budget-spent")
 			return answer
 		}
@@ -207,9 +207,9 @@
 	}
 }
 
-// headWait is how long the first in line waits before it looks again: a server
+// headPollInterval is how long the first in line waits before it looks again: a server
 // may have come free through another entry host's request.
-const headWait = 10 * time.Millisecond
+const headPollInterval = 10 * time.Millisecond
 
 // acquire waits in line for a server.
 func (g *Gateway) acquire(ctx context.Context, c *call, tried map[string]bool) (*runner.Lease, *admit.Refusal) {
@@ -229,15 +229,15 @@
 		return nil, refusal
 	}
 	defer s.gate.Leave(waiter)
-	return g.wait(ctx, c, waiter, tried)
+	return g.waitForServer(ctx, c, waiter, tried)
 }
 
-func (g *Gateway) wait(ctx context.Context, c *call, waiter *admit.Waiter, tried map[string]bool) (*runner.Lease, *admit.Refusal) {
+func (g *Gateway) waitForServer(ctx context.Context, c *call, waiter *admit.Waiter, tried map[string]bool) (*runner.Lease, *admit.Refusal) {
 	s := c.service
 	late := &admit.Refusal{Reason: admit.WaitedTooLong, RetryAfter: time.Second}
 	select {
 	case <-waiter.Turn:
-	case <-waiter.Out:
+	case <-waiter.Displaced:
 		return nil, &admit.Refusal{Reason: admit.PushedOut, RetryAfter: time.Second}
 	case <-ctx.Done():
 		return nil, late
@@ -251,8 +251,8 @@
 		}
 		select {
 		case <-freed:
-		case <-time.After(headWait):
-		case <-waiter.Out:
+		case <-time.After(headPollInterval):
+		case <-waiter.Displaced:
 			return nil, &admit.Refusal{Reason: admit.PushedOut, RetryAfter: time.Second}
 		case <-ctx.Done():
 			return nil, late
@@ -260,34 +260,34 @@
 	}
 }
 
-// try sends the request once. It says whether another try may be made: always
+// sendOnce sends the request once. It says whether another try may be made: always
 // when this one surely did not run; else only for repeatable work.
-func (g *Gateway) try(ctx context.Context, c *call, lease *runner.Lease) (Answer, bool) {
+func (g *Gateway) sendOnce(ctx context.Context, c *call, lease *runner.Lease) (Answer, bool) {
 	g.count("requests.sent")
 	got, err := g.client.Call(ctx, lease.Address, c.kind.Service, c.kind.Name, c.key, c.header, c.body)
 	if err != nil {
-		return g.tryFailed(ctx, c, lease, err)
+		return g.handleSendError(ctx, c, lease, err)
 	}
 	got.Report.Leaving = got.Report.Leaving && !g.unsafe.NoLeaving
 	g.finishLease(c, lease, got.Report)
 	if got.Refused {
-		return refused(admit.Refusal{Reason: admit.ServerFull, RetryAfter: time.Second},
+		return refusedAnswer(admit.Refusal{Reason: admit.ServerFull, RetryAfter: time.Second},
 			"every server that was asked refused; come back later"), true
 	}
 	answer := Answer{Outcome: Done, Status: got.Status, Header: got.Header, Body: got.Body}
 	return answer, got.Report.Verdict == runner.Failed && c.kind.Repeatable
 }
 
-func (g *Gateway) tryFailed(ctx context.Context, c *call, lease *runner.Lease, err error) (Answer, bool) {
+func (g *Gateway) handleSendError(ctx context.Context, c *call, lease *runner.Lease, err error) (Answer, bool) {
 	verdict := runner.Failed
 	if errors.Is(ctx.Err(), context.Canceled) {
 		verdict = runner.Abandoned
 	}
 	g.finishLease(c, lease, runner.Report{Verdict: verdict, Free: -1})
 	if fault.CodeOf(err) == fault.NotRun || g.unsafe.NoSentMark {
-		return refused(admit.Refusal{Reason: admit.NotSent, RetryAfter: time.Second}, err.Error()), true
+		return refusedAnswer(admit.Refusal{Reason: admit.NotSent, RetryAfter: time.Second}, err.Error()), true
 	}
-	return unknown("no-whole-answer", err.Error()), c.kind.Repeatable
+	return unknownAnswer("no-whole-answer", err.Error()), c.kind.Repeatable
 }
 
 // finishLease ends a lease and spreads the news of a leaving server.
--- a/pkg/request/gateway/stream.go
+++ b/pkg/request/gateway/stream.go
@@ -20,29 +20,29 @@
 // neither a gap nor a double. When the entry host itself stops, it ends the
 // stream between two events; the caller comes back with Last-Event-ID.
 
-// streamSilence is how long a stream may find no server before it is ended.
-const streamSilence = 30 * time.Second
+// maxStreamOutage is how long a stream may find no server before it is ended.
+const maxStreamOutage = 30 * time.Second
 
-// retryWait is the pause between two tries to open a stream.
-const retryWait = 100 * time.Millisecond
+// reopenDelay is the pause between two tries to open a stream.
+const reopenDelay = 100 * time.Millisecond
 
-// maxEvent bounds one event.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event.
+const maxEventBytes = 1 << 20
 
 func (g *Gateway) serveStream(w http.ResponseWriter, r *http.Request) {
 	tree := g.settings.Current()
 	kind, err := tree.Kind(r.PathValue("service"), r.PathValue("kind"))
 	if err != nil {
-		fromFault(err).write(w, tree.Version())
+		faultAnswer(err).write(w, tree.Version())
 		return
 	}
 	if kind.Type != settings.TypeStream {
-		fromFault(wrongType(kind)).write(w, tree.Version())
+		faultAnswer(wrongTypeError(kind)).write(w, tree.Version())
 		return
 	}
 	s := &stream{
 		gateway: g, kind: kind, service: g.service(kind.Service),
-		out: w, control: http.NewResponseController(w), last: r.Header.Get("Last-Event-ID"),
+		out: w, control: http.NewResponseController(w), lastEventID: r.Header.Get("Last-Event-ID"),
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -53,13 +53,13 @@
 
 // stream is one caller's standing stream.
 type stream struct {
-	gateway *Gateway
-	kind    settings.Kind
-	service *service
-	out     http.ResponseWriter
-	control *http.ResponseController
-	last    string // the id of the last event passed on
-	begun   bool
+	gateway     *Gateway
+	kind        settings.Kind
+	service     *service
+	out         http.ResponseWriter
+	control     *http.ResponseController
+	lastEventID string // the id of the last event passed on
+	headerSent  bool
 }
 
 // run goes from server to server until the caller leaves or the host stops.
@@ -69,15 +69,15 @@
 	for ctx.Err() == nil {
 		lease := s.service.pool.AcquireStream(s.gateway.now(), s.gateway.client.MostStreams(), tried)
 		if lease == nil {
-			if !s.begun || s.gateway.now().Sub(silentSince) > streamSilence {
-				s.refuse(version)
+			if !s.headerSent || s.gateway.now().Sub(silentSince) > maxStreamOutage {
+				s.refuseUnlessStarted(version)
 				return
 			}
 			tried = map[string]bool{} // those that broke may be back
-			pause(ctx, retryWait)
+			sleep(ctx, reopenDelay)
 			continue
 		}
-		passed, stopped := s.follow(ctx, lease)
+		passed, stopped := s.relay(ctx, lease)
 		if stopped {
 			return
 		}
@@ -90,45 +90,45 @@
 	}
 }
 
-func pause(ctx context.Context, span time.Duration) {
+func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(span):
 	}
 }
 
-// refuse answers a stream for which there is no server. One that has begun can
+// refuseUnlessStarted answers a stream for which there is no server. One that has begun can
 // only be ended.
-func (s *stream) refuse(version int64) {
-	if s.begun {
+func (s *stream) refuseUnlessStarted(version int64) {
+	if s.headerSent {
 		return
 	}
-	refused(admit.Refusal{Reason: admit.NoServer, RetryAfter: time.Second},
+	refusedAnswer(admit.Refusal{Reason: admit.NoServer, RetryAfter: time.Second},
 		"no server takes this stream; come back later").write(s.out, version)
 }
 
-// follow passes on the events of one server. It says whether there were any,
+// relay passes on the events of one server. It says whether there were any,
 // and whether the stream is over for good.
-func (s *stream) follow(ctx context.Context, lease *runner.Lease) (passed, stopped bool) {
+func (s *stream) relay(ctx context.Context, lease *runner.Lease) (passed, stopped bool) {
 	verdict := runner.Failed
 	defer func() { lease.Done(s.gateway.now(), runner.Report{Verdict: verdict, Free: -1}) }()
-	resp, err := s.gateway.client.Stream(ctx, lease.Address, s.kind.Service, s.kind.Name, s.last)
+	resp, err := s.gateway.client.Stream(ctx, lease.Address, s.kind.Service, s.kind.Name, s.lastEventID)
 	if err != nil {
 		return false, ctx.Err() != nil
 	}
 	verdict = runner.Abandoned // it says nothing of how the server answers calls
 	defer resp.Body.Close()
-	if !s.begin() {
+	if !s.sendHeader() {
 		return false, true
 	}
-	return s.copy(ctx, resp.Body)
+	return s.relayEvents(ctx, resp.Body)
 }
 
-func (s *stream) begin() bool {
-	if s.begun {
+func (s *stream) sendHeader() bool {
+	if s.headerSent {
 		return true
 	}
-	s.begun = true
+	s.headerSent = true
 	s.out.Header().Set("Content-Type", "text/event-stream")
 	s.out.Header().Set("Cache-Control", "no-store")
 	s.out.Header().Set(OutcomeHeader, string(Done))
@@ -143,14 +143,14 @@
 	err  error
 }
 
-func (s *stream) copy(ctx context.Context, body io.Reader) (passed, stopped bool) {
+func (s *stream) relayEvents(ctx context.Context, body io.Reader) (passed, stopped bool) {
 	events := make(chan event)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go readEvents(ctx, body, events)
 	for {
 		select {
-		case <-s.gateway.drained:
+		case <-s.gateway.draining:
 			return passed, true
 		case <-ctx.Done():
 			return passed, true
@@ -158,7 +158,7 @@
 			if e.err != nil {
 				return passed, false
 			}
-			if !s.pass(e) {
+			if !s.writeEvent(e) {
 				return passed, true
 			}
 			passed = true
@@ -166,8 +166,8 @@
 	}
 }
 
-// pass writes one whole event to the caller.
-func (s *stream) pass(e event) bool {
+// writeEvent writes one whole event to the caller.
+func (s *stream) writeEvent(e event) bool {
 	if _, err := s.out.Write(e.text); err != nil {
 		return false
 	}
@@ -175,7 +175,7 @@
 		return false
 	}
 	if e.id != "" {
-		s.last = e.id
+		s.lastEventID = e.id
 	}
 	s.gateway.count("streams.events")
 	return true
@@ -185,7 +185,7 @@
 // dropped: the next server sends it again.
 func readEvents(ctx context.Context, body io.Reader, out chan<- event) {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(nil, maxEvent)
+	scanner.Buffer(nil, maxEventBytes)
 	var e event
 	for scanner.Scan() {
 		line := scanner.Bytes()
--- a/pkg/request/intake/intake.go
+++ b/pkg/request/intake/intake.go
@@ -35,8 +35,8 @@
 	peerTimeout = 300 * time.Millisecond
 	// maxCachedAnchors and endsKept bound what is remembered of jobs: some minutes'
 	// worth at the rates of the largest known deployment.
-	maxCachedAnchors = 8192
-	maxCachedFinalPhases    = 8192
+	maxCachedAnchors     = 8192
+	maxCachedFinalPhases = 8192
 	// maxCachedReasons is the same for why jobs have failed: few do, and a reason has a hundred bytes.
 	maxCachedReasons = 512
 )
@@ -55,8 +55,8 @@
 	log     *logrus.Entry
 	metrics metrics.Registry
 
-	homeCells *lru.Cache[string, string]
-	finalPhases    *lru.Cache[string, wire.JobPhase]
+	homeCells   *lru.Cache[string, string]
+	finalPhases *lru.Cache[string, wire.JobPhase]
 	// reasons are why jobs have failed.
 	reasons *lru.Cache[string, string]
 
@@ -64,15 +64,15 @@
 	board *cellchoice.Board
 	// loadRequested are the cells whose load is being asked for, beliefsAt when their leaders'
 	// beliefs were.
-	loadRequested    map[string]bool
+	loadRequested      map[string]bool
 	beliefsRequestedAt map[string]time.Time
 }
 
 // New returns the intake of a host in the given hall.
 func New(hall string, st *store.Client, leaders Leaders, peers Peers, log *logrus.Entry, registry metrics.Registry) *Intake {
-	anchors, _ := lru.New[string, string](maxCachedAnchors)  // fails for a negative size only
+	anchors, _ := lru.New[string, string](maxCachedAnchors)         // fails for a negative size only
 	ends, _ := lru.New[string, wire.JobPhase](maxCachedFinalPhases) // likewise
-	reasons, _ := lru.New[string, string](maxCachedReasons)  // likewise
+	reasons, _ := lru.New[string, string](maxCachedReasons)         // likewise
 	return &Intake{
 		hall: hall, store: st, leaders: leaders, peers: peers, log: log, metrics: registry,
 		homeCells: anchors, finalPhases: ends, reasons: reasons, board: cellchoice.NewBoard(hall), loadRequested: map[string]bool{}, beliefsRequestedAt: map[string]time.Time{},
