--- a/pkg/request/admit/gate.go
+++ b/pkg/request/admit/gate.go
@@ -1,10 +1,8 @@
-// Package admit decides which requests may go on, in what order, and which are
-// refused at once.
+// Package admit decides which requests are admitted, in which order, and which are refused.
 //
-// A Gate is the queue of one service at one entry host. Nothing waits that
-// can't make its deadline: the wait is estimated on arrival, and a request that
-// would be late is refused then and there, with the time to come back. Higher
-// priorities go first, and push lower ones out of a full queue.
+// A Gate is the queue of one service at one entry host. The wait is estimated on arrival: a
+// request that would miss its deadline is refused at once, with the time after which to retry.
+// Requests of higher priority go first, and displace those of lower priority from a full queue.
 package admit
 
 import (
@@ -14,15 +12,15 @@
 	"time"
 )
 
-// Load is what the gate is told of the service's servers.
+// Load describes the capacity of the service's servers.
 type Load struct {
-	// Slots is how many requests this host may have outstanding.
+	// Slots is the number of requests that this host may have outstanding.
 	Slots int
-	// Latency is how long one takes.
+	// Latency is the time that a server takes for one request.
 	Latency time.Duration
 }
 
-// Refusal says why a request may not go on, and when to come back.
+// Refusal is the reason for which a request is refused, and the time after which to retry.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
@@ -31,7 +29,7 @@
 // Reason is why a request was refused.
 type Reason string
 
-// The reasons.
+// The reasons. Callers receive them in ReasonHeader of package gateway.
 const (
 	QueueFull     Reason = "queue-full"
 	WouldBeLate   Reason = "would-miss-deadline"
@@ -49,10 +47,11 @@
 // Waiter is one request in the queue.
 type Waiter struct {
 	priority int
-	// Turn is closed when the waiter is first in line.
+	// Turn is closed when the waiter first reaches the head of the queue.
 	Turn chan struct{}
-	// Displaced is closed when the waiter has been pushed out.
-	Displaced     chan struct{}
+	// Displaced is closed when a waiter of higher priority has displaced this one.
+	Displaced chan struct{}
+	// turnAnnounced means that Turn is closed.
 	turnAnnounced bool
 }
 
@@ -65,17 +64,18 @@
 // NewGate returns an empty queue.
 func NewGate() *Gate { return &Gate{} }
 
-// Len is the length of the queue.
+// Len returns the length of the queue.
 func (g *Gate) Len() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.waiting)
 }
 
-// minRetryAfter keeps callers from coming back at once.
+// minRetryAfter keeps callers from retrying at once.
 const minRetryAfter = 50 * time.Millisecond
 
-// Join queues a request, or refuses it.
+// Join queues a request, or refuses it. limit is the maximum length of the queue, left the time until
+// the request's deadline.
 func (g *Gate) Join(priority, limit int, left time.Duration, load Load) (*Waiter, *Refusal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -93,7 +93,7 @@
 	return w, nil
 }
 
-// position is where a request of the priority stands in line.
+// position returns the index in the queue at which a request of the priority is inserted.
 func (g *Gate) position(priority int) int {
 	i := len(g.waiting)
 	for i > 0 && g.waiting[i-1].priority < priority {
@@ -102,7 +102,7 @@
 	return i
 }
 
-// displaceLast drops the last waiter if its priority is lower.
+// displaceLast removes the last waiter if its priority is lower, and returns whether it did.
 func (g *Gate) displaceLast(priority int) bool {
 	if len(g.waiting) == 0 {
 		return false
@@ -116,8 +116,8 @@
 	return true
 }
 
-// announceTurn tells the first in line; one that was overtaken stays told, and asks
-// IsFirst before it acts.
+// announceTurn closes the Turn of the first waiter. A waiter that is overtaken afterwards keeps a closed
+// Turn, so it calls IsFirst before it acts.
 func (g *Gate) announceTurn() {
 	if len(g.waiting) > 0 && !g.waiting[0].turnAnnounced {
 		g.waiting[0].turnAnnounced = true
@@ -125,14 +125,14 @@
 	}
 }
 
-// IsFirst says whether the waiter is first in line now.
+// IsFirst returns whether the waiter is first in the queue now.
 func (g *Gate) IsFirst(w *Waiter) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.waiting) > 0 && g.waiting[0] == w
 }
 
-// Leave takes a waiter out of the queue, whatever became of it.
+// Leave removes a waiter from the queue. It does nothing if the waiter was displaced.
 func (g *Gate) Leave(w *Waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -140,8 +140,8 @@
 	g.announceTurn()
 }
 
-// EstimateWait estimates how long a request at the given place in line waits and is
-// served, when the servers turn over so many slots in each answer time.
+// EstimateWait estimates the time until a request at the given queue position has been served. It assumes
+// that load.Slots requests complete within each load.Latency.
 func EstimateWait(place int, load Load) time.Duration {
 	if load.Slots <= 0 {
 		return math.MaxInt64
--- a/pkg/request/binding/binding.go
+++ b/pkg/request/binding/binding.go
@@ -1,12 +1,11 @@
-// Package binding sees to it that work under one key runs at most once, though its caller may
-// ask again at another entry host. Package gateway asks it before such work, peers through it.
+// Package binding ensures that work under one key runs at most once, though its caller may
+// retry at another entry host. Package gateway calls it before such work and for peers' questions.
 //
-// Each host keeps, for the key window, what it knows of each key that it has met, and may ask
-// all others before it runs one (docs/design/request-binding.md). Being asked leaves a promise:
-// this host asks the others before it ever runs that key. So of two hosts that have the key, at
-// least one finds the other. In the model (model/request.pml): Host.begin, asked, run.
-//
-// It makes no calls and reads no clock.
+// Each host keeps the state of each key for the key window, and may ask all other hosts before
+// it runs a key (docs/design/request-binding.md). A host that is asked makes a promise: it asks
+// the others before it ever runs that key. So of two hosts that receive a key, at least one
+// learns of the other. In the model (model/request.pml): Host.begin, asked, run. The package
+// makes no calls and reads no clock.
 package binding
 
 import (
@@ -17,43 +16,43 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// State is what a host knows of a key.
+// State is the state of a key at one host.
 type State int
 
 // The states of a key.
 const (
-	// Promised: another host asked; this one asks too before it runs the key.
+	// Promised means that another host asked: this host must ask, too, before it runs the key.
 	Promised State = iota
-	// Asking: this host has the key and is asking the others.
+	// Asking means that this host received the key and has not sent the work yet. It may be asking the others.
 	Asking
-	// Running: it may have been sent to a server.
+	// Running means that the work may have been sent to a server.
 	Running
-	// MayHaveRun: the attempt ended, and the work may have run.
+	// MayHaveRun means that the attempt ended, and the work may have run.
 	MayHaveRun
-	// NotRun: the attempt ended, and the work surely did not run.
+	// NotRun means that the attempt ended, and the work certainly did not run.
 	NotRun
-	// Yielded: another host asked while this one was asking; it may run the
-	// key, and this one does not.
+	// Yielded means that another host asked while this host was in state Asking. The other host
+	// may run the key, and this host does not.
 	Yielded
 )
 
 // Key names one piece of work.
 type Key struct{ Service, Kind, Key string }
 
-// Question asks another host about the key.
+// Question returns the request that asks another host about the key.
 func (k Key) Question(window time.Duration) *wire.AskRequest {
 	return &wire.AskRequest{Service: k.Service, Kind: k.Kind, Key: k.Key, WindowMs: window.Milliseconds()}
 }
 
-// Entry is one key's life at this host.
+// Entry is one attempt under a key at this host, or the promise for a key.
 type Entry struct {
 	state       State
-	askedByPeer bool // another host has asked: from now on this host must ask too
-	answer      any  // what the caller was told, for one that asks again here
+	askedByPeer bool // another host has asked, so this host must ask before it runs the key
+	answer      any  // the answer to the caller, kept for a retry at this host
 	done        chan struct{}
 }
 
-// Keys is what one entry host remembers. It is safe for many goroutines.
+// Keys holds the keys that one entry host knows. It is safe for concurrent use.
 type Keys struct {
 	name    string
 	started time.Time
@@ -62,34 +61,34 @@
 	entries *container.Expiring[Key, *Entry]
 }
 
-// maxKeys bounds the memory. When it is full, the oldest key goes first and the
-// host counts as younger than that key.
+// maxKeys limits the number of keys. Beyond it the oldest key is dropped, and Age then counts from
+// the time at which that key was recorded.
 const maxKeys = 1 << 17
 
-// New returns the memory of a host that started at the given time.
+// New returns the keys of the host name, which started at the given time.
 func New(name string, started time.Time) *Keys {
 	return &Keys{name: name, started: started, entries: container.NewExpiring[Key, *Entry](maxKeys)}
 }
 
-// Age is for how long this host can vouch for keys.
+// Age returns the time for which this host has a complete record of its keys.
 func (k *Keys) Age(now time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return now.Sub(latest(k.started, k.entries.LostUntil()))
 }
 
-// BeginResult is what Begin found.
+// BeginResult is the result of Begin.
 type BeginResult struct {
-	// Fresh: the key is new here, or is known not to have run, and is now this
-	// call's to run.
+	// Fresh means that the key is new here, or that its work is known not to have run. The
+	// calling request now owns the key.
 	Fresh bool
-	// MustAsk: another host has asked for it before, so the others must agree.
+	// MustAsk means that another host has asked about the key before, so the others must be asked.
 	MustAsk bool
-	// Earlier is the earlier life of a key that is not fresh.
+	// Earlier is the earlier attempt under a key that is not fresh.
 	Earlier *Entry
 }
 
-// Begin takes a key in, for the length of the window.
+// Begin starts an attempt under a key, unless an earlier one runs or may have run. The key is kept for the window.
 func (k *Keys) Begin(now time.Time, key Key, window time.Duration) BeginResult {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -101,7 +100,7 @@
 	return BeginResult{Fresh: true, MustAsk: ok && e.askedByPeer}
 }
 
-// Answer answers another host's question, and leaves a promise.
+// Answer answers another host's question, and makes the promise to ask before running the key.
 func (k *Keys) Answer(now time.Time, q *wire.AskRequest) *wire.AskReply {
 	key := Key{Service: q.GetService(), Kind: q.GetKind(), Key: q.GetKey()}
 	age := k.Age(now)
@@ -111,6 +110,7 @@
 	}
 }
 
+// recordQuestion records that the host asker asked about a key, and returns what this host knows of it.
 func (k *Keys) recordQuestion(now time.Time, key Key, asker string, window time.Duration) wire.Seen {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -126,7 +126,7 @@
 	case NotRun, Yielded:
 		return wire.Seen_SEEN_NOT_RUN
 	case Asking:
-		// Both are asking. The name decides who goes on.
+		// Both hosts are asking: the one with the lower name goes on.
 		if asker < k.name {
 			e.state = Yielded
 			return wire.Seen_SEEN_NOT_RUN
@@ -137,8 +137,8 @@
 	return wire.Seen_SEEN_MAYBE_RAN
 }
 
-// Run says that the work is about to be sent. It is false if this host has
-// yielded the key meanwhile.
+// Run records that the work is about to be sent. It returns false if this host must not send it,
+// as it has yielded the key or no longer knows it.
 func (k *Keys) Run(now time.Time, key Key) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -150,8 +150,7 @@
 	return true
 }
 
-// End ends the key's attempt here. The answer is kept for a caller that asks
-// again.
+// End ends the key's attempt at this host. The answer is kept for a caller that retries here.
 func (k *Keys) End(now time.Time, key Key, mayHaveRun bool, answer any) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -171,8 +170,8 @@
 	e.done = nil
 }
 
-// Wait returns a channel that is closed when an earlier life of the key ends;
-// it is nil when that has ended already.
+// Wait returns a channel that is closed when an earlier attempt ends, or nil if that has ended
+// already.
 func (k *Keys) Wait(e *Entry) <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -182,7 +181,7 @@
 	return e.done
 }
 
-// AnswerOf returns what the caller was told in an earlier life of the key.
+// AnswerOf returns the answer of an earlier attempt, or nil if none was kept.
 func (k *Keys) AnswerOf(e *Entry) any {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/pkg/request/cellchoice/board.go
+++ b/pkg/request/cellchoice/board.go
@@ -1,10 +1,10 @@
 // Package cellchoice decides which cell a new job goes to.
 //
-// Package intake asks it for each job. The load pattern: jobs come to many hosts at once, in
-// waves, and each host knows the cells only by what their leaders told some time ago. So a host
-// counts to a cell what it has sent there since, and weighs how long the job would wait there,
-// how full of lasting tasks the cell is, and what the way costs. board.go keeps what is known of
-// the cells; cost.go weighs them for one job; places.go says where its steps can run at all.
+// Package intake calls it for each job. Jobs arrive at many hosts at once, in waves, and each
+// host knows only the loads that the cells' leaders reported some time ago. So a host adds the
+// jobs that it has sent since. A cell's cost is made of the job's wait there, the cell's share of
+// lasting tasks, and the distance. board.go keeps the loads; cost.go computes the cost for a
+// job; places.go adds the cost of steps that the cell can't run, or runs far from their data.
 //
 // It makes no calls and reads no clock.
 package cellchoice
@@ -21,66 +21,66 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// GoodFor is how old a cell's load may be for choosing: the loads of a busy cell change
-// whole within some seconds.
+// GoodFor is the largest age of a load that counts for the choice: the load of a busy cell
+// changes completely within some seconds.
 const GoodFor = 3 * time.Second
 
-// Cell is what is known of a cell but for its load.
+// Cell describes a cell apart from its load.
 type Cell struct {
 	Hall string
-	// Led says that its leader is known and within reach.
+	// Led means that the cell's leader is known and within reach.
 	Led bool
 }
 
-// reportedLoad is a cell's load, as its leader told it at a time, and what was sent to the cell
-// since.
+// reportedLoad is a cell's load as its leader reported it at reportedAt, plus the demand of the
+// jobs that this host has sent there since.
 type reportedLoad struct {
 	*wire.CellLoad
 	reportedAt time.Time
 }
 
-// Board is what one host knows of the cells' loads. It belongs to one thread, or is
-// guarded by its owner.
+// Board holds the loads of the cells as one host knows them. It is not safe for concurrent
+// use: its owner must guard it.
 type Board struct {
 	hall  string
 	loads map[string]reportedLoad
 }
 
-// NewBoard returns the board of a host in a hall, which knows nothing yet.
+// NewBoard returns the board of a host in a hall. It has no loads yet.
 func NewBoard(hall string) *Board { return &Board{hall: hall, loads: map[string]reportedLoad{}} }
 
-// Take takes in what a cell's leader tells of it at the time now.
+// Take stores the load that a cell's leader reported at the time now.
 func (b *Board) Take(now time.Time, l *wire.CellLoad) {
 	b.loads[l.GetCell()] = reportedLoad{CellLoad: l, reportedAt: now}
 }
 
-// Load returns a cell's load and how old it is; nil: none is known.
+// Load returns a cell's load and its age, or nil if no load is known.
 func (b *Board) Load(now time.Time, name string) (l *wire.CellLoad, age time.Duration) {
 	k := b.loads[name]
 	return k.CellLoad, now.Sub(k.reportedAt)
 }
 
-// Choice is the cell for a job, and what decided it.
+// Choice is the cell for a job. Why lists the cost of each cell for the log.
 type Choice struct{ Cell, Why string }
 
-// Choose picks the cell for a new job, and counts the job to it until the next word of
-// its leader.
+// Choose returns the cell with the lowest cost for a new job. It adds the job's demand to the
+// cell's load until its leader reports the next one.
 func (b *Board) Choose(now time.Time, spec *wire.JobSpec, cells map[string]Cell) Choice {
 	d := demandOf(spec)
-	var words []string
+	var costs []string
 	best, bestCost := "", 0.0
 	for _, name := range slices.Sorted(maps.Keys(cells)) {
 		cost := b.cost(now, name, cells, d) + requirementsCost(b.freshLoad(now, name), spec)
-		words = append(words, fmt.Sprintf("%s %.0f (%s)", name, cost, b.loadAgeText(now, name)))
+		costs = append(costs, fmt.Sprintf("%s %.0f (%s)", name, cost, b.loadAgeText(now, name)))
 		if best == "" || cost < bestCost {
 			best, bestCost = name, cost
 		}
 	}
 	b.addDemand(best, d)
-	return Choice{Cell: best, Why: "ms of wait (load's age): " + strings.Join(words, ", ")}
+	return Choice{Cell: best, Why: "cost in ms (age of load): " + strings.Join(costs, ", ")}
 }
 
-// freshLoad returns a cell's load if it is known well enough.
+// freshLoad returns a cell's load, or nil if none is known or it is older than GoodFor.
 func (b *Board) freshLoad(now time.Time, name string) *wire.CellLoad {
 	k := b.loads[name]
 	if k.CellLoad == nil || now.Sub(k.reportedAt) > GoodFor {
@@ -89,7 +89,7 @@
 	return k.CellLoad
 }
 
-// loadAgeText tells how old a cell's load is, for the log.
+// loadAgeText returns the age of a cell's load for the log.
 func (b *Board) loadAgeText(now time.Time, name string) string {
 	k := b.loads[name]
 	if k.CellLoad == nil {
@@ -98,7 +98,7 @@
 	return now.Sub(k.reportedAt).Round(time.Millisecond).String()
 }
 
-// addDemand adds a job's demand to what is known of a cell.
+// addDemand adds a job's demand to a cell's known load. It copies the load, which others may hold.
 func (b *Board) addDemand(name string, d demand) {
 	k := b.loads[name]
 	if k.CellLoad == nil {
@@ -106,7 +106,7 @@
 	}
 	next, ok := proto.Clone(k.CellLoad).(*wire.CellLoad)
 	if !ok {
-		return // a clone has the type of what it is a clone of
+		return // unreachable: a clone has the type of its original
 	}
 	next.LastingMillicores += d.lastingMillicores
 	next.BacklogCoreMs += d.plainCoreMs
--- a/pkg/request/cellchoice/board_test.go
+++ b/pkg/request/cellchoice/board_test.go
@@ -15,7 +15,7 @@
 	cells = map[string]cellchoice.Cell{"a": {Hall: "a", Led: true}, "b": {Hall: "b", Led: true}, "c": {Hall: "c", Led: true}}
 )
 
-// emptyCellLoad is the load of a cell where nothing runs.
+// emptyCellLoad returns the load of a cell without tasks.
 func emptyCellLoad(name string) *wire.CellLoad {
 	return &wire.CellLoad{
 		Leading: true, Cell: name, CapacityMillicores: 1_000_000, FreeMillicores: 1_000_000,
@@ -23,12 +23,13 @@
 	}
 }
 
+// plainJob returns a job with one task of a second that is neither lasting nor a filler.
 func plainJob(cores int64) *wire.JobSpec {
 	return &wire.JobSpec{Steps: []*wire.StepSpec{{Count: 1, Millicores: cores * 1000, MemoryMb: 1000, EstimateMs: 1000}}}
 }
 
-// Jobs that come between two words of a cell's leader would all go where there was room
-// at the first.
+// Between two loads from a cell's leader, all jobs would go to the cell that the first one
+// showed with room, if a host did not count the jobs that it sent since.
 func TestChooseCountsJobsSentSinceLastLoad(t *testing.T) {
 	t.Parallel()
 	b := cellchoice.NewBoard("a")
@@ -47,7 +48,7 @@
 func TestChoosePrefersOwnHallAndCellsWithLeader(t *testing.T) {
 	t.Parallel()
 	b := cellchoice.NewBoard("a")
-	must.Eq(t, "a", b.Choose(start, plainJob(1), cells).Cell, must.Sprint("nothing is known: the own hall"))
+	must.Eq(t, "a", b.Choose(start, plainJob(1), cells).Cell, must.Sprint("without any load the own hall is chosen"))
 	lost := map[string]cellchoice.Cell{"a": {Hall: "a"}, "b": {Hall: "b", Led: true}}
 	must.Eq(t, "b", b.Choose(start, plainJob(1), lost).Cell)
 }
--- a/pkg/request/cellchoice/cost.go
+++ b/pkg/request/cellchoice/cost.go
@@ -10,34 +10,36 @@
 )
 
 const (
-	// otherHallCost is how much more work, in ms of the whole cell, must wait in the
-	// own hall's cell before a job goes to another: a job's data and results
-	// cross halls then, and its callers' host is a hop away from its leader.
+	// otherHallCost is the cost in ms of a cell in another hall. The backlog of the own hall's
+	// cell must be that much longer before a job goes elsewhere: its data and results cross
+	// halls then, and its callers' host is a network hop away from its leader.
 	otherHallCost = 60.0
-	// allLastingCost is what a cell that is full of lasting tasks costs, in the
-	// same ms: they stay, so they are spread before short work is.
+	// allLastingCost is the cost in ms of a cell whose capacity is all taken by lasting tasks.
+	// These stay, so spreading them has priority over spreading short work.
 	allLastingCost = 3000.0
-	// lastingUsedShare is the share of their reserved processors that lasting tasks
-	// use: fillers get the rest.
+	// lastingUsedShare is the share of their reserved processors that lasting tasks use on
+	// average. Fillers get the rest.
 	lastingUsedShare = 0.5
-	// minRoomShare keeps the estimate of a full cell finite, as a share of it.
+	// minRoomShare is the least free share of a cell's capacity that estimates assume, so that
+	// the wait in a full cell stays finite.
 	minRoomShare = 0.05
-	// noLeaderCost puts a cell without a leader behind any with one.
+	// noLeaderCost ranks a cell without a leader behind each cell that has one.
 	noLeaderCost = 1e9
-	// imageRankCost is what a step down in an image's order of cells costs a lasting
-	// job: as much as a cell that is a sixth fuller.
+	// imageRankCost is the cost in ms of each rank in an image's order of cells, for a lasting
+	// job: as much as a sixth of the cell's capacity in lasting tasks.
 	imageRankCost = 500.0
 )
 
-// demand is what a job asks for: millicores for lasting tasks, core ms for
-// others.
+// demand is the sum of a job's requests: millicores for lasting tasks, core ms for plain tasks
+// and for fillers.
 type demand struct {
 	lastingMillicores, plainCoreMs, fillerCoreMs int64
-	// lastingImage is the image of the lasting tasks, fillers the work by image.
+	// lastingImage is the image of the job's lasting tasks, fillerCoreMsByImage the work of its fillers.
 	lastingImage        string
 	fillerCoreMsByImage map[string]int64
 }
 
+// demandOf returns the demand of all steps of a job.
 func demandOf(spec *wire.JobSpec) demand {
 	d := demand{fillerCoreMsByImage: map[string]int64{}}
 	for _, step := range spec.GetSteps() {
@@ -57,7 +59,8 @@
 	return d
 }
 
-// cost is how many ms a job would wait in a cell, and what the way costs.
+// cost returns a job's estimated wait in a cell in ms, plus the costs of distance, of a missing
+// leader and of lasting tasks. Without a fresh load, only distance and leader count.
 func (b *Board) cost(now time.Time, name string, cells map[string]Cell, d demand) float64 {
 	cost := 0.0
 	if cells[name].Hall != b.hall {
@@ -85,9 +88,9 @@
 	return cost
 }
 
-// imageAffinityCost draws lasting jobs of one image to the same cell, whoever accepts them:
-// the fewer images a cell serves, the more kinds of fillers find a place there
-// where they do no harm. Each image has an order of cells of its own, by a hash.
+// imageAffinityCost returns a cost that draws lasting jobs of one image to the same cell,
+// whichever host accepts them. The fewer images a cell serves, the more kinds of fillers find a
+// worker there without interference. A hash gives each image its own order of cells.
 func imageAffinityCost(name, image string, cells map[string]Cell) float64 {
 	own, before := imageHash(image, name), 0
 	for other := range cells {
@@ -98,17 +101,19 @@
 	return imageRankCost * float64(before)
 }
 
+// imageHash returns the hash that orders the cells for an image: the cell with the lowest one is preferred.
 func imageHash(image, cell string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(image + "/" + cell)) // a hash takes anything
+	_, _ = h.Write([]byte(image + "/" + cell)) // writing to a hash never fails
 	return h.Sum64()
 }
 
-// fillerCost is how long a job's fillers would wait in a cell, by the room that it
-// has for each of their images; unseen ones are taken to find the usual room.
+// fillerCost returns the estimated wait in ms of a job's fillers in a cell, by the cell's room
+// for each image. For an image whose room the cell does not report it assumes usual, in
+// millicores.
 func fillerCost(l *wire.CellLoad, d demand, usual float64) float64 {
 	cost := 0.0
-	for _, image := range slices.Sorted(maps.Keys(d.fillerCoreMsByImage)) { // in order: sums of floats depend on it
+	for _, image := range slices.Sorted(maps.Keys(d.fillerCoreMsByImage)) { // sorted: a sum of floats depends on the order
 		work := d.fillerCoreMsByImage[image]
 		room := usual
 		if known, ok := l.GetFillerRoomMillicores()[image]; ok {
--- a/pkg/request/cellchoice/places.go
+++ b/pkg/request/cellchoice/places.go
@@ -7,17 +7,16 @@
 )
 
 const (
-	// cannotRunCost is for each step that no worker of a cell could ever run: it puts the
-	// cell behind any that can, however full, but not behind one without a leader.
+	// cannotRunCost is the cost in ms of each step that no worker of a cell can ever run. It ranks
+	// the cell behind each cell that can run the job, however full, but before one without a leader.
 	cannotRunCost = 1e7
-	// remoteDataStretch is by how much of its run time a step is taken to run longer away from its
-	// data.
+	// remoteDataStretch is the assumed extra time of a step that runs away from its data, as a
+	// share of its run time.
 	remoteDataStretch = 1.0
 )
 
-// requirementsCost is what it costs, in ms, that a cell's workers are not what a job's steps
-// ask for: labels, sizes, the racks of their data. Of a cell that has not told, nothing
-// is held against it.
+// requirementsCost returns the cost in ms of a job's steps that need a label, a size or a rack
+// which the cell's workers lack. It is 0 for a cell without a known load or capacity.
 func requirementsCost(l *wire.CellLoad, spec *wire.JobSpec) float64 {
 	if l == nil || l.GetCapacityMillicores() == 0 {
 		return 0
@@ -34,6 +33,7 @@
 	return cost
 }
 
+// canRun returns whether a cell has the step's label, and workers of its size.
 func canRun(l *wire.CellLoad, step *wire.StepSpec) bool {
 	if step.GetLabel() != "" && !slices.Contains(l.GetLabels(), step.GetLabel()) {
 		return false
--- a/pkg/request/gateway/gateway.go
+++ b/pkg/request/gateway/gateway.go
@@ -1,13 +1,12 @@
 // Package gateway serves callers: requests, jobs and streams.
 //
-// One request's life flows one way:
+// The stages of a request, in order:
 //
-//	parse and check -> settings of its kind (one version for its whole life)
+//	parse and check -> settings of its kind (one version for the whole request)
 //	  -> key (package binding) -> gate (package admit) -> server (package route)
 //	  -> send once -> outcome -> whole answer
 //
-// Nothing here outlives a request but what the Gateway holds: the pools, the
-// gates, the keys.
+// Only the Gateway keeps state beyond a request: the pools, the gates, the keys.
 package gateway
 
 import (
@@ -29,23 +28,24 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Settings is what the gateway needs of the settings in force.
+// Settings gives access to the settings in force.
 type Settings interface {
 	Current() *settings.Tree
+	// ServiceState returns the state of a service: Started, Draining or Stopped.
 	ServiceState(service string) string
 }
 
-// Peers is what the gateway needs of the other entry hosts.
+// Peers calls the other entry hosts.
 type Peers interface {
-	// Ask asks all of them about a key, and reports what came of it.
+	// Ask asks all entry hosts about a key, and returns their combined answer.
 	Ask(ctx context.Context, q *wire.AskRequest) peer.Asked
-	// SpreadLeaving tells all of them that a server is leaving.
+	// SpreadLeaving notifies all entry hosts that a server is leaving.
 	SpreadLeaving(service, name string)
-	// WakeLeader tells the hall's leader that its inbox has something.
+	// WakeLeader notifies the hall's leader of a new row in its inbox.
 	WakeLeader(hall string)
 }
 
-// Table is what the gateway needs of the platform's table.
+// Table reads and writes the platform's table.
 type Table interface {
 	Commit(ctx context.Context, req *wire.CommitRequest) (*wire.CommitReply, error)
 	Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error)
@@ -72,36 +72,35 @@
 
 	mu            sync.Mutex
 	services      map[string]*service
-	largestWorker *wire.Size // the largest worker listed
+	largestWorker *wire.Size // the maximum of each resource over the listed workers, or nil
 	draining      chan struct{}
 }
 
-// service is what outlives the requests of one service.
+// service is the state of one service that its requests share.
 type service struct {
 	pool   *runner.Pool
 	gate   *admit.Gate
 	budget *admit.Budget
 }
 
-// Unsafe takes out one fence each. It exists so that a test can show that the
-// fence is needed.
+// Unsafe switches off one safeguard per field, so that a test can show that the safeguard is needed.
 type Unsafe struct {
-	// NoAsk runs work without asking the other entry hosts for its key.
+	// NoAsk runs work without asking the other entry hosts about its key.
 	NoAsk bool
-	// NoSentMark says "not run" whenever a server gave no answer.
+	// NoSentMark answers "not run" whenever a server gave no answer.
 	NoSentMark bool
-	// NoLeaving sends to servers that said they are leaving.
+	// NoLeaving sends requests also to servers that announced that they are leaving.
 	NoLeaving bool
 }
 
-// Config is what a Gateway is made of.
+// Config holds the parameters of New.
 type Config struct {
 	Hall        string
 	Settings    Settings
 	Peers       Peers
 	Table       Table
 	Keys        *binding.Keys
-	Connections int // to one server
+	Connections int // the number of connections to one server
 	Metrics     metrics.Registry
 	Unsafe      Unsafe
 }
@@ -124,7 +123,7 @@
 	mux.HandleFunc("GET /v1/streams/{service}/{kind}", g.serveStream)
 }
 
-// Drain ends the streams, each between two events; requests go on.
+// Drain ends the streams, each between two events. Requests continue to be served.
 func (g *Gateway) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,7 +134,7 @@
 	}
 }
 
-// service finds or makes what outlives the requests of a service.
+// service returns the shared state of a service, which it creates if there is none.
 func (g *Gateway) service(name string) *service {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -148,7 +147,7 @@
 	return s
 }
 
-// SetHosts takes in the host list.
+// SetHosts applies the list of hosts: the servers of each service, and the sizes of workers.
 func (g *Gateway) SetHosts(hosts []*wire.Host) {
 	byService := map[string][]*wire.Host{}
 	var largest *wire.Size
@@ -177,6 +176,7 @@
 	}
 }
 
+// maxSize returns the maximum of each resource.
 func maxSize(a, b *wire.Size) *wire.Size {
 	if a == nil {
 		return b
@@ -188,8 +188,8 @@
 	}
 }
 
-// SetLeaving takes in the news that a server is leaving, from a peer or an
-// operator. It says whether it was news.
+// SetLeaving records that a server is leaving, as a peer or an operator reported. It returns
+// whether this was unknown before.
 func (g *Gateway) SetLeaving(serviceName, name string) bool {
 	if g.unsafe.NoLeaving {
 		return false
@@ -197,7 +197,7 @@
 	return g.service(serviceName).pool.SetLeaving(name)
 }
 
-// ServiceView is one service's line on the status page.
+// ServiceView describes one service on the status page. Open counts the servers that accept work.
 type ServiceView struct {
 	Service string `json:"service"`
 	State   string `json:"state"`
--- a/pkg/request/gateway/jobs.go
+++ b/pkg/request/gateway/jobs.go
@@ -19,24 +19,23 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Jobs. A job is accepted when its row is in the table, and not before: the row
-// is inserted under the caller's key if that key is absent, so asking again
-// with the same key is always safe, at any entry host.
+// A job is accepted once its row is in the table. The row is inserted under the caller's key if that
+// key is absent, so submitting again with the same key is always safe, at any entry host.
 
 // TasksParameter is the query parameter with the number of a job's tasks.
 const TasksParameter = "tasks"
 
 const (
-	// maxTasks keeps the end of a job within one transaction.
+	// maxTasks is the maximum number of a job's tasks. It keeps the end of a job within one transaction.
 	maxTasks = 500
-	// maxCommitTries is how often a submission without an answer is repeated
-	// before the caller is told that it is unknown.
+	// maxCommitTries is the number of times that a commit is sent before its outcome is reported
+	// as unknown.
 	maxCommitTries = 2
 )
 
 var keyPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9_.:-]{0,127}$`)
 
-// JobView is what a caller reads of its job.
+// JobView is the JSON description of a job for its caller.
 type JobView struct {
 	Key       string `json:"key"`
 	State     string `json:"state"`
@@ -49,7 +48,7 @@
 	DoneTasks int32  `json:"doneTasks"`
 }
 
-// ViewOf describes a job to its caller.
+// ViewOf returns the description of a job for its caller.
 func ViewOf(j *wire.JobRow) JobView {
 	return JobView{
 		Key: j.GetKey(), State: strings.ToLower(strings.TrimPrefix(j.GetState().String(), "JOB_STATE_")),
@@ -58,6 +57,7 @@
 	}
 }
 
+// serveSubmit accepts a job, wakes the leader of its hall and writes the answer.
 func (g *Gateway) serveSubmit(w http.ResponseWriter, r *http.Request) {
 	tree := g.settings.Current()
 	row, err := g.submit(w, r, tree)
@@ -71,6 +71,7 @@
 	writeJob(w, http.StatusAccepted, row, tree.Version())
 }
 
+// writeJob writes a job's description as the answer.
 func writeJob(w http.ResponseWriter, status int, row *wire.JobRow, version int64) {
 	body, err := json.Marshal(ViewOf(row))
 	if err != nil {
@@ -81,6 +82,7 @@
 	Answer{Outcome: Done, Status: status, Header: header, Body: append(body, '\n')}.write(w, version)
 }
 
+// submit checks a submission and inserts its job.
 func (g *Gateway) submit(w http.ResponseWriter, r *http.Request, tree *settings.Tree) (*wire.JobRow, error) {
 	kind, err := tree.Kind(r.PathValue("service"), r.PathValue("kind"))
 	if err != nil {
@@ -99,7 +101,7 @@
 	return g.insert(r.Context(), row)
 }
 
-// newJob checks a submission and makes its row.
+// newJob checks a submission and returns the row for its job.
 func (g *Gateway) newJob(w http.ResponseWriter, r *http.Request, kind settings.Kind, version int64) (*wire.JobRow, error) {
 	key := r.Header.Get(KeyHeader)
 	if !keyPattern.MatchString(key) {
@@ -125,6 +127,7 @@
 	}, nil
 }
 
+// taskCount returns the number of tasks that a submission asks for, 1 by default.
 func taskCount(r *http.Request) (int32, error) {
 	text := r.URL.Query().Get(TasksParameter)
 	if text == "" {
@@ -151,8 +154,8 @@
 		fmt.Sprintf("a task of %+v is larger than any host (%+v)", size, most), "lower its size in the settings")
 }
 
-// insert writes the job if its key is absent. A key that is there already
-// stands for the same job if the body is the same.
+// insert writes the job if its key is absent. If the key is present, insert returns the existing
+// job, or fault.Conflict if that job has another body.
 func (g *Gateway) insert(ctx context.Context, row *wire.JobRow) (*wire.JobRow, error) {
 	inbox := rows.Inbox(row.GetHall(), rows.Submit, row.GetKey())
 	req := &wire.CommitRequest{
@@ -179,8 +182,9 @@
 	return known, nil
 }
 
-// commitWithRetries repeats a commit whose answer was lost. Its condition makes the
-// repeat harmless. What never left this host did not run.
+// commitWithRetries sends a commit up to maxCommitTries times. Repeating one is harmless: an insert
+// has a condition, and other puts write the same rows. It returns fault.NotRun if no try left this
+// host, and otherwise fault.Unknown.
 func (g *Gateway) commitWithRetries(ctx context.Context, req *wire.CommitRequest) (*wire.CommitReply, error) {
 	var reply *wire.CommitReply
 	var err error
@@ -198,6 +202,7 @@
 	return nil, fault.New(fault.Unknown, "table", "it did not answer", "ask again with the same key").WithCause(err)
 }
 
+// readJob reads a job's row. The error is fault.NotFound if there is none.
 func (g *Gateway) readJob(ctx context.Context, key string) (*wire.JobRow, error) {
 	row, err := platform.ReadOne(ctx, g.table, rows.Job(key))
 	if err != nil {
@@ -220,6 +225,7 @@
 	writeJob(w, http.StatusOK, job, version)
 }
 
+// serveCancel requests the cancel of a job and writes the job as it is now.
 func (g *Gateway) serveCancel(w http.ResponseWriter, r *http.Request) {
 	version := g.settings.Current().Version()
 	job, err := g.EndJob(r.Context(), r.PathValue("key"), rows.Cancel, nil)
@@ -231,15 +237,15 @@
 	writeJob(w, http.StatusAccepted, job, version)
 }
 
-// EndJob asks the leader of the job's hall to cancel or drain it. An audit row,
-// when an operator asks, is written in the same transaction.
+// EndJob requests through the inbox of the job's hall that its leader performs verb on the job, a cancel
+// or a drain. An operator's audit row, if given, is written in the same transaction.
 func (g *Gateway) EndJob(ctx context.Context, key, verb string, audit *wire.Row) (*wire.JobRow, error) {
 	job, err := g.readJob(ctx, key)
 	if err != nil {
 		return nil, err
 	}
 	if job.GetState() > wire.JobState_JOB_STATE_CLAIMED {
-		return job, nil // it has ended: there is nothing to cancel
+		return job, nil // the job has ended, so there is nothing to cancel
 	}
 	req := &wire.CommitRequest{
 		Puts: []*wire.Row{rows.Put(rows.Inbox(job.GetHall(), verb, key), &wire.InboxRow{Verb: verb, JobKey: key})},
--- a/pkg/request/gateway/outcome.go
+++ b/pkg/request/gateway/outcome.go
@@ -12,29 +12,29 @@
 	"github.com/wrenferry/wrenferry/pkg/request/admit"
 )
 
-// Outcome is what a caller is told became of its request. Outcomes are final.
+// Outcome tells a caller whether its request ran. Outcomes are final.
 type Outcome string
 
 // The outcomes.
 const (
-	// Done: it ran, and this is the whole answer.
+	// Done means that the work ran, and the answer is whole.
 	Done Outcome = "done"
-	// NotRun: it surely did not run; asking again is safe.
+	// NotRun means that the work certainly did not run, so a retry is safe.
 	NotRun Outcome = "not run"
-	// Unknown: it may have run.
+	// Unknown means that the work may have run.
 	Unknown Outcome = "unknown"
 )
 
-// The headers that callers see and set.
+// The headers that callers receive and set.
 const (
 	OutcomeHeader = "Wrenferry-Outcome"
 	ReasonHeader  = "Wrenferry-Reason"
 	VersionHeader = "Wrenferry-Settings-Version"
-	// RetryHeader marks a call as a second try under its key.
+	// RetryHeader marks a call as a retry under its key.
 	RetryHeader = "Wrenferry-Retry"
-	// DeadlineHeader shortens the deadline of the kind, in milliseconds.
+	// DeadlineHeader is a deadline in milliseconds that is shorter than the kind's.
 	DeadlineHeader = "Wrenferry-Deadline-Ms"
-	// KeyHeader carries the caller's own key.
+	// KeyHeader carries the key that the caller chose.
 	KeyHeader = "Idempotency-Key"
 )
 
@@ -59,7 +59,7 @@
 	Remedy  string  `json:"remedy,omitempty"`
 }
 
-// refusedAnswer turns a refusal into an answer: nothing ran, come back then.
+// refusedAnswer returns the answer for a refusal: the work did not run, and a retry time is given.
 func refusedAnswer(r admit.Refusal, detail string) Answer {
 	return Answer{
 		Outcome:    NotRun,
@@ -70,12 +70,12 @@
 	}
 }
 
-// unknownAnswer is the answer when nobody can say whether the work ran.
+// unknownAnswer returns the answer for work that may or may not have run.
 func unknownAnswer(reason, detail string) Answer {
 	return Answer{Outcome: Unknown, Reason: reason, Status: http.StatusGatewayTimeout, Body: []byte(detail)}
 }
 
-// faultAnswer turns a failure that came before anything ran into an answer.
+// faultAnswer returns the answer for a failure before the work was sent to a server.
 func faultAnswer(err error) Answer {
 	code := fault.CodeOf(err)
 	a := Answer{Outcome: NotRun, Reason: string(code), Status: fault.Status(code), Body: []byte(err.Error())}
@@ -95,8 +95,8 @@
 	Unknown: "The work may or may not have run.",
 }
 
-// write sends an answer. Lengths are set, so that a caller can tell a whole
-// answer from a broken one.
+// write sends an answer. It sets Content-Length, so that a caller can tell a whole answer from
+// a truncated one.
 func (a Answer) write(w http.ResponseWriter, version int64) {
 	header := w.Header()
 	for name, values := range a.Header {
@@ -119,9 +119,10 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(a.Status)
-	_, _ = w.Write(body) // a caller that went away can't be told so
+	_, _ = w.Write(body) // fails only if the caller is gone
 }
 
+// problem returns the answer's body as a Problem. The text before "; " is its detail, the rest its remedy.
 func (a Answer) problem() []byte {
 	detail, remedy, _ := strings.Cut(string(a.Body), "; ")
 	body, err := json.Marshal(Problem{
@@ -139,15 +140,15 @@
 	return append(body, '\n')
 }
 
-// hopByHop lists headers that speak of one connection only, and those that the
-// entry host sets itself.
+// hopByHop lists the headers that are not copied: those about a single connection, and those that
+// the entry host sets itself.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Content-Length": true,
 	OutcomeHeader: true, ReasonHeader: true, VersionHeader: true,
 }
 
-// forwarded copies the headers of a caller that a server is to see.
+// forwarded returns a copy of the caller's headers that are sent on to a server.
 func forwarded(in http.Header) http.Header {
 	out := make(http.Header, len(in))
 	for name, values := range in {
--- a/pkg/request/gateway/request.go
+++ b/pkg/request/gateway/request.go
@@ -18,17 +18,18 @@
 	"github.com/wrenferry/wrenferry/pkg/version/settings"
 )
 
-// call is one request on its way.
+// call is one request being served.
 type call struct {
 	kind        settings.Kind
 	key         string
-	markedRetry bool
+	markedRetry bool // the caller set RetryHeader
 	header      http.Header
 	body        []byte
 	deadline    time.Time
 	service     *service
 }
 
+// serveRequest serves a request, counts its outcome and writes the answer.
 func (g *Gateway) serveRequest(w http.ResponseWriter, r *http.Request) {
 	tree := g.settings.Current()
 	begin := g.now()
@@ -41,6 +42,7 @@
 	answer.write(w, tree.Version())
 }
 
+// answerRequest checks a request, runs it, and returns the answer.
 func (g *Gateway) answerRequest(w http.ResponseWriter, r *http.Request, tree *settings.Tree, now time.Time) Answer {
 	kind, err := tree.Kind(r.PathValue("service"), r.PathValue("kind"))
 	if err != nil {
@@ -65,12 +67,13 @@
 	return g.runOnce(ctx, c)
 }
 
+// wrongTypeError returns the error for a call to a path of another type than the kind's.
 func wrongTypeError(kind settings.Kind) error {
 	return fault.New(fault.BadInput, kind.Service+"/"+kind.Name, "this kind is a "+kind.Type,
 		"use /v1/"+kind.Type+"s/ for it")
 }
 
-// parse reads the request whole, within its limits.
+// parse reads the whole request, within the limits of its kind.
 func (g *Gateway) parse(w http.ResponseWriter, r *http.Request, kind settings.Kind, now time.Time) (*call, error) {
 	body, err := readBody(w, r, kind.MaxBody)
 	if err != nil {
@@ -95,6 +98,7 @@
 	}, nil
 }
 
+// readBody reads the whole body, of at most limit bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLarge *http.MaxBytesError
@@ -109,7 +113,7 @@
 
 // ------------------------------------------------------------------- keys
 
-// runOnce runs work that must not run twice under its key.
+// runOnce runs work that must run at most once under its key.
 func (g *Gateway) runOnce(ctx context.Context, c *call) Answer {
 	key := binding.Key{Service: c.kind.Service, Kind: c.kind.Name, Key: c.key}
 	begun := g.keys.Begin(g.now(), key, c.kind.KeyWindow)
@@ -121,11 +125,11 @@
 	return answer
 }
 
-// maxCachedBody is the largest body that is kept for a caller that asks again at the
-// same entry host; it bounds what the keys of one window take.
+// maxCachedBody is the largest body, in bytes, that is kept for a caller that retries at the same
+// entry host. It bounds the memory that the keys of one window take.
 const maxCachedBody = 8 << 10
 
-// cacheableAnswer is what is remembered of an answer.
+// cacheableAnswer returns the answer to keep for a retry, or nil if its body is too large.
 func cacheableAnswer(answer Answer) any {
 	if len(answer.Body) > maxCachedBody {
 		return nil
@@ -133,16 +137,17 @@
 	return answer
 }
 
-// runUnderKey asks the other entry hosts if need be, and runs. An unsure answer
-// stops a second try, but not a first one: nobody can have run that before.
-func (g *Gateway) runUnderKey(ctx context.Context, c *call, key binding.Key, again bool) Answer {
-	if !g.unsafe.NoAsk && (again || c.kind.AskPeers == settings.AskAlways) {
+// runUnderKey asks the other entry hosts about the key if needed, and then runs the work. retry
+// marks work that another host may have run already. An unsure answer stops a retry, but not a first
+// try, which no other host can have run.
+func (g *Gateway) runUnderKey(ctx context.Context, c *call, key binding.Key, retry bool) Answer {
+	if !g.unsafe.NoAsk && (retry || c.kind.AskPeers == settings.AskAlways) {
 		asked := g.peers.Ask(ctx, key.Question(c.kind.KeyWindow))
 		if asked.MaybeRan {
 			return unknownAnswer(string(admit.SeenElsewhere), "another entry host has had this key; look whether the work was done")
 		}
 		young := g.keys.Age(g.now()) < c.kind.KeyWindow
-		if again && (asked.Unsure || young) {
+		if retry && (asked.Unsure || young) {
 			return unknownAnswer("no-entry-host-can-vouch", "an entry host is away or too young to vouch for this key; look whether the work was done, or ask again later")
 		}
 		if asked.Unsure {
@@ -156,8 +161,8 @@
 	return g.runWithRetries(ctx, c)
 }
 
-// answerOfEarlierTry gives a caller that asks again at the same entry host the answer of
-// the first try, as soon as there is one.
+// answerOfEarlierTry waits for the end of the first try under a key, and returns its answer to a caller
+// that retries at the same entry host.
 func (g *Gateway) answerOfEarlierTry(ctx context.Context, e *binding.Entry) Answer {
 	if done := g.keys.Wait(e); done != nil {
 		select {
@@ -174,28 +179,28 @@
 
 // ------------------------------------------------------------------ tries
 
-// maxFreeRetries is how many servers may say that they are full before a further try
-// counts against the retry budget. A full server costs little to ask, and other
-// entry hosts' requests are why it was not known to be full.
+// maxFreeRetries is the number of retries after a full server that don't count against the retry
+// budget. Asking a full server costs little, and this host could not know that the requests of
+// other entry hosts had filled it.
 const maxFreeRetries = 4
 
-// runWithRetries sends the request to one server after another until it is done, nobody
-// can say, or there is no use in going on.
+// runWithRetries sends the request to one server after another, until the outcome admits no further
+// try, the deadline passes or the retry budget is spent.
 func (g *Gateway) runWithRetries(ctx context.Context, c *call) Answer {
 	c.service.budget.RecordFirstTry(c.kind.RetryBudget)
 	tried := map[string]bool{}
-	for busy := 0; ; {
+	for freeRetries := 0; ; {
 		lease, refusal := g.acquire(ctx, c, tried)
 		if refusal != nil {
 			return refusedAnswer(*refusal, "no server could take the request in time; come back later")
 		}
 		tried[lease.Name] = true
-		answer, again := g.sendOnce(ctx, c, lease)
-		if !again || ctx.Err() != nil {
+		answer, mayRetry := g.sendOnce(ctx, c, lease)
+		if !mayRetry || ctx.Err() != nil {
 			return answer
 		}
-		if answer.Reason == string(admit.ServerFull) && busy < maxFreeRetries {
-			busy++
+		if answer.Reason == string(admit.ServerFull) && freeRetries < maxFreeRetries {
+			freeRetries++
 			g.count("requests.server-full")
 			continue
 		}
@@ -207,11 +212,11 @@
 	}
 }
 
-// headPollInterval is how long the first in line waits before it looks again: a server
-// may have come free through another entry host's request.
+// headPollInterval is the period at which the first waiter tries again to acquire a server. A slot may become free by
+// the end of another entry host's request, of which this host is not notified.
 const headPollInterval = 10 * time.Millisecond
 
-// acquire waits in line for a server.
+// acquire returns a lease on a server. It queues the request if none has a free slot, or others are queued.
 func (g *Gateway) acquire(ctx context.Context, c *call, tried map[string]bool) (*runner.Lease, *admit.Refusal) {
 	s := c.service
 	if s.gate.Len() == 0 {
@@ -232,6 +237,7 @@
 	return g.waitForServer(ctx, c, waiter, tried)
 }
 
+// waitForServer waits until the waiter is first and a server has a free slot.
 func (g *Gateway) waitForServer(ctx context.Context, c *call, waiter *admit.Waiter, tried map[string]bool) (*runner.Lease, *admit.Refusal) {
 	s := c.service
 	late := &admit.Refusal{Reason: admit.WaitedTooLong, RetryAfter: time.Second}
@@ -260,8 +266,8 @@
 	}
 }
 
-// sendOnce sends the request once. It says whether another try may be made: always
-// when this one surely did not run; else only for repeatable work.
+// sendOnce sends the request once. It returns whether another try may be made: always if this
+// one certainly did not run, otherwise only for repeatable work.
 func (g *Gateway) sendOnce(ctx context.Context, c *call, lease *runner.Lease) (Answer, bool) {
 	g.count("requests.sent")
 	got, err := g.client.Call(ctx, lease.Address, c.kind.Service, c.kind.Name, c.key, c.header, c.body)
@@ -278,6 +284,7 @@
 	return answer, got.Report.Verdict == runner.Failed && c.kind.Repeatable
 }
 
+// handleSendError ends the lease after a call without a whole answer. The work did not run if the call was never sent.
 func (g *Gateway) handleSendError(ctx context.Context, c *call, lease *runner.Lease, err error) (Answer, bool) {
 	verdict := runner.Failed
 	if errors.Is(ctx.Err(), context.Canceled) {
@@ -290,7 +297,7 @@
 	return unknownAnswer("no-whole-answer", err.Error()), c.kind.Repeatable
 }
 
-// finishLease ends a lease and spreads the news of a leaving server.
+// finishLease ends a lease. It notifies the other entry hosts if the server reported first now that it is leaving.
 func (g *Gateway) finishLease(c *call, lease *runner.Lease, report runner.Report) {
 	if lease.Done(g.now(), report) {
 		g.count("servers.leaving")
--- a/pkg/request/gateway/stream.go
+++ b/pkg/request/gateway/stream.go
@@ -14,19 +14,18 @@
 	"github.com/wrenferry/wrenferry/pkg/version/settings"
 )
 
-// Streams are server-sent events. The entry host passes on whole events only
-// and remembers the id of the last one. When a server leaves or breaks, the
-// stream goes on at another one, which is told that id, so the caller sees
-// neither a gap nor a double. When the entry host itself stops, it ends the
-// stream between two events; the caller comes back with Last-Event-ID.
+// Streams are server-sent events. The entry host passes on whole events only and keeps the id
+// of the last one. When a server leaves or fails, the stream continues at another server, which
+// receives that id, so the caller gets no gap and no duplicate. When the entry host itself stops,
+// it ends the stream between two events, and the caller reconnects with Last-Event-ID.
 
-// maxStreamOutage is how long a stream may find no server before it is ended.
+// maxStreamOutage is the time without any event after which a stream that finds no server is ended.
 const maxStreamOutage = 30 * time.Second
 
-// reopenDelay is the pause between two tries to open a stream.
+// reopenDelay is the delay before the next round of servers, when none could be leased.
 const reopenDelay = 100 * time.Millisecond
 
-// maxEventBytes bounds one event.
+// maxEventBytes limits the size of one line of an event.
 const maxEventBytes = 1 << 20
 
 func (g *Gateway) serveStream(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +50,7 @@
 	g.count("streams.ended")
 }
 
-// stream is one caller's standing stream.
+// stream is one caller's stream, across the servers that serve it in turn.
 type stream struct {
 	gateway     *Gateway
 	kind        settings.Kind
@@ -59,10 +58,11 @@
 	out         http.ResponseWriter
 	control     *http.ResponseController
 	lastEventID string // the id of the last event passed on
-	headerSent  bool
+	headerSent  bool   // the response has been started, so it can only be ended
 }
 
-// run goes from server to server until the caller leaves or the host stops.
+// run relays from one server after another, until the caller disconnects, the host stops, or no server is found
+// for maxStreamOutage.
 func (s *stream) run(ctx context.Context, version int64) {
 	tried := map[string]bool{}
 	silentSince := s.gateway.now()
@@ -73,7 +73,7 @@
 				s.refuseUnlessStarted(version)
 				return
 			}
-			tried = map[string]bool{} // those that broke may be back
+			tried = map[string]bool{} // servers that failed may be back
 			sleep(ctx, reopenDelay)
 			continue
 		}
@@ -90,6 +90,7 @@
 	}
 }
 
+// sleep waits for a span, or until the context ends.
 func sleep(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -97,8 +98,8 @@
 	}
 }
 
-// refuseUnlessStarted answers a stream for which there is no server. One that has begun can
-// only be ended.
+// refuseUnlessStarted refuses a stream for which there is no server. A stream whose header was sent
+// can only be ended.
 func (s *stream) refuseUnlessStarted(version int64) {
 	if s.headerSent {
 		return
@@ -107,8 +108,8 @@
 		"no server takes this stream; come back later").write(s.out, version)
 }
 
-// relay passes on the events of one server. It says whether there were any,
-// and whether the stream is over for good.
+// relay passes on the events of one server. passed means that there were any, stopped that the stream
+// must end.
 func (s *stream) relay(ctx context.Context, lease *runner.Lease) (passed, stopped bool) {
 	verdict := runner.Failed
 	defer func() { lease.Done(s.gateway.now(), runner.Report{Verdict: verdict, Free: -1}) }()
@@ -116,7 +117,7 @@
 	if err != nil {
 		return false, ctx.Err() != nil
 	}
-	verdict = runner.Abandoned // it says nothing of how the server answers calls
+	verdict = runner.Abandoned // a stream's end tells nothing about how the server answers calls
 	defer resp.Body.Close()
 	if !s.sendHeader() {
 		return false, true
@@ -124,6 +125,7 @@
 	return s.relayEvents(ctx, resp.Body)
 }
 
+// sendHeader starts the response if it has not been started. It returns false if the caller is gone.
 func (s *stream) sendHeader() bool {
 	if s.headerSent {
 		return true
@@ -136,13 +138,14 @@
 	return s.control.Flush() == nil
 }
 
-// event is one whole event, or the end of what a server sent.
+// event is one whole event, or the end of a server's stream if err is set.
 type event struct {
 	text []byte
 	id   string
 	err  error
 }
 
+// relayEvents passes on the events of a body until it ends, the caller disconnects or the host drains.
 func (s *stream) relayEvents(ctx context.Context, body io.Reader) (passed, stopped bool) {
 	events := make(chan event)
 	ctx, cancel := context.WithCancel(ctx)
@@ -166,7 +169,7 @@
 	}
 }
 
-// writeEvent writes one whole event to the caller.
+// writeEvent writes one whole event to the caller. It returns false if the caller is gone.
 func (s *stream) writeEvent(e event) bool {
 	if _, err := s.out.Write(e.text); err != nil {
 		return false
@@ -181,8 +184,8 @@
 	return true
 }
 
-// readEvents cuts a body into whole events. A part of an event at the end is
-// dropped: the next server sends it again.
+// readEvents splits a body into whole events. An incomplete event at the end is dropped: the next
+// server sends it again.
 func readEvents(ctx context.Context, body io.Reader, out chan<- event) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, maxEventBytes)
@@ -208,6 +211,7 @@
 	emit(ctx, out, event{err: fault.New(fault.Unavailable, "stream", "it broke off", "").WithCause(err)})
 }
 
+// emit sends an event to out. It returns false if the context ended.
 func emit(ctx context.Context, out chan<- event, e event) bool {
 	select {
 	case out <- e:
--- a/pkg/request/intake/cancel_test.go
+++ b/pkg/request/intake/cancel_test.go
@@ -14,7 +14,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// cancelRecorder leads two cells, and keeps which were told of a cancel.
+// cancelRecorder leads two cells and records the cells that were notified of a cancel.
 type cancelRecorder struct {
 	stubLeaders
 	notified *[]string
@@ -26,8 +26,8 @@
 
 func (h cancelRecorder) Cancelled(cell, id string) { *h.notified = append(*h.notified, cell+" "+id) }
 
-// A cell with delegated tasks of the job must not depend on the leader of the job's own cell, which may
-// change just then.
+// A cell to which tasks of the job were delegated must learn of a cancel directly: the leader of the job's home cell may
+// change at that moment.
 func TestCancelNotifiesAllCells(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
@@ -40,7 +40,7 @@
 	must.Eq(t, []string{"home " + id, "other " + id}, told)
 }
 
-// commitRecorder is a table that keeps what is committed.
+// commitRecorder is a table that records the keys of committed rows.
 type commitRecorder struct {
 	fixedTable
 	puts *[]table.Key
@@ -53,8 +53,8 @@
 	return table.Committed{Version: 1}, nil
 }
 
-// A word may not arrive, or is gone with the leader that had it. So a cancel stands in the table for every cell,
-// by one transaction of the job's part.
+// A notification may be lost, or the leader that received it may end. So one transaction within the job's part of the
+// table writes a cancel row for every cell.
 func TestCancelWritesRowForEveryCell(t *testing.T) {
 	t.Parallel()
 	const id = "00000000000000aa"
--- a/pkg/request/intake/intake.go
+++ b/pkg/request/intake/intake.go
@@ -1,12 +1,12 @@
-// Package intake is what an entry host does for one call about a job: take it in, tell its
-// state, cancel it, count a queue. The platform's adapter calls it for callers.
+// Package intake serves calls about jobs at an entry host: submit, state, cancel, and the
+// count of a queue's pending jobs. The platform's adapter calls it for callers.
 //
-// A job is accepted by one transaction that inserts its anchor if the id is free, so a second
-// hand-in at any host is the same job. The cell is chosen by package cellchoice; its leader is
-// told at once, and would also find the job in the table.
+// One transaction accepts a job: it inserts the job's anchor row if the id is unused, so
+// submitting the id again at any host yields the same job. Package cellchoice chooses the cell.
+// The cell's leader is notified at once, and would also find the job in the table.
 //
-// What may have been written is never called not run, and a count that can't be told is never
-// guessed.
+// A job that may have been written is never reported as not run. A pending count that can't
+// be determined is an error, never an estimate.
 package intake
 
 import (
@@ -31,18 +31,20 @@
 )
 
 const (
-	// peerTimeout bounds a question to a cell's leader.
+	// peerTimeout bounds a call to a cell's leader.
 	peerTimeout = 300 * time.Millisecond
-	// maxCachedAnchors and endsKept bound what is remembered of jobs: some minutes'
-	// worth at the rates of the largest known deployment.
+	// maxCachedAnchors and maxCachedFinalPhases bound the caches of home cells and final
+	// phases, in jobs: some minutes' worth at the rates of the largest known deployment.
 	maxCachedAnchors     = 8192
 	maxCachedFinalPhases = 8192
-	// maxCachedReasons is the same for why jobs have failed: few do, and a reason has a hundred bytes.
+	// maxCachedReasons bounds the cache of failure reasons, in jobs: few jobs fail, and a
+	// reason takes about a hundred bytes.
 	maxCachedReasons = 512
 )
 
 // Peers connects to other hosts.
 type Peers interface {
+	// To returns the client for the host at an address.
 	To(address string) (wire.FleetClient, error)
 }
 
@@ -57,30 +59,32 @@
 
 	homeCells   *lru.Cache[string, string]
 	finalPhases *lru.Cache[string, wire.JobPhase]
-	// reasons are why jobs have failed.
+	// reasons holds the reasons of failed jobs by job id.
 	reasons *lru.Cache[string, string]
 
+	// mu guards the fields below.
 	mu    sync.Mutex
 	board *cellchoice.Board
-	// loadRequested are the cells whose load is being asked for, beliefsAt when their leaders'
-	// beliefs were.
+	// loadRequested marks the cells with a load request under way. beliefsRequestedAt holds the
+	// time of the last request for the interference beliefs of a cell's leader.
 	loadRequested      map[string]bool
 	beliefsRequestedAt map[string]time.Time
 }
 
 // New returns the intake of a host in the given hall.
 func New(hall string, st *store.Client, leaders Leaders, peers Peers, log *logrus.Entry, registry metrics.Registry) *Intake {
-	anchors, _ := lru.New[string, string](maxCachedAnchors)         // fails for a negative size only
-	ends, _ := lru.New[string, wire.JobPhase](maxCachedFinalPhases) // likewise
-	reasons, _ := lru.New[string, string](maxCachedReasons)         // likewise
+	homeCells, _ := lru.New[string, string](maxCachedAnchors)              // fails for a negative size only
+	finalPhases, _ := lru.New[string, wire.JobPhase](maxCachedFinalPhases) // likewise
+	reasons, _ := lru.New[string, string](maxCachedReasons)                // likewise
 	return &Intake{
 		hall: hall, store: st, leaders: leaders, peers: peers, log: log, metrics: registry,
-		homeCells: anchors, finalPhases: ends, reasons: reasons, board: cellchoice.NewBoard(hall), loadRequested: map[string]bool{}, beliefsRequestedAt: map[string]time.Time{},
+		homeCells: homeCells, finalPhases: finalPhases, reasons: reasons,
+		board: cellchoice.NewBoard(hall), loadRequested: map[string]bool{}, beliefsRequestedAt: map[string]time.Time{},
 	}
 }
 
-// Submit takes a job in. It returns when the table holds the job, or with what
-// is known: fault.NotRun if it surely does not, else fault.Unknown.
+// Submit accepts a job. It returns nil once the table holds the job, fault.NotRun if the
+// table certainly does not hold it, and otherwise fault.Unknown.
 func (i *Intake) Submit(ctx context.Context, now time.Time, q manifest.Queue, spec *wire.JobSpec) error {
 	if _, known := i.homeCells.Get(spec.GetId()); known {
 		i.logJob("job-accepted-again", spec, now, "", nil)
@@ -101,6 +105,8 @@
 	return nil
 }
 
+// insert writes the job's anchor and spec rows if its id is unused. An id that is in use denotes the same job, so
+// insert then succeeds, too.
 func (i *Intake) insert(ctx context.Context, spec *wire.JobSpec) error {
 	anchor := rows.AnchorKey(spec.GetId())
 	done, err := i.store.Commit(ctx, table.Transaction{
@@ -117,15 +123,15 @@
 		return i.resolveUnknown(ctx, spec, err)
 	case done.Conflict:
 		i.cacheAnchor(spec.GetId(), done.Found)
-		return nil // the id stands for a job already: it is this one
+		return nil // the id is in use, so this job was accepted before
 	}
 	i.homeCells.Add(spec.GetId(), spec.GetCell())
 	i.notifyAccepted(spec)
 	return nil
 }
 
-// resolveUnknown finds out whether a transaction without an answer took effect.
-// If the job isn't there now it may still come.
+// resolveUnknown checks whether a transaction without an answer took effect. A missing anchor
+// proves nothing, as the transaction may still take effect: the result is then fault.Unknown.
 func (i *Intake) resolveUnknown(ctx context.Context, spec *wire.JobSpec, cause error) error {
 	cell, found, err := i.homeCell(ctx, spec.GetId())
 	if err == nil && found {
@@ -137,6 +143,7 @@
 	return fault.New(fault.Unknown, spec.GetId(), "the table did not say whether it took the job", "ask again with the same id").WithCause(cause)
 }
 
+// cacheAnchor caches the job's home cell if the rows found by a conflicting transaction hold its anchor.
 func (i *Intake) cacheAnchor(id string, found []table.Row) {
 	for _, r := range found {
 		anchor := &wire.JobAnchor{}
@@ -146,7 +153,7 @@
 	}
 }
 
-// notifyAccepted hands a job to its cell's leader, without waiting.
+// notifyAccepted sends an accepted job to its cell's leader in the background.
 func (i *Intake) notifyAccepted(spec *wire.JobSpec) {
 	i.notifyLeader(spec.GetCell(), func() { i.leaders.Accepted(spec) }, func(ctx context.Context, p wire.FleetClient) error {
 		reply, err := p.Accepted(ctx, &wire.AcceptedJob{Spec: spec})
@@ -157,9 +164,9 @@
 	})
 }
 
-// notifyLeader tells a cell's leader something, without waiting: here, if this
-// process leads the cell. A word that does not arrive is only counted, since
-// the leader follows the table.
+// notifyLeader notifies a cell's leader without waiting for the answer. It calls here if this
+// process leads the cell, and otherwise there with a client of the leader. A lost notification
+// is only counted, since the leader also follows the table.
 func (i *Intake) notifyLeader(cell string, here func(), there func(ctx context.Context, p wire.FleetClient) error) {
 	view := i.leaders.View().Cells[cell]
 	if view.Mine {
@@ -181,7 +188,7 @@
 
 // ----------------------------------------------------------------- states
 
-// State tells a job's phase: UNSPECIFIED if there is no such job.
+// State returns a job's phase, or UNSPECIFIED if there is no such job.
 func (i *Intake) State(ctx context.Context, id string) (wire.JobPhase, error) {
 	if phase, ok := i.finalPhases.Get(id); ok {
 		return phase, nil
@@ -205,8 +212,8 @@
 	return phase, nil
 }
 
-// Reason is why a job has failed, as its record says; empty: it does not say. A failed job's
-// record does not change, so its reason is read once.
+// Reason returns the reason in a failed job's progress row, or "" if none can be read. The
+// row of a failed job does not change, so the reason is cached.
 func (i *Intake) Reason(ctx context.Context, id string) string {
 	if reason, ok := i.reasons.Get(id); ok {
 		return reason
@@ -223,7 +230,7 @@
 	return p.GetReason()
 }
 
-// homeCell finds the cell that a job went to.
+// homeCell returns the cell that accepted a job. found is false if there is no such job.
 func (i *Intake) homeCell(ctx context.Context, id string) (cell string, found bool, err error) {
 	if cell, ok := i.homeCells.Get(id); ok {
 		return cell, true, nil
@@ -244,6 +251,8 @@
 	return anchor.GetCell(), true, nil
 }
 
+// phaseFromLeader asks the leader of the job's home cell for its phase. It returns false if
+// no leader is within reach or the leader does not know the job.
 func (i *Intake) phaseFromLeader(ctx context.Context, cell, id string) (wire.JobPhase, bool) {
 	view := i.leaders.View().Cells[cell]
 	if view.Mine {
@@ -265,8 +274,8 @@
 	return reply.GetPhase(), true
 }
 
-// phaseFromTable reads a job's phase from the table, where its leader does not
-// answer.
+// phaseFromTable reads a job's phase from the table, for a cell whose leader does not answer.
+// A job without a progress row is queued.
 func (i *Intake) phaseFromTable(ctx context.Context, cell, id string) (wire.JobPhase, error) {
 	p, err := i.readProgress(ctx, cell, id)
 	switch {
@@ -280,7 +289,7 @@
 	return p.GetPhase(), nil
 }
 
-// readProgress reads what the table holds of a job's progress; nil: nothing yet.
+// readProgress reads a job's progress row, or returns nil if there is none yet.
 func (i *Intake) readProgress(ctx context.Context, cell, id string) (*wire.JobProgress, error) {
 	key := rows.ProgressKey(cell, id)
 	page, err := i.store.Read(ctx, table.Range{Table: key.Table, Part: key.Part, From: id, To: id + "\x00", Limit: 1})
@@ -294,7 +303,8 @@
 	return p, nil
 }
 
-// Cancel puts a cancel into the table; false: there is no such job.
+// Cancel writes the rows of a cancel into the table and notifies the leaders. It returns false
+// if there is no such job. Cancelling a job that has ended does nothing.
 func (i *Intake) Cancel(ctx context.Context, now time.Time, id string) (bool, error) {
 	if phase, ok := i.finalPhases.Get(id); ok {
 		i.log.WithFields(logrus.Fields{"job": id, "phase": phase.String()}).Info("job-cancel-late")
@@ -308,8 +318,8 @@
 	tx := table.Transaction{Puts: []table.Row{rows.Row(rows.CancelKey(cell, id), &wire.JobRef{Cell: cell, Id: id})}}
 	for _, name := range slices.Sorted(maps.Keys(cells)) {
 		if name != cell {
-			// A cell that runs tasks which it was lent must learn of it also while nobody leads the job's own
-			// cell, and its next leader, too: a word may not arrive, or be gone with whom it was told.
+			// A cell that runs delegated tasks of the job must learn of the cancel even while the home cell has no
+			// leader. Its next leader must learn of it, too: a notification may be lost, or end with its recipient.
 			tx.Puts = append(tx.Puts, rows.Row(rows.CancelKey(name, id), &wire.JobRef{Cell: name, Id: id}))
 		}
 	}
@@ -320,11 +330,12 @@
 	i.increment("cancelled")
 	i.log.WithFields(logrus.Fields{"job": id, "cell": cell, "ms": clock.Now().Sub(now).Milliseconds()}).Info("job-cancel")
 	for name := range cells {
-		i.notifyCancel(name, id) // sooner than they read it
+		i.notifyCancel(name, id) // arrives before the leader reads the row
 	}
 	return true, nil
 }
 
+// notifyCancel notifies a cell's leader of a cancel in the background.
 func (i *Intake) notifyCancel(cell, id string) {
 	i.notifyLeader(cell, func() { i.leaders.Cancelled(cell, id) }, func(ctx context.Context, p wire.FleetClient) error {
 		_, err := p.Cancelled(ctx, &wire.JobRef{Cell: cell, Id: id})
@@ -332,10 +343,11 @@
 	})
 }
 
-func (i *Intake) increment(what string) {
-	metrics.GetOrRegisterCounter("jobs."+what, i.metrics).Inc(1)
+func (i *Intake) increment(name string) {
+	metrics.GetOrRegisterCounter("jobs."+name, i.metrics).Inc(1)
 }
 
+// logJob logs an event of a submission, with the time since began and the error's outcome if there is an error.
 func (i *Intake) logJob(event string, spec *wire.JobSpec, began time.Time, detail string, err error) {
 	fields := logrus.Fields{
 		"job": spec.GetId(), "queue": spec.GetQueue(), "cell": spec.GetCell(), "ms": clock.Now().Sub(began).Milliseconds(),
--- a/pkg/request/intake/leaders.go
+++ b/pkg/request/intake/leaders.go
@@ -7,32 +7,38 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Leaders tells who leads which cell, and answers for those led here.
+// Leaders knows the leader of each cell, and answers for the cells that this process leads.
 type Leaders interface {
+	// View returns the leaders of all cells.
 	View() *View
+	// Accepted notifies the leader, in this process, of a job accepted for its cell.
 	Accepted(spec *wire.JobSpec)
+	// Cancelled notifies the cell's leader, in this process, of a cancelled job.
 	Cancelled(cell, id string)
+	// Phase returns a job's phase, or false if this process does not know it.
 	Phase(ctx context.Context, cell, id string) (wire.JobPhase, bool)
+	// Load returns the load of a cell led here, with the leader's interference beliefs if asked for.
 	Load(ctx context.Context, cell string, withBeliefs bool) *wire.CellLoad
+	// OtherLoad passes the load that a cell's leader reported to the cells led here.
 	OtherLoad(l *wire.CellLoad)
 }
 
-// View is who leads which cell, as this process last saw it.
+// View lists the leader of each cell, as this process knew it at the time At.
 type View struct {
 	At    time.Time
 	Cells map[string]CellView
-	// Waits says that tasks wait in a cell led here that other cells might take.
+	// Waits means that tasks wait in a cell led here that could be delegated to other cells.
 	Waits bool
 }
 
-// CellView is who leads a cell.
+// CellView describes a cell's leader: its host name, address and the epoch of its leadership.
 type CellView struct {
 	Hall    string
 	Leader  string
 	Address string
 	Epoch   int64
-	// Fresh says that its renewals come.
+	// Fresh means that the leader's renewals arrive.
 	Fresh bool
-	// Mine says that this process leads it, with its jobs loaded.
+	// Mine means that this process leads the cell and has loaded its jobs.
 	Mine bool
 }
--- a/pkg/request/intake/loads.go
+++ b/pkg/request/intake/loads.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// loadInterval is how often the loads of all cells are asked for in any case, so
-	// that the first jobs after a quiet time are spread too.
+	// loadInterval is the period at which the loads of all cells are requested even without
+	// new jobs, so that the first jobs after an idle time are spread over the cells, too.
 	loadInterval = 2 * time.Second
-	// loadIntervalWaiting is the same while tasks wait here that another cell may have
-	// room for: room comes and goes within a second.
+	// loadIntervalWaiting is that period while tasks wait here that another cell may have room
+	// for: free capacity appears and vanishes within a second.
 	loadIntervalWaiting = 250 * time.Millisecond
 )
 
-// String names the part for the supervisor.
+// String returns the service's name for the supervisor.
 func (i *Intake) String() string { return "loads follower" }
 
-// Serve keeps the loads of all cells known until the context ends.
+// Serve requests the loads of all cells periodically until the context ends.
 func (i *Intake) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(loadIntervalWaiting)
 	defer ticker.Stop()
@@ -35,7 +35,7 @@
 	}
 }
 
-// requestStaleLoads asks for the loads that are older than they may be.
+// requestStaleLoads requests each load that is as old as the present interval, from cells with a leader.
 func (i *Intake) requestStaleLoads(now time.Time) {
 	view := i.leaders.View()
 	limit := loadInterval
@@ -49,8 +49,8 @@
 	}
 }
 
-// requestLoadIfOlder asks for a cell's load in the background if it is older than a limit, and
-// is not being asked for.
+// requestLoadIfOlder requests a cell's load in the background if the known one has reached the
+// age limit and no request is under way.
 func (i *Intake) requestLoadIfOlder(now time.Time, name string, c CellView, limit time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -61,10 +61,10 @@
 	go i.requestLoad(name, c)
 }
 
-// loadRefreshAge is the age from which on a load is asked for anew when it is used.
+// loadRefreshAge is the age from which a load is requested again when a job's cell is chosen.
 const loadRefreshAge = 500 * time.Millisecond
 
-// chooseCell picks the cell for a new job.
+// chooseCell picks the cell for a new job, and requests the loads that have reached loadRefreshAge.
 func (i *Intake) chooseCell(now time.Time, spec *wire.JobSpec) cellchoice.Choice {
 	cells := map[string]cellchoice.Cell{}
 	for name, c := range i.leaders.View().Cells {
@@ -76,6 +76,7 @@
 	return i.board.Choose(now, spec, cells)
 }
 
+// requestLoad requests a cell's load and applies the answer.
 func (i *Intake) requestLoad(name string, c CellView) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
@@ -86,11 +87,12 @@
 	i.loadRequested[name] = false
 }
 
-// beliefsInterval is how often a leader's beliefs are asked for: they are the bulk of a
-// load (1 KB for 5 serving and 9 filler images), and change slowly.
+// beliefsInterval is the period at which a leader's interference beliefs are requested. They are
+// the bulk of a load (1 KB for 5 serving and 9 filler images), and change slowly.
 const beliefsInterval = 3 * time.Second
 
-// beliefsDue says whether it is time to ask for a leader's beliefs.
+// beliefsDue returns whether the next load request is to ask for the leader's beliefs, and
+// then records the time.
 func (i *Intake) beliefsDue(now time.Time, name string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -101,6 +103,7 @@
 	return true
 }
 
+// fetchLoad returns a cell's load from its leader, or nil if the leader can't be reached.
 func (i *Intake) fetchLoad(ctx context.Context, name string, c CellView, withBeliefs bool) *wire.CellLoad {
 	if c.Mine {
 		return i.leaders.Load(ctx, name, withBeliefs)
@@ -120,7 +123,7 @@
 	return reply
 }
 
-// applyLoad remembers a load that a leader told.
+// applyLoad stores a load reported by a cell's leader, and passes it to the cells led here.
 func (i *Intake) applyLoad(now time.Time, l *wire.CellLoad) {
 	if !l.GetLeading() {
 		return
--- a/pkg/request/intake/pending.go
+++ b/pkg/request/intake/pending.go
@@ -13,12 +13,12 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// maxPendingAge is how old a count may be; callers are promised two seconds.
+// maxPendingAge is the largest age of a known load whose count is used. Callers are promised two seconds.
 const maxPendingAge = time.Second
 
-// Pending counts a queue's accepted jobs of which no task has begun: as each cell's
-// leader tells, or else as the table holds them. A count that can't be told is an
-// error: one without some cell's jobs would say that they have begun.
+// Pending returns the number of a queue's accepted jobs of which no task has begun. The counts
+// come from the cells' leaders, or from the table where a leader can't be reached. If neither
+// can be read the result is an error: a sum without a cell would mean that its jobs have begun.
 func (i *Intake) Pending(ctx context.Context, now time.Time, queue string) (int, error) {
 	sum := 0
 	view := i.leaders.View()
@@ -32,6 +32,8 @@
 	return sum, nil
 }
 
+// pendingInCell returns a queue's pending count in one cell: from the known load if it is fresh, otherwise from the
+// leader, otherwise from the table.
 func (i *Intake) pendingInCell(ctx context.Context, now time.Time, name string, c CellView, queue string) (int, error) {
 	i.mu.Lock()
 	known, age := i.board.Load(now, name)
@@ -53,8 +55,8 @@
 	return n, err
 }
 
-// countPendingInTable counts in the table: jobs that stand there and have no progress yet. Some
-// of them may have begun.
+// countPendingInTable counts the queue's jobs in the table that have no progress row. Some of
+// these may have begun already.
 func (i *Intake) countPendingInTable(ctx context.Context, cell, queue string) (int, error) {
 	n := 0
 	for p := range rows.JobParts {
@@ -72,6 +74,8 @@
 	return n, nil
 }
 
+// countPendingRows counts the specs of a queue without a progress row. Jobs of delegated tasks are left out: their home
+// cell counts them.
 func countPendingRows(specs, progress []table.Row, queue string) int {
 	begun := map[string]bool{}
 	for _, r := range progress {
@@ -81,7 +85,7 @@
 	for _, r := range specs {
 		spec := &wire.JobSpec{}
 		if rows.Read(r, spec) != nil || begun[r.Key.Key] || spec.GetQueue() != queue || len(spec.GetGuest()) > 0 {
-			continue // one that can't be read is told of by its cell's leader
+			continue // the cell's leader reports specs that can't be read
 		}
 		n++
 	}
--- a/pkg/request/intake/pending_test.go
+++ b/pkg/request/intake/pending_test.go
@@ -19,7 +19,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// fixedTable is a table that holds fixed rows, or is down.
+// fixedTable is a table with fixed rows. down makes its reads fail.
 type fixedTable struct {
 	rows []table.Row
 	down bool
@@ -46,7 +46,7 @@
 	return table.Page{}, nil
 }
 
-// stubLeaders tells of one cell led here and one whose leader is out of reach.
+// stubLeaders knows the cell near, led by this process, and the cell far, whose leader is unreachable.
 type stubLeaders struct{}
 
 func (stubLeaders) View() *intake.View {
@@ -73,7 +73,7 @@
 	return intake.New("hall", client, told, nil, silent.WithField("test", true), registry)
 }
 
-// Jobs that are left out of the count would pass for begun.
+// Callers take jobs that are missing from the count for begun, so an unreachable leader's jobs are counted in the table.
 func TestPendingCountsJobsOfCellWithUnreachableLeader(t *testing.T) {
 	t.Parallel()
 	spec := func(id, queue string, guest ...*wire.TaskRef) table.Row {
--- a/pkg/request/intake/places_test.go
+++ b/pkg/request/intake/places_test.go
@@ -12,7 +12,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// twoCells leads both cells; the loads differ in what their workers are.
+// twoCells leads both cells. The workers of the cell far have other labels, and accelerators.
 type twoCells struct{ stubLeaders }
 
 func (twoCells) View() *intake.View {
@@ -29,8 +29,8 @@
 	return l
 }
 
-// Jobs went to a cell by its room alone: one whose label no worker of that cell carries
-// waited there for good, and data lay in another hall.
+// When the cell was chosen by free capacity alone, a job with a label that no worker of the cell
+// has waited there forever, and other jobs ran in another hall than their data.
 func TestSubmitChoosesCellByLabelSizeAndDataLocality(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -48,7 +48,7 @@
 			t.Parallel()
 			in := newIntakeWith(fixedTable{}, twoCells{})
 			now := time.Now()
-			_, err := in.Pending(context.Background(), now, "offers") // so that the loads are known
+			_, err := in.Pending(context.Background(), now, "offers") // fetches the loads
 			must.NoError(t, err)
 			spec := &wire.JobSpec{Id: "00000000000000aa", Steps: []*wire.StepSpec{c.step}}
 			must.NoError(t, in.Submit(context.Background(), now, manifest.Queue{Name: "offers", Service: "s"}, spec))
--- a/pkg/request/route/route.go
+++ b/pkg/request/route/route.go
@@ -1,11 +1,11 @@
-// Package route chooses a backend server for one request; pools of package runner ask it.
+// Package route chooses a backend server for one request. The pools of package runner call it.
 //
-// Entry hosts don't see each other's requests, so the load of a server is an estimate: what
-// this host has outstanding there, plus what the server last reported beyond that, which
-// counts for less as it ages. Policies stand in one look-up table; all but the first are
+// Entry hosts don't know each other's requests, so the load of a server is an estimate: the
+// requests that this host has outstanding there, plus the further ones that the server last
+// reported, whose weight falls with age. Policies lists the policies; all but the first are
 // baselines.
 //
-// It makes no calls and reads no clock; random numbers are handed in.
+// The package makes no calls and reads no clock; callers pass the random source.
 package route
 
 import (
@@ -16,14 +16,14 @@
 	"github.com/wrenferry/wrenferry/pkg/connection/runner"
 )
 
-// Policy is a row of the look-up table.
+// Policy is a routing policy by name. New returns a picker with its own state.
 type Policy struct {
 	Name string
 	Help string
 	New  func() runner.Picker
 }
 
-// Policies is the look-up table. To add one: a type and a row.
+// Policies lists all routing policies, the default first. A new one takes a runner.Picker and a row here.
 var Policies = []Policy{
 	{"two-choices", "Two servers at random, the better by estimated load and answer time; the own hall first.", func() runner.Picker { return twoChoices{} }},
 	{"round-robin", "One after another (baseline).", func() runner.Picker { return &roundRobin{} }},
@@ -31,7 +31,7 @@
 	{"least-own", "The one with the fewest requests of this entry host (baseline).", func() runner.Picker { return leastOwn{} }},
 }
 
-// New returns a picker by its policy's name; an unknown name gives the first.
+// New returns a picker of the named policy, or of the first policy if the name is unknown.
 func New(name string) runner.Picker {
 	for _, p := range Policies {
 		if p.Name == name {
@@ -43,20 +43,20 @@
 
 // ------------------------------------------------------------ two choices
 
-// otherHallCost is what another hall costs in answer time: the extra way there and
-// back.
+// otherHallCost is the time added to the latency of a server in another hall: the longer round
+// trip.
 const otherHallCost = 3 * time.Millisecond
 
-// latencyHalfLife is how fast the answer time of an idle server loses weight. A
-// server ten times as slow as the rest is tried again after about seven seconds,
-// which costs each entry host one slow request in that time; without it, one that
-// answered slowly once would be left alone for good.
+// latencyHalfLife is the time in which the last latency of an idle server loses half its weight. A
+// server ten times as slow as the rest is tried again after about seven seconds, which costs each
+// entry host one slow request in that time. Without the decay, a server that once answered slowly
+// would never be chosen again.
 const latencyHalfLife = 2 * time.Second
 
 type twoChoices struct{}
 
-// decayedLatency is what the answer time counts for. Only an idle server's fades, so that
-// one request at a time tests it.
+// decayedLatency returns a server's last latency in ns, decayed by its age if this host has no request
+// there. So only one request at a time tests a slow server.
 func decayedLatency(now time.Time, c runner.Candidate) float64 {
 	if c.Own > 0 {
 		return float64(c.Latency)
@@ -65,8 +65,8 @@
 	return float64(c.Latency) * math.Exp2(-max(0, halves))
 }
 
-// expectedLatency is the answer time to expect. The share of slots taken stretches it,
-// since a fuller server is likelier to be found full on arrival.
+// expectedLatency returns the latency in ns to expect of a server. It grows with the share of
+// occupied slots, since a fuller server is more likely to be full when the request arrives.
 func expectedLatency(now time.Time, c runner.Candidate) float64 {
 	e := decayedLatency(now, c) * (1 + c.Load(now)/float64(c.Slots))
 	if !c.Local {
@@ -75,22 +75,23 @@
 	return e
 }
 
-// Pick draws two of the own hall and two of the others, and takes the best. The
-// own hall has the shorter way; when what is left open there is slow or full,
-// the way to another hall pays.
+// Pick draws two servers of the own hall and two of other halls, and returns the one with the
+// lowest expected latency. The own hall has the shorter round trip; another hall is worth it when
+// the servers with room in the own hall are slow or nearly full.
 func (twoChoices) Pick(now time.Time, list []runner.Candidate, random *rand.Rand) int {
-	here := betterOfTwo(now, list, true, random)
-	there := betterOfTwo(now, list, false, random)
+	local := betterOfTwo(now, list, true, random)
+	remote := betterOfTwo(now, list, false, random)
 	switch {
-	case here < 0:
-		return there
-	case there < 0 || expectedLatency(now, list[here]) <= expectedLatency(now, list[there]):
-		return here
+	case local < 0:
+		return remote
+	case remote < 0 || expectedLatency(now, list[local]) <= expectedLatency(now, list[remote]):
+		return local
 	}
-	return there
+	return remote
 }
 
-// betterOfTwo draws two different servers with room and returns the better.
+// betterOfTwo draws two different servers with room and returns the index of the one with the lower
+// expected latency. local selects the own hall or the others. It returns -1 if no server has room.
 func betterOfTwo(now time.Time, list []runner.Candidate, local bool, random *rand.Rand) int {
 	var open [256]int
 	n := 0
@@ -106,7 +107,7 @@
 	i := random.IntN(n)
 	a, b := open[i], open[i]
 	if n > 1 {
-		b = open[(i+1+random.IntN(n-1))%n] // never the same one twice
+		b = open[(i+1+random.IntN(n-1))%n] // never the same server twice
 	}
 	if expectedLatency(now, list[b]) < expectedLatency(now, list[a]) {
 		return b
--- a/pkg/request/route/route_test.go
+++ b/pkg/request/route/route_test.go
@@ -12,7 +12,7 @@
 	"github.com/wrenferry/wrenferry/pkg/request/route"
 )
 
-// Of two servers, the slow one is never taken while the other has room.
+// The two servers drawn must differ: of two servers, the slow one is never chosen while the other has room.
 func TestTwoChoicesDrawsDifferentServers(t *testing.T) {
 	now := time.Unix(1, 0)
 	list := []runner.Candidate{
@@ -26,8 +26,8 @@
 	}
 }
 
-// A server that was slow, or has not answered yet, is tried again some time: who
-// is never chosen is never measured.
+// A server that was slow, or has not answered yet, must be tried again at some time: a server that
+// is never chosen gets no new latency.
 func TestOldLatenciesLoseWeight(t *testing.T) {
 	begin := time.Unix(1, 0)
 	list := []runner.Candidate{
