--- a/pkg/request/cellchoice/cost.go
+++ b/pkg/request/cellchoice/cost.go
@@ -17,8 +17,8 @@
 	// allLastingCost is the cost in ms of a cell whose capacity is all taken by lasting tasks.
 	// These stay, so spreading them has priority over spreading short work.
 	allLastingCost = 3000.0
-	// lastingUsedShare is the share of their reserved processors that lasting tasks use on
-	// average. Fillers get the rest.
+	// lastingUsedShare is the assumed share of their reserved processors that lasting tasks
+	// use. Fillers get the rest.
 	lastingUsedShare = 0.5
 	// minRoomShare is the least free share of a cell's capacity that estimates assume, so that
 	// the wait in a full cell stays finite.
@@ -43,11 +43,11 @@
 func demandOf(spec *wire.JobSpec) demand {
 	d := demand{fillerCoreMsByImage: map[string]int64{}}
 	for _, step := range spec.GetSteps() {
-		each := step.GetMillicores() * int64(step.GetCount())
-		work := each * step.GetEstimateMs() / 1000
+		millicores := step.GetMillicores() * int64(step.GetCount())
+		work := millicores * step.GetEstimateMs() / 1000
 		switch {
 		case step.GetLasting():
-			d.lastingMillicores += each
+			d.lastingMillicores += millicores
 			d.lastingImage = spec.ImageOf(step)
 		case step.GetFiller():
 			d.fillerCoreMs += work
@@ -74,16 +74,16 @@
 		return cost
 	}
 	cost += float64(l.GetSettlesInMs())
-	all := float64(l.GetCapacityMillicores())
+	capacity := float64(l.GetCapacityMillicores())
 	lasting := float64(l.GetLastingMillicores())
 	if d.lastingMillicores > 0 {
-		cost += allLastingCost*(lasting+float64(d.lastingMillicores))/all + imageAffinityCost(name, d.lastingImage, cells)
+		cost += allLastingCost*(lasting+float64(d.lastingMillicores))/capacity + imageAffinityCost(name, d.lastingImage, cells)
 	}
 	if d.plainCoreMs > 0 {
-		cost += float64(l.GetBacklogCoreMs()+d.plainCoreMs) * 1000 / max(minRoomShare*all, all-lasting)
+		cost += float64(l.GetBacklogCoreMs()+d.plainCoreMs) * 1000 / max(minRoomShare*capacity, capacity-lasting)
 	}
 	if d.fillerCoreMs > 0 {
-		cost += fillerCost(l, d, max(minRoomShare*all, all-lastingUsedShare*lasting))
+		cost += fillerCost(l, d, max(minRoomShare*capacity, capacity-lastingUsedShare*lasting))
 	}
 	return cost
 }
@@ -92,13 +92,13 @@
 // whichever host accepts them. The fewer images a cell serves, the more kinds of fillers find a
 // worker there without interference. A hash gives each image its own order of cells.
 func imageAffinityCost(name, image string, cells map[string]Cell) float64 {
-	own, before := imageHash(image, name), 0
+	ownHash, rank := imageHash(image, name), 0
 	for other := range cells {
-		if other != name && imageHash(image, other) < own {
-			before++
+		if other != name && imageHash(image, other) < ownHash {
+			rank++
 		}
 	}
-	return imageRankCost * float64(before)
+	return imageRankCost * float64(rank)
 }
 
 // imageHash returns the hash that orders the cells for an image: the cell with the lowest one is preferred.
@@ -109,13 +109,13 @@
 }
 
 // fillerCost returns the estimated wait in ms of a job's fillers in a cell, by the cell's room
-// for each image. For an image whose room the cell does not report it assumes usual, in
+// for each image. For an image whose room the cell does not report it assumes defaultRoom, in
 // millicores.
-func fillerCost(l *wire.CellLoad, d demand, usual float64) float64 {
+func fillerCost(l *wire.CellLoad, d demand, defaultRoom float64) float64 {
 	cost := 0.0
 	for _, image := range slices.Sorted(maps.Keys(d.fillerCoreMsByImage)) { // sorted: a sum of floats depends on the order
 		work := d.fillerCoreMsByImage[image]
-		room := usual
+		room := defaultRoom
 		if known, ok := l.GetFillerRoomMillicores()[image]; ok {
 			room = max(minRoomShare*float64(l.GetCapacityMillicores()), float64(known))
 		}
--- a/pkg/request/gateway/gateway.go
+++ b/pkg/request/gateway/gateway.go
@@ -37,9 +37,9 @@
 
 // Peers calls the other entry hosts.
 type Peers interface {
-	// Ask asks all entry hosts about a key, and returns their combined answer.
+	// Ask asks all other entry hosts about a key, and returns their combined answer.
 	Ask(ctx context.Context, q *wire.AskRequest) peer.Asked
-	// SpreadLeaving notifies all entry hosts that a server is leaving.
+	// SpreadLeaving notifies all other entry hosts that a server is leaving.
 	SpreadLeaving(service, name string)
 	// WakeLeader notifies the hall's leader of a new row in its inbox.
 	WakeLeader(hall string)
@@ -72,8 +72,8 @@
 
 	mu            sync.Mutex
 	services      map[string]*service
-	largestWorker *wire.Size // the maximum of each resource over the listed workers, or nil
-	draining      chan struct{}
+	largestWorker *wire.Size    // the maximum of each resource over the listed workers, or nil
+	draining      chan struct{} // closed by Drain
 }
 
 // service is the state of one service that its requests share.
--- a/pkg/request/gateway/jobs.go
+++ b/pkg/request/gateway/jobs.go
@@ -146,12 +146,12 @@
 	g.mu.Lock()
 	largest := g.largestWorker
 	g.mu.Unlock()
-	size, most := capacity.FromWire(kind.Size), capacity.FromWire(largest)
-	if largest == nil || size.Fits(most) {
+	size, maximum := capacity.FromWire(kind.Size), capacity.FromWire(largest)
+	if largest == nil || size.Fits(maximum) {
 		return nil
 	}
 	return fault.New(fault.BadInput, kind.Service+"/"+kind.Name,
-		fmt.Sprintf("a task of %+v is larger than any host (%+v)", size, most), "lower its size in the settings")
+		fmt.Sprintf("a task of %+v is larger than any host (%+v)", size, maximum), "lower its size in the settings")
 }
 
 // insert writes the job if its key is absent. If the key is present, insert returns the existing
--- a/pkg/request/gateway/stream.go
+++ b/pkg/request/gateway/stream.go
@@ -25,8 +25,8 @@
 // reopenDelay is the delay before the next round of servers, when none could be leased.
 const reopenDelay = 100 * time.Millisecond
 
-// maxEventBytes limits the size of one line of an event.
-const maxEventBytes = 1 << 20
+// maxEventLineBytes limits the size of one line of an event.
+const maxEventLineBytes = 1 << 20
 
 func (g *Gateway) serveStream(w http.ResponseWriter, r *http.Request) {
 	tree := g.settings.Current()
@@ -188,7 +188,7 @@
 // server sends it again.
 func readEvents(ctx context.Context, body io.Reader, out chan<- event) {
 	scanner := bufio.NewScanner(body)
-	scanner.Buffer(nil, maxEventBytes)
+	scanner.Buffer(nil, maxEventLineBytes)
 	var e event
 	for scanner.Scan() {
 		line := scanner.Bytes()
--- a/pkg/request/intake/cancel_test.go
+++ b/pkg/request/intake/cancel_test.go
@@ -24,7 +24,7 @@
 	return &intake.View{Cells: map[string]intake.CellView{"home": {Mine: true, Fresh: true}, "other": {Mine: true, Fresh: true}}}
 }
 
-func (h cancelRecorder) Cancelled(cell, id string) { *h.notified = append(*h.notified, cell+" "+id) }
+func (r cancelRecorder) Cancelled(cell, id string) { *r.notified = append(*r.notified, cell+" "+id) }
 
 // A cell to which tasks of the job were delegated must learn of a cancel directly: the leader of the job's home cell may
 // change at that moment.
@@ -32,12 +32,12 @@
 	t.Parallel()
 	const id = "00000000000000aa"
 	direct := fixedTable{rows: []table.Row{rows.Row(rows.AnchorKey(id), &wire.JobAnchor{Cell: "home", Queue: "offers"})}}
-	var told []string
-	found, err := newIntakeWith(direct, cancelRecorder{notified: &told}).Cancel(context.Background(), clock.Now(), id)
+	var notified []string
+	found, err := newIntakeWith(direct, cancelRecorder{notified: &notified}).Cancel(context.Background(), clock.Now(), id)
 	must.NoError(t, err)
 	must.True(t, found)
-	slices.Sort(told)
-	must.Eq(t, []string{"home " + id, "other " + id}, told)
+	slices.Sort(notified)
+	must.Eq(t, []string{"home " + id, "other " + id}, notified)
 }
 
 // commitRecorder is a table that records the keys of committed rows.
@@ -46,9 +46,9 @@
 	puts *[]table.Key
 }
 
-func (k commitRecorder) Commit(_ context.Context, tx table.Transaction) (table.Committed, error) {
-	for _, r := range tx.Puts {
-		*k.puts = append(*k.puts, r.Key)
+func (r commitRecorder) Commit(_ context.Context, tx table.Transaction) (table.Committed, error) {
+	for _, row := range tx.Puts {
+		*r.puts = append(*r.puts, row.Key)
 	}
 	return table.Committed{Version: 1}, nil
 }
--- a/pkg/request/intake/intake.go
+++ b/pkg/request/intake/intake.go
@@ -164,13 +164,13 @@
 	})
 }
 
-// notifyLeader notifies a cell's leader without waiting for the answer. It calls here if this
-// process leads the cell, and otherwise there with a client of the leader. A lost notification
+// notifyLeader notifies a cell's leader without waiting for the answer. It calls local if this
+// process leads the cell, and otherwise remote with a client of the leader. A lost notification
 // is only counted, since the leader also follows the table.
-func (i *Intake) notifyLeader(cell string, here func(), there func(ctx context.Context, p wire.FleetClient) error) {
+func (i *Intake) notifyLeader(cell string, local func(), remote func(ctx context.Context, p wire.FleetClient) error) {
 	view := i.leaders.View().Cells[cell]
 	if view.Mine {
-		here()
+		local()
 		return
 	}
 	go func() {
@@ -178,7 +178,7 @@
 		defer cancel()
 		p, err := i.peers.To(view.Address)
 		if err == nil {
-			err = there(ctx, p)
+			err = remote(ctx, p)
 		}
 		if err != nil {
 			i.increment("tell-failed")
@@ -304,7 +304,7 @@
 }
 
 // Cancel writes the rows of a cancel into the table and notifies the leaders. It returns false
-// if there is no such job. Cancelling a job that has ended does nothing.
+// if there is no such job. A job whose end this host knows is left alone.
 func (i *Intake) Cancel(ctx context.Context, now time.Time, id string) (bool, error) {
 	if phase, ok := i.finalPhases.Get(id); ok {
 		i.log.WithFields(logrus.Fields{"job": id, "phase": phase.String()}).Info("job-cancel-late")
--- a/pkg/request/intake/pending.go
+++ b/pkg/request/intake/pending.go
@@ -43,9 +43,9 @@
 	}
 	askCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	if told := i.fetchLoad(askCtx, name, c, false); told.GetLeading() && told.GetCell() == name {
-		i.applyLoad(now, told)
-		return int(told.GetPending()[queue]), nil
+	if reported := i.fetchLoad(askCtx, name, c, false); reported.GetLeading() && reported.GetCell() == name {
+		i.applyLoad(now, reported)
+		return int(reported.GetPending()[queue]), nil
 	}
 	n, err := i.countPendingInTable(ctx, name, queue)
 	if err == nil {
