--- a/pkg/emulator/emulator_test.go
+++ b/pkg/emulator/emulator_test.go
@@ -175,7 +175,7 @@
 //
 // and two jobs had not ended when the day was over, 55 s after the last fault. (That day means another one by
 // now; the test of the cell, TasksAreTriedAtAThirdOfTheWorkers, has the wait itself.)
-func TestWhatWaitsForItsTrialIsNotKeptWaitingWhereWorkersAreFree(t *testing.T) {
+func TestIsolatedRunsStartWhileWorkersAreFree(t *testing.T) {
 	t.Parallel()
 	playSeeds(t, emulator.AllTroublesPlan, 1879)
 }
@@ -205,12 +205,12 @@
 }
 
 // A host was killed between a question to the table and its answer, and its leader went on in the next life.
-func TestAnAnswerIsForTheLifeThatAsked(t *testing.T) {
+func TestHostIgnoresAnswersToItsPreviousIncarnation(t *testing.T) {
 	t.Parallel()
 	playSeeds(t, emulator.DeposedPlan, 50304)
 }
 
-func TestTheSameSeedGivesTheSameDay(t *testing.T) {
+func TestSameSeedPlaysTheSameDay(t *testing.T) {
 	t.Parallel()
 	a, _ := emulator.Play(emulator.DefaultPlan(3))
 	b, _ := emulator.Play(emulator.DefaultPlan(3))
--- a/pkg/emulator/host.go
+++ b/pkg/emulator/host.go
@@ -18,7 +18,7 @@
 	world *World
 	name  string
 	hall  string
-	life  int
+	incarnation  int
 	up    bool
 
 	seats       []*seat
@@ -59,10 +59,10 @@
 
 func (h *host) boot() {
 	w := h.world
-	h.life++
+	h.incarnation++
 	h.up, h.bootedAt, h.connected = true, w.now, map[string]bool{}
 	self := election.Self{
-		Life: h.incarnation(), Host: h.name, Hall: h.hall, Address: h.name, Since: h.clock(),
+		Life: h.incarnationID(), Host: h.name, Hall: h.hall, Address: h.name, Since: h.clock(),
 		Delay: w.draws.between("delay "+h.name, 0, 150*time.Millisecond),
 	}
 	h.seats = nil
@@ -97,10 +97,10 @@
 
 // every runs something again and again while this life lasts.
 func (h *host) every(span time.Duration, do func()) {
-	life := h.life
+	incarnation := h.incarnation
 	var again func()
 	again = func() {
-		if h.up && h.life == life {
+		if h.up && h.incarnation == incarnation {
 			do()
 			h.world.after(span, again)
 		}
@@ -111,10 +111,10 @@
 // on runs something now, or when the host thaws, if this life still lasts.
 func (h *host) on(do func()) {
 	w := h.world
-	life := h.life
+	incarnation := h.incarnation
 	if w.now.Before(h.frozenUntil) {
 		w.after(h.frozenUntil.Sub(w.now), func() {
-			if h.up && h.life == life {
+			if h.up && h.incarnation == incarnation {
 				h.on(do)
 			}
 		})
@@ -133,9 +133,9 @@
 // bindIncarnation returns what runs something while the life lasts in which it was asked for: an answer is for the life that
 // asked, not for the one in which it comes.
 func (h *host) bindIncarnation() func(do func()) {
-	life := h.life
+	incarnation := h.incarnation
 	return func(do func()) {
-		if h.up && h.life == life {
+		if h.up && h.incarnation == incarnation {
 			h.on(do)
 		}
 	}
--- a/pkg/emulator/link_test.go
+++ b/pkg/emulator/link_test.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// weakLink is the weakest known link of an entry host, 2 Mbit/s, in bytes a second.
-	weakLink = 250_000
-	// wideCount is the tasks of a wide job, bodyBytes what each of its orders carries.
-	wideCount = 40
+	// slowLinkRate is the weakest known link of an entry host, 2 Mbit/s, in bytes a second.
+	slowLinkRate = 250_000
+	// wideJobTasks is the tasks of a wide job, bodyBytes what each of its orders carries.
+	wideJobTasks = 40
 	bodyBytes = 900
 )
 
@@ -26,7 +26,7 @@
 // weak links: 590 kB of orders at a time, 2.4 s of the link.
 func weakLinkPlan(seed uint64) emulator.Plan {
 	plan := emulator.DefaultPlan(seed)
-	plan.Faults, plan.Hosts, plan.LinkRate = 0, 3, weakLink
+	plan.Faults, plan.Hosts, plan.LinkRate = 0, 3, slowLinkRate
 	plan.Trouble, plan.End = 30*time.Second, 60*time.Second
 	load := &emulator.Load{Halls: []string{"hall-0"}, Queues: []manifest.Queue{
 		{Name: "wide", Service: "service", MaxAttempts: 3, Stretch: 2, Slack: time.Second},
@@ -43,13 +43,13 @@
 }
 
 func wideJob(i int, at time.Duration) emulator.Handin {
-	truths := make([]emulator.TaskTruth, wideCount)
+	truths := make([]emulator.TaskTruth, wideJobTasks)
 	for k := range truths {
 		truths[k] = emulator.TaskTruth{Work: 700 * time.Millisecond}
 	}
 	return emulator.Handin{At: at, Hall: "hall-0", Tasks: [][]emulator.TaskTruth{truths}, Spec: &wire.JobSpec{
 		Id: fmt.Sprintf("%016x", i+1), Queue: "wide", Service: "service", Cell: "hall-0", Body: strings.Repeat("x", bodyBytes),
-		Steps: []*wire.StepSpec{{Count: wideCount, Millicores: 2000, MemoryMb: 1000, EstimateMs: 700}},
+		Steps: []*wire.StepSpec{{Count: wideJobTasks, Millicores: 2000, MemoryMb: 1000, EstimateMs: 700}},
 	}}
 }
 
--- a/pkg/emulator/lives.go
+++ b/pkg/emulator/lives.go
@@ -10,7 +10,7 @@
 // Lives of workers: their names, their rows in the list, and which life a call comes to.
 
 // id tells each life from the others.
-func (k *worker) id() string { return fmt.Sprintf("%s/%d", k.name, k.life) }
+func (k *worker) id() string { return fmt.Sprintf("%s/%d", k.name, k.incarnation) }
 
 // key is the id under which the list of workers has it.
 func (k *worker) key() string {
@@ -45,11 +45,11 @@
 // while after the next one has begun.
 func (k *worker) staleRecords() []workers.Record {
 	age := k.world.now.Sub(k.bornAt)
-	if k.life == 1 || age > staleRowSpan || age%(2*staleRowInterval) < staleRowInterval {
+	if k.incarnation == 1 || age > staleRowSpan || age%(2*staleRowInterval) < staleRowInterval {
 		return nil
 	}
 	r := k.record()
-	r.ID = fmt.Sprintf("%s/%d", k.name, k.life-1)
+	r.ID = fmt.Sprintf("%s/%d", k.name, k.incarnation-1)
 	return []workers.Record{r}
 }
 
@@ -69,7 +69,7 @@
 
 // call carries a call of a host; then runs at the worker, and its answer goes
 // back. ok is false where there was no answer.
-func call[T any](w *World, from string, k *worker, life string, limit, wait, queued time.Duration, then func() (T, workers.Refusal), done func(T, workers.Refusal, bool)) {
+func call[T any](w *World, from string, k *worker, workerID string, limit, wait, queued time.Duration, then func() (T, workers.Refusal), done func(T, workers.Refusal, bool)) {
 	var none T
 	answered, stream := false, "call "+from+" "+k.name
 	answer := func(v T, r workers.Refusal, ok bool) {
@@ -94,18 +94,18 @@
 	if late {
 		way = w.draws.between("late "+k.name, 2*time.Second, 12*time.Second)
 	}
-	sentAt, reached := w.now, k.life
+	sentAt, reached := w.now, k.incarnation
 	if !k.up {
 		reached++ // the connection may yet come about, to the next life
 	}
 	k.deliver(way, sentAt, reached, func() {
-		if k.key() != life {
+		if k.key() != workerID {
 			w.after(w.draws.hop(stream), func() { answer(none, workers.RefusedIncarnation, true) })
 			return
 		}
 		k.expireLease()
 		v, refusal := then()
-		k.awaitEnd(k.life, wait, func() {
+		k.awaitEnd(k.incarnation, wait, func() {
 			if wait > 0 {
 				v, refusal = then()
 			}
@@ -149,9 +149,9 @@
 			if k.up {
 				do()
 			}
-		case k.up && k.life == reached:
+		case k.up && k.incarnation == reached:
 			do()
-		case !k.up && k.life < reached && w.now.Sub(sentAt) < connectWindow:
+		case !k.up && k.incarnation < reached && w.now.Sub(sentAt) < connectWindow:
 			k.deliver(endCheckInterval, sentAt, reached, do)
 		}
 	})
@@ -161,14 +161,14 @@
 const endCheckInterval = 20 * time.Millisecond
 
 // awaitEnd does something when there is an end to list, or after a wait.
-func (k *worker) awaitEnd(life int, wait time.Duration, do func()) {
+func (k *worker) awaitEnd(incarnation int, wait time.Duration, do func()) {
 	if wait <= 0 || len(k.ended) > 0 {
 		do()
 		return
 	}
 	k.world.after(endCheckInterval, func() {
-		if k.up && k.life == life {
-			k.awaitEnd(life, wait-endCheckInterval, do)
+		if k.up && k.incarnation == incarnation {
+			k.awaitEnd(incarnation, wait-endCheckInterval, do)
 		}
 	})
 }
--- a/pkg/emulator/predecessors.go
+++ b/pkg/emulator/predecessors.go
@@ -15,7 +15,7 @@
 func (h *seat) awaitPredecessor(epoch int64, p election.Predecessor) {
 	over := cell.PredecessorEnded{Epoch: epoch, Holder: p.Holder}
 	if p.Host == h.name {
-		over.SameProcess, over.EndedAt = p.Holder == h.incarnation(), h.bootedAt
+		over.SameProcess, over.EndedAt = p.Holder == h.incarnationID(), h.bootedAt
 		h.predecessorEnded(over)
 		return
 	}
@@ -27,7 +27,7 @@
 			w := h.world
 			answers := other.up && !w.now.Before(other.frozenUntil) && !w.cut(h.name, other.name)
 			if answers && !other.holds(h.cell) {
-				if p.Holder == other.incarnation() {
+				if p.Holder == other.incarnationID() {
 					over.Grants, over.GrantsKnown = other.leaseGrants(h.cell)
 				} else {
 					over.EndedAt = other.bootedAt
@@ -50,8 +50,8 @@
 	h.state.Take(h.clock(), over)
 }
 
-// incarnation names this life of the host's process.
-func (h *host) incarnation() string { return fmt.Sprintf("%s/%d", h.name, h.life) }
+// incarnationID names this life of the host's process.
+func (h *host) incarnationID() string { return fmt.Sprintf("%s/%d", h.name, h.incarnation) }
 
 // leaseGrants are the leases that this life granted in a cell and that may go on.
 func (h *host) leaseGrants(name string) (grants map[string]time.Duration, known bool) {
--- a/pkg/emulator/worker.go
+++ b/pkg/emulator/worker.go
@@ -17,7 +17,7 @@
 	world *World
 	Machine
 	name string
-	life int
+	incarnation int
 	up   bool
 
 	rate   float64
@@ -105,7 +105,7 @@
 	if k.leave.leaves() {
 		return
 	}
-	k.life++
+	k.incarnation++
 	k.up, k.fence, k.until, k.lastEndNumber = true, 0, 0, 0
 	k.broken = nil
 	k.rate = 0.98 + 0.04*w.draws.fraction("clock "+k.name)
@@ -177,10 +177,10 @@
 	}
 	k.until = max(k.until, min(until, k.clock()+maxHold))
 	k.leaseSerial++
-	serial, life := k.leaseSerial, k.life
+	serial, incarnation := k.leaseSerial, k.incarnation
 	left := time.Duration(float64(k.until-k.clock())/k.rate) + time.Millisecond
 	k.world.after(max(left, 0), func() {
-		if k.up && k.life == life && k.leaseSerial == serial {
+		if k.up && k.incarnation == incarnation && k.leaseSerial == serial {
 			k.expireLease()
 		}
 	})
@@ -291,9 +291,9 @@
 	if r.speed <= 0 || (r.spec.GetLasting() && !r.fails) {
 		return
 	}
-	life, timer := k.life, r.timer
+	incarnation, timer := k.incarnation, r.timer
 	k.world.after(time.Duration(float64(r.totalWork-r.workDone)/r.speed), func() {
-		if k.up && k.life == life && k.runs[r.task] == r && r.timer == timer {
+		if k.up && k.incarnation == incarnation && k.runs[r.task] == r && r.timer == timer {
 			k.expireLease()
 			k.finish(r)
 		}
@@ -345,9 +345,9 @@
 	if r == nil || r.number != s.Run {
 		return k.clock(), workers.RefusedMissing
 	}
-	life := k.life
+	incarnation := k.incarnation
 	k.world.after(stopTime, func() {
-		if k.up && k.life == life && k.runs[s.Task] == r {
+		if k.up && k.incarnation == incarnation && k.runs[s.Task] == r {
 			k.end(r, workers.EndedStopped)
 		}
 	})
