--- a/pkg/emulator/checker.go
+++ b/pkg/emulator/checker.go
@@ -116,6 +116,8 @@
 const (
 	// cancelGrace is how long after the acknowledgement of a cancel a task may still be started.
 	cancelGrace = 3 * time.Second
+	// calmAfterTrouble is how long after the time of faults the rules with a time limit hold again.
+	calmAfterTrouble = 15 * time.Second
 )
 
 // started checks each start that a worker carries out.
@@ -161,10 +163,10 @@
 	}
 }
 
-// calm returns whether the time of faults ended at least 15 s ago. Rules with a time limit hold for all hosts
-// only then.
+// calm returns whether the time of faults ended more than calmAfterTrouble ago. Rules with a time limit hold
+// for all hosts only then.
 func (c *checker) calm() bool {
-	return c.world.now.Sub(c.world.start) > c.world.plan.Trouble+15*time.Second
+	return c.world.now.Sub(c.world.start) > c.world.plan.Trouble+calmAfterTrouble
 }
 
 // unitDone returns whether a task has ended well; for a member of a gang, whether any member has.
--- a/pkg/emulator/effects.go
+++ b/pkg/emulator/effects.go
@@ -106,6 +106,7 @@
 	cell.NoteWorkerLeaves: true, cell.NotePredecessorOver: true, cell.NoteLastingWaits: true, cell.NoteWorkerDropped: true,
 }
 
+// anyOf drops the type of a call's answer.
 func anyOf[T any](v T, r workers.Refusal) (any, workers.Refusal) { return v, r }
 
 // callWorker calls a worker over the host's link. done runs only in this incarnation of the host; its error is
@@ -133,6 +134,9 @@
 // incarnation answers there.
 const maxConnectDelay = 120 * time.Millisecond
 
+// loadRetryInterval is how long a leader waits before it repeats a failed step of loading its cell.
+const loadRetryInterval = 100 * time.Millisecond
+
 // connectDelay returns the extra time of a first call to a worker incarnation, 0 for later calls.
 func (h *host) connectDelay(k *worker) time.Duration {
 	if !h.world.plan.Touch || h.connected[k.id()] {
@@ -152,7 +156,7 @@
 		part = rows.JobParts
 	}
 	again := func() {
-		h.world.after(100*time.Millisecond, h.ifSameIncarnation(func() { h.load(epoch, part, loaded) }))
+		h.world.after(loadRetryInterval, h.ifSameIncarnation(func() { h.load(epoch, part, loaded) }))
 	}
 	if h.seat.Role() != election.Leader || h.seat.Row().GetEpoch() != epoch {
 		return
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -23,6 +23,8 @@
 	queueName   = "queue"
 	serviceName = "service"
 	maxAttempts = 3
+	// maxSubmitRetries is how often a caller without an answer submits a job again.
+	maxSubmitRetries = 40
 )
 
 // World is the state of one emulated day.
@@ -114,18 +116,21 @@
 
 func workerName(n int) string { return fmt.Sprintf("worker-%d", n) }
 
+// usualMachine returns the worker machine of drawn days.
 func usualMachine(cell string) Machine {
 	return Machine{Hall: cell, Millicores: workerCores, MemoryMB: workerMemory}
 }
 
 // ---------------------------------------------------------------- events
 
+// event is a call scheduled for a time; events of the same time run in the order of their serials.
 type event struct {
 	at     time.Time
 	serial int
 	do     func()
 }
 
+// eventHeap is the queue of events, ordered by time and serial.
 type eventHeap []*event
 
 func (h eventHeap) Len() int { return len(h) }
@@ -158,6 +163,7 @@
 	heap.Push(&w.events, &event{at: w.now.Add(span), serial: w.serial, do: do})
 }
 
+// logf adds a line with the seconds since the day's start to the log.
 func (w *World) logf(format string, args ...any) {
 	w.Log = append(w.Log, fmt.Sprintf("%8.3f ", w.now.Sub(w.start).Seconds())+fmt.Sprintf(format, args...))
 }
@@ -261,7 +267,7 @@
 	return w.cells[1+w.rand.IntN(len(w.cells)-1)]
 }
 
-// submit submits a job at some host. A caller without an answer retries, up to 40 times.
+// submit submits a job at some host. A caller without an answer retries, up to maxSubmitRetries times.
 func (w *World) submit(spec *wire.JobSpec, tries int) {
 	h := w.hostFor(spec.GetId())
 	h.submit(spec, func(taken bool) {
@@ -269,7 +275,7 @@
 			w.checker.accepted(spec)
 			return
 		}
-		if tries < 40 {
+		if tries < maxSubmitRetries {
 			w.after(w.draws.between("retry "+spec.GetId(), 100*time.Millisecond, 600*time.Millisecond), func() { w.submit(spec, tries+1) })
 		}
 	})
--- a/pkg/emulator/intake.go
+++ b/pkg/emulator/intake.go
@@ -34,6 +34,7 @@
 	h.askLoadsOlderThan(limit)
 }
 
+// askLoadsOlderThan requests the load of each cell whose last answer has at least the given age.
 func (h *host) askLoadsOlderThan(limit time.Duration) {
 	for _, name := range h.world.cells {
 		if _, age := h.board.Load(h.clock(), name); age >= limit {
@@ -42,6 +43,7 @@
 	}
 }
 
+// askLoad requests a cell's load from its leader, with its beliefs about interference if the last ones are old.
 func (h *host) askLoad(name string) {
 	w := h.world
 	for _, each := range w.hosts {
--- a/pkg/emulator/lives.go
+++ b/pkg/emulator/lives.go
@@ -28,10 +28,12 @@
 	return 0
 }
 
+// clock returns the worker's own clock, which runs at its rate since the incarnation started.
 func (k *worker) clock() time.Duration {
 	return k.offset + time.Duration(float64(k.world.now.Sub(k.bornAt))*k.rate)
 }
 
+// record returns the registry row that the worker writes now.
 func (k *worker) record() workers.Record {
 	r := workers.Record{
 		ID: k.key(), Born: k.born(), Host: k.name, Service: serviceName, Address: k.name, Hall: k.Hall, Ready: true, Rack: k.Rack,
--- a/pkg/emulator/machine.go
+++ b/pkg/emulator/machine.go
@@ -216,6 +216,7 @@
 // image returns the image of a run, the key of the interference between tasks.
 func (k *worker) image(r *workerRun) string { return jobs.ImageOf(k.world.jobs[jobOf(r.task)], r.spec) }
 
+// jobOf returns the job id in a task's name.
 func jobOf(task string) string {
 	job, _, _ := parts(task)
 	return job
--- a/pkg/emulator/rows.go
+++ b/pkg/emulator/rows.go
@@ -98,6 +98,7 @@
 	return good
 }
 
+// workerAt returns the worker at an address, nil if there is none.
 func (w *World) workerAt(address string) *worker {
 	for _, k := range w.workers {
 		if k.name == address {
--- a/pkg/emulator/table.go
+++ b/pkg/emulator/table.go
@@ -21,6 +21,14 @@
 	downUntil, losesUntil, slowUntil time.Time
 }
 
+// The timing of the emulated table.
+const (
+	// tableTimeout is how long a host waits for the table's answer.
+	tableTimeout = 900 * time.Millisecond
+	// tableServiceTime is how long the table takes for a request beside the network delay.
+	tableServiceTime = 4 * time.Millisecond
+)
+
 func newTable(w *World) *tableService {
 	return &tableService{world: w, rows: map[table.Key]table.Row{}, tables: map[string]map[table.Key]struct{}{}}
 }
@@ -42,10 +50,10 @@
 func (t *tableService) commit(from string, tx table.Transaction, done func(c table.Committed, ok bool)) {
 	w := t.world
 	if w.cut(from, "table") || w.now.Before(t.downUntil) {
-		w.after(900*time.Millisecond, func() { done(table.Committed{}, false) })
+		w.after(tableTimeout, func() { done(table.Committed{}, false) })
 		return
 	}
-	way := w.draws.hop("table "+from) + 4*time.Millisecond
+	way := w.draws.hop("table "+from) + tableServiceTime
 	if w.now.Before(t.slowUntil) {
 		way = w.draws.between("slow table "+from, 200*time.Millisecond, 1200*time.Millisecond)
 	}
@@ -66,7 +74,7 @@
 			}
 		})
 	})
-	w.after(900*time.Millisecond, func() {
+	w.after(tableTimeout, func() {
 		if !answered {
 			answered = true
 			done(table.Committed{}, false)
@@ -116,10 +124,10 @@
 func (t *tableService) scan(from, name string, done func(rows []table.Row, at time.Duration, ok bool)) {
 	w := t.world
 	if w.cut(from, "table") || w.now.Before(t.downUntil) {
-		w.after(900*time.Millisecond, func() { done(nil, 0, false) })
+		w.after(tableTimeout, func() { done(nil, 0, false) })
 		return
 	}
-	way := w.draws.hop("table "+from) + 4*time.Millisecond
+	way := w.draws.hop("table "+from) + tableServiceTime
 	if w.now.Before(t.slowUntil) {
 		way = w.draws.between("slow table "+from, 200*time.Millisecond, 800*time.Millisecond)
 	}
