--- a/pkg/emulator/checker.go
+++ b/pkg/emulator/checker.go
@@ -262,13 +262,13 @@
 		return
 	}
 	if c.startedAt[e.Task].After(ends[most-1]) {
-		c.breakRule("BUDGET", "%s was started after %d failures, the last noted later at %s", e.Task, most, k.id())
+		c.breakRule("BUDGET", "%s was started after %d failures, the last acknowledged later at %s", e.Task, most, k.id())
 	}
 }
 
 // startOfUnknownTask breaks the rule UNASKED for a start order of a task that no caller submitted.
 func (c *checker) startOfUnknownTask(k *worker, s workers.Start) {
-	c.breakRule("UNASKED", "%s is told to start %s, which nobody sent", k.id(), s.Task)
+	c.breakRule("UNASKED", "%s is ordered to start %s, which no caller submitted", k.id(), s.Task)
 }
 
 // checkWrite checks each job progress row that is written, since callers are told its content.
@@ -295,11 +295,11 @@
 		}
 	case wire.JobPhase_JOB_PHASE_FAILED:
 		if !c.mayFail(id) {
-			c.breakRule("MIXED", "%s is shown as failed without cause: %s", id, p.GetReason())
+			c.breakRule("MIXED", "%s is recorded as failed without cause: %s", id, p.GetReason())
 		}
 	case wire.JobPhase_JOB_PHASE_CANCELLED:
 		if !c.cancelSent(id) {
-			c.breakRule("MIXED", "%s is cancelled, nobody asked", id)
+			c.breakRule("MIXED", "%s is cancelled, but no caller sent a cancel", id)
 		}
 	default:
 	}
--- a/pkg/emulator/effects.go
+++ b/pkg/emulator/effects.go
@@ -59,7 +59,7 @@
 	case cell.SendStart:
 		sentAt := h.clock()
 		if w.plan.OddRows && !w.rowWasValid(e.To.Address, h.listReadAt) {
-			w.checker.breakRule("ROW", "%s orders %s at %s, whose row is spoilt", h.name, e.Start.Task, e.To.ID)
+			w.checker.breakRule("ROW", "%s orders %s at %s, whose row is invalid", h.name, e.Start.Task, e.To.ID)
 		}
 		h.callWorker(e.To, e.Timeout, 0, e.Bytes, func(k *worker) (any, workers.Refusal) {
 			return k.ifAddressed(e.To, func() (any, workers.Refusal) {
@@ -155,14 +155,14 @@
 		}
 		part = rows.JobParts
 	}
-	again := func() {
+	retry := func() {
 		h.world.after(loadRetryInterval, h.ifSameIncarnation(func() { h.load(epoch, part, loaded) }))
 	}
 	if h.seat.Role() != election.Leader || h.seat.Row().GetEpoch() != epoch {
 		return
 	}
 	if part == rows.JobParts {
-		h.readCell(loaded, again)
+		h.readCell(loaded, retry)
 		return
 	}
 	key := rows.FenceKey(h.cell, rows.PartName(part))
@@ -182,7 +182,7 @@
 		Puts:       []table.Row{rows.Row(key, &wire.CellFence{Epoch: epoch})},
 	}, func(c table.Committed, ok bool) {
 		if !ok || c.Conflict {
-			again()
+			retry()
 			return
 		}
 		loaded.Fences[rows.PartName(part)] = c.Version
@@ -201,15 +201,15 @@
 	return t.apply(table.Transaction{Puts: []table.Row{rows.Row(key, &wire.CellFence{Epoch: epoch})}}).Version
 }
 
-// readCell reads the cell's tables and gives the state what was loaded; again is called if a read fails.
-func (h *seat) readCell(loaded cell.Loaded, again func()) {
+// readCell reads the cell's tables and gives the state what was loaded; it calls retry if a read fails.
+func (h *seat) readCell(loaded cell.Loaded, retry func()) {
 	t, here := h.world.table, h.bindIncarnation()
 	t.scan(h.name, rows.SpecTable(h.cell), func(specs []table.Row, _ time.Duration, ok1 bool) {
 		t.scan(h.name, rows.ProgressTable(h.cell), func(progress []table.Row, _ time.Duration, ok2 bool) {
 			t.scan(h.name, rows.CancelTable(h.cell), func(cancels []table.Row, at time.Duration, ok3 bool) {
 				here(func() {
 					if !ok1 || !ok2 || !ok3 {
-						again()
+						retry()
 						return
 					}
 					loaded.Jobs = loadedJobs(specs, progress)
--- a/pkg/emulator/host.go
+++ b/pkg/emulator/host.go
@@ -98,16 +98,16 @@
 }
 
 // every calls a function at once and then at each interval while this incarnation of the host lasts.
-func (h *host) every(span time.Duration, do func()) {
+func (h *host) every(interval time.Duration, do func()) {
 	incarnation := h.incarnation
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		if h.up && h.incarnation == incarnation {
 			do()
-			h.world.after(span, again)
+			h.world.after(interval, repeat)
 		}
 	}
-	h.on(again)
+	h.on(repeat)
 }
 
 // on calls a function now or, if the host is frozen, when it thaws, provided that the same incarnation is up
--- a/pkg/emulator/lives.go
+++ b/pkg/emulator/lives.go
@@ -69,10 +69,10 @@
 	return []workers.Record{r}
 }
 
-// call emulates a call from a host to a worker. After the delays of queueing and network it runs then at the
-// worker, waits up to wait for an end to report, and sends back the answer. done gets ok false if no answer
-// arrives within limit.
-func call[T any](w *World, from string, k *worker, workerID string, limit, wait, queued time.Duration, then func() (T, workers.Refusal), done func(T, workers.Refusal, bool)) {
+// call emulates a call from a host to a worker. After the delays of queueing and network the worker executes
+// it, waits up to wait for an end to report, and sends back the answer. done gets ok false if no answer arrives
+// within limit.
+func call[T any](w *World, from string, k *worker, workerID string, limit, wait, queued time.Duration, execute func() (T, workers.Refusal), done func(T, workers.Refusal, bool)) {
 	var none T
 	answered, stream := false, "call "+from+" "+k.name
 	answer := func(v T, r workers.Refusal, ok bool) {
@@ -92,25 +92,25 @@
 	if w.plan.CrashTasks > 0 || w.plan.Leaving.Series > 0 {
 		k.broken = append(k.broken, func() { answer(none, workers.NotRefused, false) })
 	}
-	way := queued + w.draws.hop(stream)
+	delay := queued + w.draws.hop(stream)
 	late := w.now.Before(k.lateUntil) && w.draws.oneIn("late "+k.name, 4)
 	if late {
-		way = w.draws.between("late "+k.name, 2*time.Second, 12*time.Second)
+		delay = w.draws.between("late "+k.name, 2*time.Second, 12*time.Second)
 	}
 	sentAt, reached := w.now, k.incarnation
 	if !k.up {
 		reached++ // the connection may yet open, to the next incarnation
 	}
-	k.deliver(way, sentAt, reached, func() {
+	k.deliver(delay, sentAt, reached, func() {
 		if k.key() != workerID {
 			w.after(w.draws.hop(stream), func() { answer(none, workers.RefusedIncarnation, true) })
 			return
 		}
 		k.expireLease()
-		v, refusal := then()
+		v, refusal := execute()
 		k.awaitEnd(k.incarnation, wait, func() {
 			if wait > 0 {
-				v, refusal = then()
+				v, refusal = execute()
 			}
 			if !late && !w.cut(from, k.name) {
 				w.after(w.draws.hop(stream), func() { answer(v, refusal, true) })
@@ -144,9 +144,9 @@
 
 // deliver carries a message to a worker. Under Plan.SameIDs it arrives only at the incarnation that its
 // connection reached when it was sent, since connections end with the incarnation.
-func (k *worker) deliver(way time.Duration, sentAt time.Time, reached int, do func()) {
+func (k *worker) deliver(delay time.Duration, sentAt time.Time, reached int, do func()) {
 	w := k.world
-	w.after(way, func() {
+	w.after(delay, func() {
 		switch {
 		case !w.plan.SameIDs:
 			if k.up {
--- a/pkg/emulator/predecessors.go
+++ b/pkg/emulator/predecessors.go
@@ -13,10 +13,10 @@
 
 // awaitPredecessor asks a host that led the cell before until it answers that it no longer gives orders there.
 func (h *seat) awaitPredecessor(epoch int64, p election.Predecessor) {
-	over := cell.PredecessorEnded{Epoch: epoch, Holder: p.Holder}
+	ended := cell.PredecessorEnded{Epoch: epoch, Holder: p.Holder}
 	if p.Host == h.name {
-		over.SameProcess, over.EndedAt = p.Holder == h.incarnationID(), h.bootedAt
-		h.predecessorEnded(over)
+		ended.SameProcess, ended.EndedAt = p.Holder == h.incarnationID(), h.bootedAt
+		h.predecessorEnded(ended)
 		return
 	}
 	for _, other := range h.world.hosts {
@@ -28,11 +28,11 @@
 			answers := other.up && !w.now.Before(other.frozenUntil) && !w.cut(h.name, other.name)
 			if answers && !other.holds(h.cell) {
 				if p.Holder == other.incarnationID() {
-					over.Grants, over.GrantsKnown = other.leaseGrants(h.cell)
+					ended.Grants, ended.GrantsKnown = other.leaseGrants(h.cell)
 				} else {
-					over.EndedAt = other.bootedAt
+					ended.EndedAt = other.bootedAt
 				}
-				h.predecessorEnded(over)
+				h.predecessorEnded(ended)
 				return
 			}
 			if h.state.HoldsLeadership() && h.seat.Row().GetEpoch() == epoch {
@@ -44,12 +44,12 @@
 
 // predecessorEnded tells the seat and the state that a predecessor gives no more orders, if this host still
 // leads.
-func (h *seat) predecessorEnded(over cell.PredecessorEnded) {
-	if h.seat.Role() != election.Leader || h.seat.Row().GetEpoch() != over.Epoch {
+func (h *seat) predecessorEnded(ended cell.PredecessorEnded) {
+	if h.seat.Role() != election.Leader || h.seat.Row().GetEpoch() != ended.Epoch {
 		return
 	}
-	h.seat.Over(over.Holder)
-	h.state.Take(h.clock(), over)
+	h.seat.Over(ended.Holder)
+	h.state.Take(h.clock(), ended)
 }
 
 // incarnationID returns the name of this incarnation of the host's process.
--- a/pkg/emulator/rooms.go
+++ b/pkg/emulator/rooms.go
@@ -59,5 +59,5 @@
 	if by := k.orderedBy; c.world.now.Sub(by.listFailedAt) < capacityChangeGrace || c.world.now.Sub(by.frozenUntil) < capacityChangeGrace {
 		return // a host that was frozen or cut off from the table may not know the new capacity
 	}
-	c.breakRule("LIMIT", "%s brings %s to %v below its room", task, k.id(), k.freeIn(k.room()))
+	c.breakRule("LIMIT", "%s brings the free capacity of %s to %v", task, k.id(), k.freeIn(k.room()))
 }
--- a/pkg/emulator/table.go
+++ b/pkg/emulator/table.go
@@ -53,16 +53,16 @@
 		w.after(tableTimeout, func() { done(table.Committed{}, false) })
 		return
 	}
-	way := w.draws.hop("table "+from) + tableServiceTime
+	delay := w.draws.hop("table "+from) + tableServiceTime
 	if w.now.Before(t.slowUntil) {
-		way = w.draws.between("slow table "+from, 200*time.Millisecond, 1200*time.Millisecond)
+		delay = w.draws.between("slow table "+from, 200*time.Millisecond, 1200*time.Millisecond)
 	}
 	lost := w.now.Before(t.losesUntil) && w.draws.oneIn("lost table "+from, 3)
 	if lost && w.draws.oneIn("lost table "+from, 2) {
-		way = w.draws.between("lost table "+from, time.Second, 6*time.Second) // also applied late
+		delay = w.draws.between("lost table "+from, time.Second, 6*time.Second) // also applied late
 	}
 	answered := false
-	w.after(way, func() {
+	w.after(delay, func() {
 		c := t.apply(tx)
 		if lost {
 			return
@@ -127,11 +127,11 @@
 		w.after(tableTimeout, func() { done(nil, 0, false) })
 		return
 	}
-	way := w.draws.hop("table "+from) + tableServiceTime
+	delay := w.draws.hop("table "+from) + tableServiceTime
 	if w.now.Before(t.slowUntil) {
-		way = w.draws.between("slow table "+from, 200*time.Millisecond, 800*time.Millisecond)
+		delay = w.draws.between("slow table "+from, 200*time.Millisecond, 800*time.Millisecond)
 	}
-	w.after(way, func() {
+	w.after(delay, func() {
 		var list []table.Row
 		for key := range t.tables[name] {
 			list = append(list, t.rows[key])
--- a/pkg/emulator/worker.go
+++ b/pkg/emulator/worker.go
@@ -297,7 +297,7 @@
 	if r == nil || s.Run <= r.number || s.Run <= k.lastRun[s.Task] || r.spec.GetCopies() {
 		return
 	}
-	k.world.checker.breakRule("TWICE", "%s run %d is told to start at %s beside run %d", s.Task, s.Run, k.id(), r.number)
+	k.world.checker.breakRule("TWICE", "%s run %d is ordered to start at %s beside run %d", s.Task, s.Run, k.id(), r.number)
 }
 
 // endAfter schedules the end of a run at its present speed.
