--- a/pkg/emulator/cases_test.go
+++ b/pkg/emulator/cases_test.go
@@ -10,26 +10,26 @@
 	"github.com/wrenferry/wrenferry/pkg/emulator"
 )
 
-// casesFolder holds a folder for each day that broke a rule once: its scripts, and a page on what broke.
-const casesFolder = "../../test/cases/emulator"
+// mendedCasesFolder holds a folder for each day that broke a rule once: its scripts, and a page on what broke.
+const mendedCasesFolder = "../../test/cases/emulator"
 
-// redFolder holds those whose fault is not mended; KNOWN-RED.txt tells of them.
-const redFolder = "../../test/cases/emulator-red"
+// openCasesFolder holds those whose fault is not mended; KNOWN-RED.txt tells of them.
+const openCasesFolder = "../../test/cases/emulator-red"
 
-// scriptMost is how large a script of a case may be.
-const scriptMost = 200_000
+// maxScriptBytes is how large a script of a case may be.
+const maxScriptBytes = 200_000
 
-func TestNoDayThatBrokeOnceBreaksAgain(t *testing.T) {
+func TestRecordedDaysOfMendedFaultsBreakNoRule(t *testing.T) {
 	t.Parallel()
-	playCases(t, casesFolder)
+	playCases(t, mendedCasesFolder)
 }
 
 func TestNoDayOfAnOpenFaultBreaks(t *testing.T) {
 	t.Parallel()
-	if folders, err := os.ReadDir(redFolder); os.IsNotExist(err) || len(folders) == 0 {
+	if folders, err := os.ReadDir(openCasesFolder); os.IsNotExist(err) || len(folders) == 0 {
 		return // no fault with a script is open
 	}
-	playCases(t, redFolder)
+	playCases(t, openCasesFolder)
 }
 
 func playCases(t *testing.T, root string) {
@@ -56,7 +56,7 @@
 		switch file.Name() {
 		case "README.md":
 		case "script.json.gz", "reduced.json.gz":
-			playFile(t, filepath.Join(folder, file.Name()))
+			playScriptFile(t, filepath.Join(folder, file.Name()))
 		default:
 			t.Errorf("%s: nobody knows what %s is", folder, file.Name())
 		}
@@ -65,11 +65,11 @@
 	must.True(t, found["script.json.gz"], must.Sprintf("%s has no script.json.gz", folder))
 }
 
-func playFile(t *testing.T, file string) {
+func playScriptFile(t *testing.T, file string) {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	must.NoError(t, err)
-	must.Less(t, scriptMost, len(text), must.Sprint(file))
+	must.Less(t, maxScriptBytes, len(text), must.Sprint(file))
 	script, err := emulator.DecodeScript(file, text)
 	must.NoError(t, err)
 	_, broken := script.Play()
--- a/pkg/emulator/days/days.go
+++ b/pkg/emulator/days/days.go
@@ -22,19 +22,19 @@
 
 // The exit codes.
 const (
-	exitDone     = 0
-	exitBroken   = 1
-	exitBadInput = 2
+	exitOK         = 0
+	exitRuleBroken = 1
+	exitBadInput   = 2
 )
 
-// longestReduction bounds the time of a reduction unless told.
-const longestReduction = 5 * time.Minute
+// defaultReductionTime bounds the time of a reduction unless told.
+const defaultReductionTime = 5 * time.Minute
 
 const fileMode = 0o644
 
 // Main runs the command line and returns its exit code: 1 if a day that was played breaks a rule.
 func Main(args []string, out, errs io.Writer) int {
-	code := exitDone
+	code := exitOK
 	root := &cobra.Command{
 		Use: "emulate", Short: "Record, play and cut down days of the emulator", SilenceErrors: true, SilenceUsage: true,
 	}
@@ -42,7 +42,7 @@
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
-	root.AddCommand(recordVerb(&code), playVerb(&code), reduceVerb(), searchVerb(&code))
+	root.AddCommand(recordCommand(&code), playCommand(&code), reduceCommand(), searchCommand(&code))
 	if err := root.Execute(); err != nil {
 		_, _ = fmt.Fprintln(errs, "emulate:", err)
 		return exitBadInput
@@ -50,7 +50,7 @@
 	return code
 }
 
-func recordVerb(code *int) *cobra.Command {
+func recordCommand(code *int) *cobra.Command {
 	set := ""
 	verb := &cobra.Command{
 		Use:     "record PLAN SEED FILE",
@@ -67,22 +67,22 @@
 			if err != nil {
 				return err
 			}
-			tellBroken(c.OutOrStdout(), broken, code)
-			return write(args[2], script)
+			printBroken(c.OutOrStdout(), broken, code)
+			return writeScript(args[2], script)
 		},
 	}
 	verb.Flags().StringVar(&set, "set", "", "fields of the plan to set, as JSON")
 	return verb
 }
 
-func playVerb(code *int) *cobra.Command {
+func playCommand(code *int) *cobra.Command {
 	all := false
 	verb := &cobra.Command{
 		Use:   "play FILE",
 		Short: "Play a script, and print its story up to the first broken rule",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			script, err := read(args[0])
+			script, err := readScript(args[0])
 			if err != nil {
 				return err
 			}
@@ -92,9 +92,9 @@
 				rule, _, _ = strings.Cut(broken[0], ":")
 			}
 			if all || rule != "" {
-				tell(c.OutOrStdout(), reduce.Story(script, rule))
+				printLines(c.OutOrStdout(), reduce.Timeline(script, rule))
 			}
-			tellBroken(c.OutOrStdout(), broken, code)
+			printBroken(c.OutOrStdout(), broken, code)
 			return nil
 		},
 	}
@@ -102,14 +102,14 @@
 	return verb
 }
 
-func reduceVerb() *cobra.Command {
-	rule, good, longest := "", "", longestReduction
+func reduceCommand() *cobra.Command {
+	rule, good, longest := "", "", defaultReductionTime
 	verb := &cobra.Command{
 		Use:   "reduce FILE OUT",
 		Short: "Cut a script that breaks a rule down to little that still breaks it, and print its story",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			script, err := read(args[0])
+			script, err := readScript(args[0])
 			if err != nil {
 				return err
 			}
@@ -119,7 +119,7 @@
 				_, _ = fmt.Fprintln(c.ErrOrStderr(), line)
 			})}
 			if good != "" {
-				options = append(options, reduce.WithGood(func(s *emulator.Script) bool { return holdsIn(ctx, good, s) }))
+				options = append(options, reduce.WithReference(func(s *emulator.Script) bool { return breaksNoRuleIn(ctx, good, s) }))
 			}
 			result, err := reduce.Script(ctx, script, options...)
 			if err != nil {
@@ -128,8 +128,8 @@
 			if !result.Done {
 				_, _ = fmt.Fprintf(c.ErrOrStderr(), "the time of %s is over; this is the least so far\n", longest)
 			}
-			tell(c.OutOrStdout(), reduce.Story(result.Script, result.Rule))
-			return write(args[1], result.Script)
+			printLines(c.OutOrStdout(), reduce.Timeline(result.Script, result.Rule))
+			return writeScript(args[1], result.Script)
 		},
 	}
 	verb.Flags().StringVar(&good, "good", "", "an emulate built from code on which what is left breaks no rule")
@@ -138,29 +138,29 @@
 	return verb
 }
 
-// holdsIn says whether a script breaks no rule when another program plays it.
-func holdsIn(ctx context.Context, program string, s *emulator.Script) bool {
+// breaksNoRuleIn says whether a script breaks no rule when another program plays it.
+func breaksNoRuleIn(ctx context.Context, program string, s *emulator.Script) bool {
 	file, err := os.CreateTemp("", "emulate-*.json.gz")
 	if err != nil {
 		return false
 	}
 	_ = file.Close()
 	defer func() { _ = os.Remove(file.Name()) }()
-	return write(file.Name(), s) == nil && exec.CommandContext(ctx, program, "play", file.Name()).Run() == nil
+	return writeScript(file.Name(), s) == nil && exec.CommandContext(ctx, program, "play", file.Name()).Run() == nil
 }
 
-func tell(out io.Writer, lines []string) { _, _ = fmt.Fprintln(out, strings.Join(lines, "\n")) }
+func printLines(out io.Writer, lines []string) { _, _ = fmt.Fprintln(out, strings.Join(lines, "\n")) }
 
-func tellBroken(out io.Writer, broken []string, code *int) {
+func printBroken(out io.Writer, broken []string, code *int) {
 	if len(broken) == 0 {
 		_, _ = fmt.Fprintln(out, "no rule is broken")
 		return
 	}
-	*code = exitBroken
+	*code = exitRuleBroken
 	_, _ = fmt.Fprintf(out, "broken %d times, first: %s\n", len(broken), broken[0])
 }
 
-func read(file string) (*emulator.Script, error) {
+func readScript(file string) (*emulator.Script, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fault.New(fault.NotFound, file, "can't be read", "name a script").WithCause(err)
@@ -168,7 +168,7 @@
 	return emulator.DecodeScript(file, text)
 }
 
-func write(file string, s *emulator.Script) error {
+func writeScript(file string, s *emulator.Script) error {
 	text, err := s.Encode()
 	if err != nil {
 		return err
--- a/pkg/emulator/days/days_test.go
+++ b/pkg/emulator/days/days_test.go
@@ -11,42 +11,42 @@
 	"github.com/wrenferry/wrenferry/pkg/emulator/days"
 )
 
-// run gives the exit code and all that was printed.
-func run(args ...string) (code int, text string) {
+// runEmulate gives the exit code and all that was printed.
+func runEmulate(args ...string) (code int, text string) {
 	var out bytes.Buffer
 	code = days.Main(args, &out, &out)
 	return code, out.String()
 }
 
-func TestADayIsRecordedPlayedAndCutDown(t *testing.T) {
+func TestRecordPlayAndReduceDay(t *testing.T) {
 	t.Parallel()
 	file, left := filepath.Join(t.TempDir(), "day.json.gz"), filepath.Join(t.TempDir(), "left.json.gz")
-	code, text := run("record", "DefaultPlan", "0", file, "--set", `{"Unsafe": {"NoSettling": true}}`)
+	code, text := runEmulate("record", "DefaultPlan", "0", file, "--set", `{"Unsafe": {"NoSettling": true}}`)
 	must.Eq(t, 1, code)
 	must.StrContains(t, text, "TWICE")
-	code, text = run("play", file)
+	code, text = runEmulate("play", file)
 	must.Eq(t, 1, code)
 	must.StrContains(t, text, "BROKEN TWICE")
-	code, text = run("reduce", file, left)
+	code, text = runEmulate("reduce", file, left)
 	must.Eq(t, 0, code, must.Sprint(text))
 	must.StrContains(t, text, "plays, ")
 	must.StrContains(t, text, "BROKEN TWICE")
-	code, _ = run("play", left)
+	code, _ = runEmulate("play", left)
 	must.Eq(t, 1, code)
 }
 
-func TestADayThatBreaksNothing(t *testing.T) {
+func TestDayWithoutBrokenRuleIsNotReduced(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "day.json.gz")
-	code, text := run("record", "DefaultPlan", "1", file)
+	code, text := runEmulate("record", "DefaultPlan", "1", file)
 	must.Eq(t, 0, code)
 	must.StrContains(t, text, "no rule is broken")
-	code, text = run("reduce", file, file)
+	code, text = runEmulate("reduce", file, file)
 	must.Eq(t, 2, code)
 	must.StrContains(t, text, "breaks no rule")
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestErrorNamesBadInput(t *testing.T) {
 	t.Parallel()
 	bad := filepath.Join(t.TempDir(), "bad.json.gz")
 	must.NoError(t, os.WriteFile(bad, []byte("{}"), 0o600))
@@ -62,20 +62,20 @@
 		{[]string{"record", "DefaultPlan", "1", bad, "--set", `{"Sun": 1}`}, `unknown field "Sun"`},
 		{[]string{"cut"}, "cut"},
 	} {
-		code, text := run(c.args...)
+		code, text := runEmulate(c.args...)
 		must.Eq(t, 2, code)
 		must.StrContains(t, text, c.want)
 	}
 }
 
-func TestASearchNamesTheSeedsThatBreakAndCountsLines(t *testing.T) {
+func TestSearchPrintsBreakingSeedsAndCountsLines(t *testing.T) {
 	t.Parallel()
-	code, text := run("search", "DefaultPlan", "0", "2", "--set", `{"Unsafe": {"NoSettling": true}}`, "--count", "cell-settled")
+	code, text := runEmulate("search", "DefaultPlan", "0", "2", "--set", `{"Unsafe": {"NoSettling": true}}`, "--count", "cell-settled")
 	must.Eq(t, 1, code)
 	must.StrContains(t, text, "seed 0 breaks")
 	must.StrContains(t, text, "of 2 days break a rule")
 	must.StrContains(t, text, "lines on 2 days match cell-settled")
-	code, text = run("search", "DefaultPlan", "0", "2", "--count", "(")
+	code, text = runEmulate("search", "DefaultPlan", "0", "2", "--count", "(")
 	must.Eq(t, 2, code)
 	must.StrContains(t, text, "is not a pattern")
 }
--- a/pkg/emulator/days/search.go
+++ b/pkg/emulator/days/search.go
@@ -15,7 +15,7 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-func searchVerb(code *int) *cobra.Command {
+func searchCommand(code *int) *cobra.Command {
 	set, count, log := "", "", false
 	verb := &cobra.Command{
 		Use:     "search PLAN FIRST DAYS",
@@ -30,7 +30,7 @@
 			s.log = log
 			s.play(c.OutOrStdout(), c.ErrOrStderr())
 			if s.broken > 0 {
-				*code = exitBroken
+				*code = exitRuleBroken
 			}
 			return nil
 		},
@@ -43,19 +43,19 @@
 
 // search plays the days of many seeds on all processors.
 type search struct {
-	name, set   string
-	first, days uint64
-	count       *regexp.Regexp
-	log         bool
+	name, set       string
+	first, dayCount uint64
+	pattern         *regexp.Regexp
+	log             bool
 
 	lock sync.Mutex
 	// played and broken are numbers of days; matches are lines that match count, on matching days.
-	played, broken, matches, matching int
+	played, broken, matches, matchingDays int
 }
 
 func newSearch(args []string, set, count string) (*search, error) {
 	s := &search{name: args[0], set: set}
-	for i, into := range []*uint64{&s.first, &s.days} {
+	for i, into := range []*uint64{&s.first, &s.dayCount} {
 		n, err := strconv.ParseUint(args[i+1], 10, 64)
 		if err != nil {
 			return nil, fault.New(fault.BadInput, args[i+1], "is not a number", "write a whole number")
@@ -67,7 +67,7 @@
 		if err != nil {
 			return nil, fault.New(fault.BadInput, "--count", "is not a pattern", "").WithCause(err)
 		}
-		s.count = pattern
+		s.pattern = pattern
 	}
 	_, err := planOf(s.name, args[1], set)
 	return s, err
@@ -83,17 +83,17 @@
 			}
 		})
 	}
-	for i := range s.days {
+	for i := range s.dayCount {
 		seeds <- s.first + i
 		if i%1000 == 999 {
-			_, _ = fmt.Fprintf(progress, "%d of %d days\n", i+1, s.days)
+			_, _ = fmt.Fprintf(progress, "%d of %d days\n", i+1, s.dayCount)
 		}
 	}
 	close(seeds)
 	wait.Wait()
-	_, _ = fmt.Fprintf(out, "%s %d to %d: %d of %d days break a rule\n", s.name, s.first, s.first+s.days-1, s.broken, s.played)
-	if s.count != nil {
-		_, _ = fmt.Fprintf(out, "%d lines on %d days match %s\n", s.matches, s.matching, s.count)
+	_, _ = fmt.Fprintf(out, "%s %d to %d: %d of %d days break a rule\n", s.name, s.first, s.first+s.dayCount-1, s.broken, s.played)
+	if s.pattern != nil {
+		_, _ = fmt.Fprintf(out, "%d lines on %d days match %s\n", s.matches, s.matchingDays, s.pattern)
 	}
 }
 
@@ -104,9 +104,9 @@
 	}
 	w, broken := emulator.Play(plan)
 	matches := 0
-	if s.count != nil {
+	if s.pattern != nil {
 		for _, line := range w.Log {
-			if s.count.MatchString(line) {
+			if s.pattern.MatchString(line) {
 				matches++
 			}
 		}
@@ -115,12 +115,12 @@
 	defer s.lock.Unlock()
 	s.played++
 	if s.matches += matches; matches > 0 {
-		s.matching++
+		s.matchingDays++
 	}
 	if len(broken) > 0 {
 		s.broken++
 		if s.log {
-			tell(out, w.Log)
+			printLines(out, w.Log)
 		}
 		_, _ = fmt.Fprintf(out, "seed %d breaks %d times: %s\n", seed, len(broken), strings.Join(broken[:min(2, len(broken))], "; "))
 	}
--- a/pkg/emulator/draws.go
+++ b/pkg/emulator/draws.go
@@ -19,8 +19,8 @@
 	beyond uint64
 }
 
-// recordedDraws draws from a generator, and keeps what it drew if asked to.
-func recordedDraws(r *rand.Rand, keep bool) *draws {
+// generatorDraws draws from a generator, and keeps what it drew if asked to.
+func generatorDraws(r *rand.Rand, keep bool) *draws {
 	d := &draws{rand: r}
 	if keep {
 		d.tapes = map[string][]uint64{}
@@ -28,8 +28,8 @@
 	return d
 }
 
-// playedDraws reads tapes.
-func playedDraws(tapes map[string][]uint64, beyond uint64) *draws {
+// tapeDraws reads tapes.
+func tapeDraws(tapes map[string][]uint64, beyond uint64) *draws {
 	return &draws{tapes: tapes, read: map[string]int{}, beyond: beyond}
 }
 
@@ -48,11 +48,11 @@
 	if tape := d.tapes[stream]; n < len(tape) {
 		return tape[n]
 	}
-	return beyondTape(stream, n, d.beyond)
+	return drawBeyondTape(stream, n, d.beyond)
 }
 
-// beyondTape mixes a stream's name, a position and a choice.
-func beyondTape(stream string, n int, choice uint64) uint64 {
+// drawBeyondTape mixes a stream's name, a position and a choice.
+func drawBeyondTape(stream string, n int, choice uint64) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(stream))
 	v := (h.Sum64() ^ choice*0xd6e8feb86659fd93) + uint64(n)*0x9e3779b97f4a7c15
--- a/pkg/emulator/faults.go
+++ b/pkg/emulator/faults.go
@@ -6,34 +6,34 @@
 
 func (w *World) planFaults() {
 	for range w.plan.Faults {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.strike)
+		w.after(w.between(2*time.Second, w.plan.Trouble), w.injectRandomFault)
 	}
 	if w.plan.OddRows {
 		w.planOddRows()
 	}
 	for range w.plan.Deposed {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.deposeOne)
+		w.after(w.between(2*time.Second, w.plan.Trouble), w.deposeLeader)
 	}
 	for range w.plan.HallCuts {
-		w.after(w.between(4*time.Second, w.plan.Trouble), w.cutFirstHall)
+		w.after(w.between(4*time.Second, w.plan.Trouble), w.cutOffFirstHall)
 	}
 	for range w.plan.Rooms {
 		w.after(w.between(2*time.Second, w.plan.Trouble), w.shrinkRoom)
 	}
 	for range w.plan.Suspends {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.suspendOne)
+		w.after(w.between(2*time.Second, w.plan.Trouble), w.suspendHost)
 	}
 	for range w.plan.Flaps {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.flap)
+		w.after(w.between(2*time.Second, w.plan.Trouble), w.crashOneWorker)
 	}
 	for range w.plan.Crashes {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.crashMany)
+		w.after(w.between(2*time.Second, w.plan.Trouble), w.crashHalfOfWorkers)
 	}
-	w.planLeaving()
+	w.scheduleLeaving()
 }
 
-// crashMany ends the lives of about half of the workers within a moment.
-func (w *World) crashMany() {
+// crashHalfOfWorkers ends the lives of about half of the workers within a moment.
+func (w *World) crashHalfOfWorkers() {
 	for _, k := range w.workers {
 		if w.rand.IntN(2) == 0 {
 			span := w.between(50*time.Millisecond, 1500*time.Millisecond)
@@ -43,9 +43,9 @@
 	}
 }
 
-// suspendOne suspends a host, mostly a leader, for some seconds, at times for longer than a leadership
+// suspendHost suspends a host, mostly a leader, for some seconds, at times for longer than a leadership
 // lasts.
-func (w *World) suspendOne() {
+func (w *World) suspendHost() {
 	h := w.hosts[w.rand.IntN(len(w.hosts))]
 	if leader := w.leader(); leader != nil && w.rand.IntN(4) > 0 {
 		h = leader
@@ -56,7 +56,7 @@
 	}
 	if w.rand.IntN(3) == 0 {
 		span = w.between(longerThanTenure, longerThanTenure+5*time.Second)
-		w.leaveTwoTo(h, span+w.between(time.Second, 4*time.Second))
+		w.isolateWithTwoWorkers(h, span+w.between(time.Second, 4*time.Second))
 	}
 	w.strikeWith(Fault{Kind: SuspendHost, Target: h.name, For: span})
 	if until := w.now.Add(span); until.After(w.troubleUntil) {
@@ -64,10 +64,10 @@
 	}
 }
 
-// deposeOne has a cell's leader replaced while it goes on: the table is away for all, so that whoever is
+// deposeLeader has a cell's leader replaced while it goes on: the table is away for all, so that whoever is
 // first takes the cell when it returns; or the leader is cut off from it; or a whole hall is cut off from
 // it and from all else, and nobody else takes its cell for a while.
-func (w *World) deposeOne() {
+func (w *World) deposeLeader() {
 	name := w.cells[w.rand.IntN(len(w.cells))]
 	span := w.between(1500*time.Millisecond, 11*time.Second)
 	switch kind := w.rand.IntN(3); kind {
@@ -76,7 +76,7 @@
 	case 1:
 		w.cutLeader(name, span)
 	default:
-		w.cutHall(name, span)
+		w.cutOffHall(name, span)
 	}
 	if until := w.now.Add(span); until.After(w.troubleUntil) {
 		w.troubleUntil = until
@@ -103,10 +103,10 @@
 	}
 }
 
-// cutFirstHall cuts off the hall that most jobs come to. Meanwhile the leader of the other one ends, and
+// cutOffFirstHall cuts off the hall that most jobs come to. Meanwhile the leader of the other one ends, and
 // what that had only been told is gone with it; workers there crash, and what they ran is started anew.
-func (w *World) cutFirstHall() {
-	w.cutHall(w.cells[0], w.between(6*time.Second, 11*time.Second))
+func (w *World) cutOffFirstHall() {
+	w.cutOffHall(w.cells[0], w.between(6*time.Second, 11*time.Second))
 	w.after(w.between(500*time.Millisecond, 6*time.Second), func() {
 		if h := w.leaderOf(w.cells[1]); h != nil && h.hall != w.cells[0] {
 			w.strikeWith(Fault{Kind: KillHost, Target: h.name, For: time.Second})
@@ -119,8 +119,8 @@
 	}
 }
 
-// cutHall cuts a hall's hosts and workers off from other halls', and the hosts from the table.
-func (w *World) cutHall(hall string, span time.Duration) {
+// cutOffHall cuts a hall's hosts and workers off from other halls', and the hosts from the table.
+func (w *World) cutOffHall(hall string, span time.Duration) {
 	w.strikeWith(Fault{Kind: CutCell, Target: hall, For: span})
 }
 
@@ -147,9 +147,9 @@
 // longerThanTenure is longer than a leader goes on without a renewal, and a lease.
 const longerThanTenure = 17 * time.Second
 
-// leaveTwoTo cuts all hosts but one off from two workers, and that one from the table: when it wakes, it
+// isolateWithTwoWorkers cuts all hosts but one off from two workers, and that one from the table: when it wakes, it
 // is the only one that reaches them, and nothing else tells it that others lead by now.
-func (w *World) leaveTwoTo(h *host, span time.Duration) {
+func (w *World) isolateWithTwoWorkers(h *host, span time.Duration) {
 	for _, k := range w.workers[:2] {
 		for _, other := range w.hosts {
 			if other != h {
@@ -160,8 +160,8 @@
 	w.cutLink(h.name, "table", span)
 }
 
-// flap ends the life of one worker for a short while.
-func (w *World) flap() {
+// crashOneWorker ends the life of one worker for a short while.
+func (w *World) crashOneWorker() {
 	k := w.workers[w.rand.IntN(len(w.workers))]
 	span := w.between(50*time.Millisecond, 3*time.Second)
 	w.strikeWith(Fault{Kind: CrashWorker, Target: k.name, For: span})
@@ -170,8 +170,8 @@
 	}
 }
 
-// strike brings one fault about.
-func (w *World) strike() {
+// injectRandomFault brings one fault about.
+func (w *World) injectRandomFault() {
 	span := w.between(300*time.Millisecond, 6*time.Second)
 	h := w.hosts[w.rand.IntN(len(w.hosts))]
 	if leader := w.leader(); leader != nil && w.rand.IntN(2) == 0 {
--- a/pkg/emulator/leaving.go
+++ b/pkg/emulator/leaving.go
@@ -20,8 +20,8 @@
 	LeaveScaledIn
 	// LeaveSpot drain, and are gone before the drain time is over; others come later.
 	LeaveSpot
-	// LeaveUnsaid never say that they drain: their row goes while they serve on.
-	LeaveUnsaid
+	// LeaveUnannounced never say that they drain: their row goes while they serve on.
+	LeaveUnannounced
 )
 
 func (l LeaveKind) String() string {
@@ -41,80 +41,80 @@
 }
 
 const (
-	// leaveStep is the time between two leaves of a series.
-	leaveStep = time.Second
-	// firstLeaves is when the first series may strike.
-	firstLeaves = 16 * time.Second
+	// leaveInterval is the time between two leaves of a series.
+	leaveInterval = time.Second
+	// firstSeriesAt is when the first series may strike.
+	firstSeriesAt = 16 * time.Second
 	// drainTime is how long a leaving worker serves on at least, drainMore at most beyond that, and
 	// drainLong at times.
-	drainTime = 2 * time.Second
-	drainMore = 500 * time.Millisecond
-	drainLong = 12 * time.Second
-	// spotLate is how long after a notice of spot workers others come.
-	spotLate = 4 * time.Second
-	// rowKept is how long a row stays at most when its worker is gone.
-	rowKept = 3 * time.Second
-	// startSoon and startLate bound how long a new worker takes until it is ready.
-	startSoon, startLate = 1200 * time.Millisecond, 1900 * time.Millisecond
-	// mostScaledIn is the part of all workers that may go without others in their place.
-	mostScaledIn = 5
+	drainTime       = 2 * time.Second
+	drainTimeSpread = 500 * time.Millisecond
+	maxDrainTime    = 12 * time.Second
+	// spotReplacementDelay is how long after a notice of spot workers others come.
+	spotReplacementDelay = 4 * time.Second
+	// maxRowRetention is how long a row stays at most when its worker is gone.
+	maxRowRetention = 3 * time.Second
+	// minStartupTime and startLate bound how long a new worker takes until it is ready.
+	minStartupTime, maxStartupTime = 1200 * time.Millisecond, 1900 * time.Millisecond
+	// scaledInDivisor is the part of all workers that may go without others in their place.
+	scaledInDivisor = 5
 )
 
 // leave is what a worker that leaves has decided and done; the zero value: it stays.
 type leave struct {
-	// saidAt is when its row said so, endsAt when its life ends.
-	saidAt, endsAt time.Time
-	// unsaid says that its row goes instead, with the leave.
-	unsaid bool
+	// begunAt is when its row said so, endsAt when its life ends.
+	begunAt, endsAt time.Time
+	// unannounced says that its row goes instead, with the leave.
+	unannounced bool
 	// over says that its life has ended for good; its row stays until rowUntil.
 	over     bool
 	rowUntil time.Time
 }
 
-func (l leave) leaves() bool { return !l.saidAt.IsZero() }
+func (l leave) leaves() bool { return !l.begunAt.IsZero() }
 
-// planLeaving has series of workers leave.
-func (w *World) planLeaving() {
+// scheduleLeaving has series of workers leave.
+func (w *World) scheduleLeaving() {
 	l := w.plan.Leaving
 	if l.Series == 0 {
 		return
 	}
-	at := firstLeaves
+	at := firstSeriesAt
 	for range l.Series {
 		at += w.between(0, 3*time.Second)
 		kind := l.Kinds[w.rand.IntN(len(l.Kinds))]
 		count := max(1, l.Least) + w.rand.IntN(l.Most-max(1, l.Least)+1)
 		if l.Before > 0 {
-			w.planFaultsBefore(at, l.Before)
+			w.scheduleFaultsBefore(at, l.Before)
 		}
-		w.after(at, func() { w.leaveInTurn(kind, count) })
-		at += time.Duration(count)*leaveStep + l.Apart
+		w.after(at, func() { w.leaveOneByOne(kind, count) })
+		at += time.Duration(count)*leaveInterval + l.Apart
 	}
 }
 
 const (
-	// faultsSoon and faultsLate bound how long before a series faults strike, faultsIn how long after it has
+	// minFaultLead and faultsLate bound how long before a series faults strike, faultsIn how long after it has
 	// begun some do.
-	faultsSoon, faultsLate = 8 * time.Second, 13 * time.Second
-	faultsIn               = 4 * time.Second
-	// shortFault and longFault bound how long those last.
-	shortFault, longFault = 300 * time.Millisecond, 4 * time.Second
+	minFaultLead, maxFaultLead = 8 * time.Second, 13 * time.Second
+	maxFaultLag                = 4 * time.Second
+	// minFaultSpan and longFault bound how long those last.
+	minFaultSpan, maxFaultSpan = 300 * time.Millisecond, 4 * time.Second
 )
 
-// planFaultsBefore has faults strike before a series of leaves, and some as it begins.
-func (w *World) planFaultsBefore(series time.Duration, count int) {
+// scheduleFaultsBefore has faults strike before a series of leaves, and some as it begins.
+func (w *World) scheduleFaultsBefore(series time.Duration, count int) {
 	for range count {
-		at := series - w.between(faultsSoon, faultsLate)
+		at := series - w.between(minFaultLead, maxFaultLead)
 		if w.rand.IntN(4) == 0 {
-			at = series + w.between(0, faultsIn)
+			at = series + w.between(0, maxFaultLag)
 		}
-		w.after(at, w.strikeLeader)
+		w.after(at, w.injectFaultNearLeader)
 	}
 }
 
-// strikeLeader brings about one of the faults after which others lead, or tasks are suspected.
-func (w *World) strikeLeader() {
-	span := w.between(shortFault, longFault)
+// injectFaultNearLeader brings about one of the faults after which others lead, or tasks are suspected.
+func (w *World) injectFaultNearLeader() {
+	span := w.between(minFaultSpan, maxFaultSpan)
 	cell := w.cells[w.rand.IntN(len(w.cells))]
 	h := w.leaderOf(cell)
 	if h == nil {
@@ -132,9 +132,9 @@
 	case 3:
 		h.suspend(span)
 	case 4:
-		w.flap()
+		w.crashOneWorker()
 	case 5:
-		w.crashMany()
+		w.crashHalfOfWorkers()
 	case 6:
 		for _, each := range w.hosts {
 			each.kill(w.between(500*time.Millisecond, 1500*time.Millisecond))
@@ -147,8 +147,8 @@
 	}
 }
 
-// leaveInTurn has one worker leave, and the others of its series after it.
-func (w *World) leaveInTurn(kind LeaveKind, count int) {
+// leaveOneByOne has one worker leave, and the others of its series after it.
+func (w *World) leaveOneByOne(kind LeaveKind, count int) {
 	var stay []*worker
 	for _, k := range w.workers {
 		if k.up && !k.leave.leaves() {
@@ -158,24 +158,24 @@
 	if count == 0 || len(stay) <= len(w.cells) {
 		return
 	}
-	if kind == LeaveScaledIn && len(stay) <= w.plan.Workers-w.plan.Workers/mostScaledIn {
+	if kind == LeaveScaledIn && len(stay) <= w.plan.Workers-w.plan.Workers/scaledInDivisor {
 		return
 	}
 	k := stay[w.rand.IntN(len(stay))]
 	k.beginLeave(kind)
 	switch kind {
 	case LeaveSpot:
-		w.after(spotLate, func() { w.join(k.Machine) })
-	case LeaveReleased, LeaveUnsaid:
+		w.after(spotReplacementDelay, func() { w.join(k.Machine) })
+	case LeaveReleased, LeaveUnannounced:
 		w.join(k.Machine)
 	case LeaveScaledIn:
 	}
-	w.after(leaveStep, func() { w.leaveInTurn(kind, count-1) })
+	w.after(leaveInterval, func() { w.leaveOneByOne(kind, count-1) })
 }
 
 // join starts a new machine's worker.
 func (w *World) join(m Machine) {
-	w.after(w.between(startSoon, startLate), func() {
+	w.after(w.between(minStartupTime, maxStartupTime), func() {
 		k := newWorker(w, fmt.Sprintf("worker-%d", len(w.workers)), m)
 		w.workers = append(w.workers, k)
 		w.logf("%s joins %s", k.id(), k.Hall)
@@ -184,21 +184,21 @@
 
 func (k *worker) beginLeave(kind LeaveKind) {
 	w := k.world
-	serves := drainTime + w.between(0, drainMore)
+	serves := drainTime + w.between(0, drainTimeSpread)
 	switch {
 	case kind == LeaveSpot:
 		serves = w.between(100*time.Millisecond, drainTime)
 	case w.rand.IntN(6) == 0:
-		serves = w.between(drainTime, drainLong)
+		serves = w.between(drainTime, maxDrainTime)
 	}
-	k.leave.saidAt, k.leave.endsAt = w.now, w.now.Add(serves)
-	k.leave.unsaid = kind == LeaveUnsaid
+	k.leave.begunAt, k.leave.endsAt = w.now, w.now.Add(serves)
+	k.leave.unannounced = kind == LeaveUnannounced
 	w.logf("%s leaves (%s), and serves on for %s", k.id(), kind, serves)
-	w.after(serves, k.endForGood)
+	w.after(serves, k.endDeparted)
 }
 
-// endForGood ends a life that left, with all that runs there.
-func (k *worker) endForGood() {
+// endDeparted ends a life that left, with all that runs there.
+func (k *worker) endDeparted() {
 	w := k.world
 	if k.leave.over {
 		return
@@ -206,7 +206,7 @@
 	k.leave.over = true
 	if k.up {
 		w.logf("%s is gone", k.id())
-		k.leave.rowUntil = w.now.Add(w.between(0, rowKept))
+		k.leave.rowUntil = w.now.Add(w.between(0, maxRowRetention))
 		k.endLife("gone")
 		k.breakCalls()
 	}
@@ -214,7 +214,7 @@
 
 // hasRow says whether the list of workers names the worker.
 func (k *worker) hasRow() bool {
-	if k.leave.leaves() && k.leave.unsaid {
+	if k.leave.leaves() && k.leave.unannounced {
 		return false
 	}
 	return k.up || k.world.now.Before(k.leave.rowUntil)
@@ -222,9 +222,9 @@
 
 // sayLeave completes what the worker's row says of its state.
 func (k *worker) sayLeave(r *workers.Record) {
-	if !k.leave.leaves() || k.leave.unsaid {
+	if !k.leave.leaves() || k.leave.unannounced {
 		return
 	}
 	r.Ready, r.Leaving = false, true
-	r.Remaining = max(0, k.leave.saidAt.Add(drainTime).Sub(k.world.now))
+	r.Remaining = max(0, k.leave.begunAt.Add(drainTime).Sub(k.world.now))
 }
--- a/pkg/emulator/leaving_plans.go
+++ b/pkg/emulator/leaving_plans.go
@@ -4,8 +4,8 @@
 
 // Days on which workers leave while lasting tasks stay.
 
-// leavingDay is a day of cells that are often nearly full of lasting tasks that stay.
-func leavingDay(seed uint64) Plan {
+// leavingBasePlan is a day of cells that are often nearly full of lasting tasks that stay.
+func leavingBasePlan(seed uint64) Plan {
 	plan := TwoCellPlan(seed)
 	plan.Workers, plan.Faults, plan.Jobs = 12, 0, 60
 	plan.Lasting = 0.6 + 0.05*float64(seed%7)
@@ -18,8 +18,8 @@
 
 // LeavingPlan is a day on which workers leave in all ways, and nothing else happens.
 func LeavingPlan(seed uint64) Plan {
-	plan := leavingDay(seed)
-	plan.Leaving = Leaving{Series: 3, Most: 8, Apart: 5 * time.Second, Kinds: []LeaveKind{LeaveReleased, LeaveScaledIn, LeaveSpot, LeaveUnsaid}}
+	plan := leavingBasePlan(seed)
+	plan.Leaving = Leaving{Series: 3, Most: 8, Apart: 5 * time.Second, Kinds: []LeaveKind{LeaveReleased, LeaveScaledIn, LeaveSpot, LeaveUnannounced}}
 	return plan
 }
 
--- a/pkg/emulator/leaving_test.go
+++ b/pkg/emulator/leaving_test.go
@@ -9,27 +9,27 @@
 )
 
 // A successor waits for a worker that left before it led, and other leaving workers stop tasks meanwhile.
-func TestALastingTaskThatALeavingWorkerStoppedStartsAgainInTime(t *testing.T) {
+func TestLastingTaskRestartsInTimeAfterSuccessiveReleases(t *testing.T) {
 	t.Parallel()
-	playSomeDays(t, emulator.ReleasePlan, leavingDays)
+	playSomeDays(t, emulator.ReleasePlan, usualLeavingDays)
 }
 
 // Leaders and hosts have failed shortly before, and tasks are suspected of crashes.
-func TestALastingTaskStartsAgainWhereWorkersLeaveAfterTroubles(t *testing.T) {
+func TestLastingTaskRestartsWhenWorkersLeaveAfterFaults(t *testing.T) {
 	t.Parallel()
-	playSomeDays(t, emulator.LeavingTroublePlan, leavingDays)
+	playSomeDays(t, emulator.LeavingTroublePlan, usualLeavingDays)
 }
 
-// leavingDays are as many of these days, which are the longest, as CI has the time for.
-const leavingDays = 40
+// usualLeavingDays are as many of these days, which are the longest, as CI has the time for.
+const usualLeavingDays = 40
 
 // Workers leave in all ways, and nothing else happens.
-func TestALastingTaskStartsAgainWhereWorkersLeave(t *testing.T) {
+func TestLastingTaskRestartsWhenWorkersLeave(t *testing.T) {
 	t.Parallel()
-	playSomeDays(t, emulator.LeavingPlan, leavingDays)
+	playSomeDays(t, emulator.LeavingPlan, usualLeavingDays)
 }
 
-func TestTheSameSeedGivesTheSameDayOfLeaves(t *testing.T) {
+func TestSameSeedGivesSameDayWithLeavingWorkers(t *testing.T) {
 	t.Parallel()
 	a, _ := emulator.Play(emulator.LeavingTroublePlan(3))
 	b, _ := emulator.Play(emulator.LeavingTroublePlan(3))
--- a/pkg/emulator/reduce/least.go
+++ b/pkg/emulator/reduce/least.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// least takes out of a list what it holds without, chunk by chunk, first large ones and then single items.
+// minimize takes out of a list what it holds without, chunk by chunk, first large ones and then single items.
 // It asks whether a list holds only for lists that are shorter than the last that did.
-func least[T any](items []T, holds func([]T) bool) []T {
+func minimize[T any](items []T, holds func([]T) bool) []T {
 	if len(items) == 0 || holds(nil) {
 		return nil
 	}
--- a/pkg/emulator/reduce/reduce.go
+++ b/pkg/emulator/reduce/reduce.go
@@ -16,11 +16,11 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// lostRule is the rule that is asked only at the end of a day.
-const lostRule = "LOST"
+// endOfDayRule is the rule that is asked only at the end of a day.
+const endOfDayRule = "LOST"
 
-// afterBreak is for how long a day is played on, while it is cut down, after the rule was broken.
-const afterBreak = 5 * time.Second
+// timeAfterBreak is for how long a day is played on, while it is cut down, after the rule was broken.
+const timeAfterBreak = 5 * time.Second
 
 // Result is what is left of a script.
 type Result struct {
@@ -38,32 +38,32 @@
 // WithRule names the rule, where a script breaks several.
 func WithRule(rule string) Option { return func(r *reducer) { r.rule = rule } }
 
-// WithGood names code on which what is left breaks no rule: holds says whether that is so. Without it a
+// WithReference names code on which what is left breaks no rule: holds says whether that is so. Without it a
 // script may be cut down to one that breaks the rule for another reason. This code with all fences
 // in is such code for a script that takes some out, if that script breaks no rule there.
-func WithGood(holds func(s *emulator.Script) bool) Option {
-	return func(r *reducer) { r.good = append(r.good, holds) }
+func WithReference(holds func(s *emulator.Script) bool) Option {
+	return func(r *reducer) { r.references = append(r.references, holds) }
 }
 
 // WithProgress has each step told.
-func WithProgress(tell func(line string)) Option { return func(r *reducer) { r.tell = tell } }
+func WithProgress(tell func(line string)) Option { return func(r *reducer) { r.progress = tell } }
 
 type reducer struct {
-	ctx   context.Context
-	best  *emulator.Script
-	rule  string
-	good  []func(s *emulator.Script) bool
-	tell  func(line string)
-	plays int
-	// end is when the whole day is over.
-	end time.Duration
-	// choices is how many other days are tried where one does not break the rule any more.
-	choices uint64
+	ctx        context.Context
+	best       *emulator.Script
+	rule       string
+	references []func(s *emulator.Script) bool
+	progress   func(line string)
+	plays      int
+	// dayEnd is when the whole day is over.
+	dayEnd time.Duration
+	// alternatives is how many other days are tried where one does not break the rule any more.
+	alternatives uint64
 }
 
 // Script cuts a script down until nothing more can be taken out or the context is over. It stays as it is.
 func Script(ctx context.Context, s *emulator.Script, opts ...Option) (*Result, error) {
-	r := &reducer{ctx: ctx, best: s, end: s.Plan.End, tell: func(string) {}}
+	r := &reducer{ctx: ctx, best: s, dayEnd: s.Plan.End, progress: func(string) {}}
 	for _, o := range opts {
 		o(r)
 	}
@@ -78,32 +78,32 @@
 	if r.rule == "" {
 		r.rule, _, _ = strings.Cut(broken[0], ":")
 	}
-	at, ok := w.BrokenAt()[r.rule]
+	at, ok := w.FirstBreaks()[r.rule]
 	if !ok {
-		return nil, fault.New(fault.BadInput, r.rule, "is not a rule that the script breaks", "it breaks "+strings.Join(slices.Sorted(maps.Keys(w.BrokenAt())), ", "))
+		return nil, fault.New(fault.BadInput, r.rule, "is not a rule that the script breaks", "it breaks "+strings.Join(slices.Sorted(maps.Keys(w.FirstBreaks())), ", "))
 	}
-	if err := r.checkGood(s); err != nil {
+	if err := r.checkReferences(s); err != nil {
 		return nil, err
 	}
 	r.endAfter(at)
-	r.cutAll()
+	r.reduceAll()
 	left := *r.best
-	left.Plan.End = r.end
+	left.Plan.End = r.dayEnd
 	return &Result{Script: &left, Rule: r.rule, Plays: r.plays, Done: ctx.Err() == nil}, nil
 }
 
-// checkGood looks whether the script itself breaks no rule on good code.
-func (r *reducer) checkGood(s *emulator.Script) error {
+// checkReferences looks whether the script itself breaks no rule on good code.
+func (r *reducer) checkReferences(s *emulator.Script) error {
 	if p := s.Plan; p.Unsafe != (cell.Unsafe{}) || p.Unbound || p.Steady {
 		fenceHolds := func(s *emulator.Script) bool {
-			_, broken := fenced(s).Play()
+			_, broken := withAllFences(s).Play()
 			return len(broken) == 0
 		}
 		if fenceHolds(s) {
-			r.good = append(r.good, fenceHolds)
+			r.references = append(r.references, fenceHolds)
 		}
 	}
-	for _, holds := range r.good {
+	for _, holds := range r.references {
 		if !holds(s) {
 			return fault.New(fault.BadInput, "script", "breaks a rule on good code, too", "name code on which it breaks none")
 		}
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// fenced is a script with all fences in.
-func fenced(s *emulator.Script) *emulator.Script {
+// withAllFences is a script with all fences in.
+func withAllFences(s *emulator.Script) *emulator.Script {
 	f := *s
 	f.Plan.Unsafe, f.Plan.Unbound, f.Plan.Steady = cell.Unsafe{}, false, false
 	return &f
@@ -120,36 +120,36 @@
 
 // endAfter ends the day soon after the rule was broken, and leaves out what comes later.
 func (r *reducer) endAfter(at time.Duration) {
-	if r.rule == lostRule {
+	if r.rule == endOfDayRule {
 		return
 	}
 	s := *r.best
-	s.Plan.End = min(s.Plan.End, at+afterBreak)
+	s.Plan.End = min(s.Plan.End, at+timeAfterBreak)
 	s.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f emulator.Fault) bool { return f.At > at })
 	s.Cancels = slices.DeleteFunc(slices.Clone(s.Cancels), func(c emulator.Cancel) bool { return c.At > at })
-	r.try("the end", &s)
+	r.tryWithAlternatives("the end", &s)
 }
 
-// otherDays are how many other days are tried of what can't be cut further, one number after the other.
-var otherDays = []uint64{0, 12, 48}
+// alternativeCounts are how many other days are tried of what can't be cut further, one number after the other.
+var alternativeCounts = []uint64{0, 12, 48}
 
-// cutAll takes out group by group until nothing more goes, then what goes on days on which other things are
+// reduceAll takes out group by group until nothing more goes, then what goes on days on which other things are
 // drawn, and rounds what is left.
-func (r *reducer) cutAll() {
-	for _, r.choices = range otherDays {
-		r.cutWhileSmaller()
+func (r *reducer) reduceAll() {
+	for _, r.alternatives = range alternativeCounts {
+		r.cutUntilStable()
 	}
-	r.choices = 0
-	r.round()
+	r.alternatives = 0
+	r.roundTimes()
 }
 
-func (r *reducer) cutWhileSmaller() {
+func (r *reducer) cutUntilStable() {
 	for before := -1; before != r.size() && r.ctx.Err() == nil; {
 		before = r.size()
 		r.cutJobs()
 		r.cutFaults()
 		r.cutCancels()
-		r.cutPlaces()
+		r.cutNodes()
 		r.simplifyJobs()
 		r.cutTapes()
 	}
@@ -158,57 +158,57 @@
 // size is how much of a script is left.
 func (r *reducer) size() int {
 	s := r.best
-	return Events(s) + len(s.Workers) + len(s.Hosts) + len(s.Tapes)
+	return EventCount(s) + len(s.Workers) + len(s.Hosts) + len(s.Tapes)
 }
 
-// Events is how many events a script plans.
-func Events(s *emulator.Script) int { return len(s.Jobs) + len(s.Faults) + len(s.Cancels) }
+// EventCount is how many events a script plans.
+func EventCount(s *emulator.Script) int { return len(s.Jobs) + len(s.Faults) + len(s.Cancels) }
 
-// try plays a script, and others with other draws, and keeps the first that still breaks the rule.
-func (r *reducer) try(what string, s *emulator.Script) bool {
-	if r.tryThis(what, s) {
+// tryWithAlternatives plays a script, and others with other draws, and keeps the first that still breaks the rule.
+func (r *reducer) tryWithAlternatives(what string, s *emulator.Script) bool {
+	if r.tryScript(what, s) {
 		return true
 	}
-	for n := range r.choices {
+	for n := range r.alternatives {
 		other := *s
 		other.Tapes, other.Beyond = nil, n
-		if r.tryThis(what, &other) {
+		if r.tryScript(what, &other) {
 			return true
 		}
 	}
 	return false
 }
 
-// tryThis plays a script, and keeps it if it still breaks the rule.
-func (r *reducer) tryThis(what string, s *emulator.Script) bool {
+// tryScript plays a script, and keeps it if it still breaks the rule.
+func (r *reducer) tryScript(what string, s *emulator.Script) bool {
 	if r.ctx.Err() != nil || s.Check("script") != nil {
 		return false
 	}
 	w, _ := s.Play()
 	r.plays++
-	at, breaks := w.BrokenAt()[r.rule]
-	if !breaks || !r.holdsOnGood(s) {
+	at, breaks := w.FirstBreaks()[r.rule]
+	if !breaks || !r.referencesPass(s) {
 		return false
 	}
-	if r.rule != lostRule {
-		s.Plan.End = min(s.Plan.End, at+afterBreak)
+	if r.rule != endOfDayRule {
+		s.Plan.End = min(s.Plan.End, at+timeAfterBreak)
 	}
-	s.Tapes = w.ReadTapes()
+	s.Tapes = w.TapesRead()
 	r.best = s
-	r.tell(fmt.Sprintf("%d plays, %d jobs, %d faults, %d cancels, %d workers, %d hosts, %d tapes left: %s",
+	r.progress(fmt.Sprintf("%d plays, %d jobs, %d faults, %d cancels, %d workers, %d hosts, %d tapes left: %s",
 		r.plays, len(s.Jobs), len(s.Faults), len(s.Cancels), len(s.Workers), len(s.Hosts), len(s.Tapes), what))
 	return true
 }
 
-// holdsOnGood says whether a script breaks no rule on good code, to the end of its whole day.
-func (r *reducer) holdsOnGood(s *emulator.Script) bool {
+// referencesPass says whether a script breaks no rule on good code, to the end of its whole day.
+func (r *reducer) referencesPass(s *emulator.Script) bool {
 	whole := *s
-	whole.Plan.End = r.end
-	return !slices.ContainsFunc(r.good, func(holds func(s *emulator.Script) bool) bool { return !holds(&whole) })
+	whole.Plan.End = r.dayEnd
+	return !slices.ContainsFunc(r.references, func(holds func(s *emulator.Script) bool) bool { return !holds(&whole) })
 }
 
 func (r *reducer) cutJobs() {
-	least(r.best.Jobs, func(jobs []emulator.ScriptJob) bool {
+	minimize(r.best.Jobs, func(jobs []emulator.ScriptJob) bool {
 		s := *r.best
 		s.Jobs = jobs
 		left := map[string]bool{}
@@ -216,43 +216,43 @@
 			left[j.Spec.GetId()] = true
 		}
 		s.Cancels = slices.DeleteFunc(slices.Clone(s.Cancels), func(c emulator.Cancel) bool { return !left[c.Job] })
-		return r.try("jobs", &s)
+		return r.tryWithAlternatives("jobs", &s)
 	})
 }
 
 func (r *reducer) cutFaults() {
-	least(r.best.Faults, func(faults []emulator.Fault) bool {
+	minimize(r.best.Faults, func(faults []emulator.Fault) bool {
 		s := *r.best
 		s.Faults = faults
-		return r.try("faults", &s)
+		return r.tryWithAlternatives("faults", &s)
 	})
 }
 
 func (r *reducer) cutCancels() {
-	least(r.best.Cancels, func(cancels []emulator.Cancel) bool {
+	minimize(r.best.Cancels, func(cancels []emulator.Cancel) bool {
 		s := *r.best
 		s.Cancels = cancels
-		return r.try("cancels", &s)
+		return r.tryWithAlternatives("cancels", &s)
 	})
 }
 
-func (r *reducer) cutPlaces() {
-	least(r.best.Workers, func(workers []emulator.Place) bool {
+func (r *reducer) cutNodes() {
+	minimize(r.best.Workers, func(workers []emulator.Node) bool {
 		s := *r.best
 		s.Workers = workers
-		dropFaults(&s)
-		return r.try("workers", &s)
+		dropFaultsWithoutTarget(&s)
+		return r.tryWithAlternatives("workers", &s)
 	})
-	least(r.best.Hosts, func(hosts []emulator.Place) bool {
+	minimize(r.best.Hosts, func(hosts []emulator.Node) bool {
 		s := *r.best
 		s.Hosts = hosts
-		dropFaults(&s)
-		return r.try("hosts", &s)
+		dropFaultsWithoutTarget(&s)
+		return r.tryWithAlternatives("hosts", &s)
 	})
 }
 
-// dropFaults takes out the faults that strike what is not there any more.
-func dropFaults(s *emulator.Script) {
+// dropFaultsWithoutTarget takes out the faults that strike what is not there any more.
+func dropFaultsWithoutTarget(s *emulator.Script) {
 	there := map[string]bool{"": true, "table": true}
 	for _, p := range slices.Concat(s.Hosts, s.Workers) {
 		there[p.Name] = true
@@ -268,10 +268,10 @@
 	for stream := range r.best.Tapes {
 		purposes[purposeOf(stream)] = true
 	}
-	least(slices.Sorted(maps.Keys(purposes)), func(left []string) bool {
+	minimize(slices.Sorted(maps.Keys(purposes)), func(left []string) bool {
 		return r.keepTapes(func(stream string) bool { return slices.Contains(left, purposeOf(stream)) })
 	})
-	least(slices.Sorted(maps.Keys(r.best.Tapes)), func(left []string) bool {
+	minimize(slices.Sorted(maps.Keys(r.best.Tapes)), func(left []string) bool {
 		return r.keepTapes(func(stream string) bool { return slices.Contains(left, stream) })
 	})
 }
@@ -285,5 +285,5 @@
 	s := *r.best
 	s.Tapes = maps.Clone(s.Tapes)
 	maps.DeleteFunc(s.Tapes, func(stream string, _ []uint64) bool { return !keeps(stream) })
-	return r.tryThis("tapes", &s)
+	return r.tryScript("tapes", &s)
 }
--- a/pkg/emulator/reduce/reduce_test.go
+++ b/pkg/emulator/reduce/reduce_test.go
@@ -14,20 +14,20 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// fewEvents is how many events a day is cut down to.
-const fewEvents = 10
+// maxEvents is how many events a day is cut down to.
+const maxEvents = 10
 
-// screen is how many lines a story has at most.
-const screen = 60
+// maxTimelineLines is how many lines a story has at most.
+const maxTimelineLines = 60
 
-// longest bounds the time of one test.
-const longest = 4 * time.Minute
+// reductionTime bounds the time of one test.
+const reductionTime = 4 * time.Minute
 
-// short bounds a test of what is not cut.
-const short = 2 * time.Second
+// shortReductionTime bounds a test of what is not cut.
+const shortReductionTime = 2 * time.Second
 
-// broken is the script of the first day that breaks a rule without a fence.
-func broken(t *testing.T, plan func(seed uint64) emulator.Plan, from uint64, unsafe cell.Unsafe, rule string) *emulator.Script {
+// firstBreakingScript is the script of the first day that breaks a rule without a fence.
+func firstBreakingScript(t *testing.T, plan func(seed uint64) emulator.Plan, from uint64, unsafe cell.Unsafe, rule string) *emulator.Script {
 	t.Helper()
 	for seed := from; seed < from+400; seed++ {
 		p := plan(seed)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func TestABrokenDayIsCutToAFewEventsThatStillBreakIt(t *testing.T) {
+func TestReducedScriptHasFewEventsAndBreaksSameRule(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name   string
@@ -57,21 +57,21 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			script := broken(t, c.plan, c.from, c.unsafe, c.rule)
+			script := firstBreakingScript(t, c.plan, c.from, c.unsafe, c.rule)
 			before, err := script.Encode()
 			must.NoError(t, err)
-			ctx, end := context.WithTimeout(context.Background(), longest)
+			ctx, end := context.WithTimeout(context.Background(), reductionTime)
 			defer end()
 			var progress []string
 			result, err := reduce.Script(ctx, script, reduce.WithRule(c.rule), reduce.WithProgress(func(line string) { progress = append(progress, line) }))
 			must.NoError(t, err)
 			must.True(t, result.Done)
 			must.SliceNotEmpty(t, progress)
-			story := reduce.Story(result.Script, c.rule)
-			must.LessEq(t, screen, len(story))
+			story := reduce.Timeline(result.Script, c.rule)
+			must.LessEq(t, maxTimelineLines, len(story))
 			must.StrContains(t, story[len(story)-1], "BROKEN "+c.rule)
 			t.Log(result.Plays, "plays\n"+strings.Join(story, "\n"))
-			must.LessEq(t, fewEvents, reduce.Events(result.Script))
+			must.LessEq(t, maxEvents, reduce.EventCount(result.Script))
 			after, err := script.Encode()
 			must.NoError(t, err)
 			must.Eq(t, before, after)
@@ -89,24 +89,24 @@
 	}
 }
 
-func TestADayIsNotCutBeyondWhatGoodCodePasses(t *testing.T) {
+func TestReducedScriptPassesOnReference(t *testing.T) {
 	t.Parallel()
-	script := broken(t, emulator.DefaultPlan, 0, cell.Unsafe{NoSettling: true}, "TWICE")
-	_, err := reduce.Script(context.Background(), script, reduce.WithGood(func(*emulator.Script) bool { return false }))
+	script := firstBreakingScript(t, emulator.DefaultPlan, 0, cell.Unsafe{NoSettling: true}, "TWICE")
+	_, err := reduce.Script(context.Background(), script, reduce.WithReference(func(*emulator.Script) bool { return false }))
 	must.Eq(t, fault.BadInput, fault.CodeOf(err))
 	must.ErrorContains(t, err, "on good code, too")
 
 	most := len(script.Jobs) - 1
-	ctx, end := context.WithTimeout(context.Background(), short)
+	ctx, end := context.WithTimeout(context.Background(), shortReductionTime)
 	defer end()
-	result, err := reduce.Script(ctx, script, reduce.WithGood(func(s *emulator.Script) bool { return len(s.Jobs) >= most }))
+	result, err := reduce.Script(ctx, script, reduce.WithReference(func(s *emulator.Script) bool { return len(s.Jobs) >= most }))
 	must.NoError(t, err)
 	must.GreaterEq(t, most, len(result.Script.Jobs))
 }
 
-func TestTheLeastSoFarIsLeftWhenTheTimeIsOver(t *testing.T) {
+func TestReductionReturnsSmallestScriptAtTimeout(t *testing.T) {
 	t.Parallel()
-	script := broken(t, emulator.DefaultPlan, 0, cell.Unsafe{NoSettling: true}, "TWICE")
+	script := firstBreakingScript(t, emulator.DefaultPlan, 0, cell.Unsafe{NoSettling: true}, "TWICE")
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	result, err := reduce.Script(ctx, script, reduce.WithProgress(func(string) { end() }))
@@ -116,15 +116,15 @@
 	must.StrContains(t, strings.Join(list, "\n"), "TWICE:")
 }
 
-func TestARuleThatIsNotBrokenIsRefused(t *testing.T) {
+func TestReductionRefusesRuleThatIsNotBroken(t *testing.T) {
 	t.Parallel()
-	script := broken(t, emulator.DefaultPlan, 0, cell.Unsafe{NoSettling: true}, "TWICE")
+	script := firstBreakingScript(t, emulator.DefaultPlan, 0, cell.Unsafe{NoSettling: true}, "TWICE")
 	_, err := reduce.Script(context.Background(), script, reduce.WithRule("SPREAD"))
 	must.ErrorContains(t, err, "SPREAD")
 	must.ErrorContains(t, err, "it breaks TWICE")
 }
 
-func TestWhatBreaksNoRuleIsNotCut(t *testing.T) {
+func TestReductionRefusesScriptThatBreaksNoRule(t *testing.T) {
 	t.Parallel()
 	script, _, _, err := emulator.Record(emulator.DefaultPlan(1))
 	must.NoError(t, err)
--- a/pkg/emulator/reduce/simplify.go
+++ b/pkg/emulator/reduce/simplify.go
@@ -58,44 +58,44 @@
 			}
 			s.Jobs = slices.Clone(s.Jobs)
 			s.Jobs[i] = j
-			r.try("simpler jobs", &s)
+			r.tryWithAlternatives("simpler jobs", &s)
 		}
 	}
 }
 
-// grains are what moments and lengths are rounded to, the coarsest that goes.
-var grains = []time.Duration{time.Second, 100 * time.Millisecond, 10 * time.Millisecond, time.Millisecond}
+// roundings are what moments and lengths are rounded to, the coarsest that goes.
+var roundings = []time.Duration{time.Second, 100 * time.Millisecond, 10 * time.Millisecond, time.Millisecond}
 
-// round rounds moments and lengths: all at once first, then each.
-func (r *reducer) round() {
-	for _, grain := range slices.Backward(grains) {
-		r.roundWhere(grain, func(int) bool { return true })
+// roundTimes rounds moments and lengths: all at once first, then each.
+func (r *reducer) roundTimes() {
+	for _, grain := range slices.Backward(roundings) {
+		r.roundChosen(grain, func(int) bool { return true })
 	}
-	for n := range len(moments(r.best)) {
-		for _, grain := range grains {
-			if r.roundWhere(grain, func(each int) bool { return each == n }) {
+	for n := range len(times(r.best)) {
+		for _, grain := range roundings {
+			if r.roundChosen(grain, func(each int) bool { return each == n }) {
 				break
 			}
 		}
 	}
 }
 
-// roundWhere rounds the chosen moments. It says whether they are round now.
-func (r *reducer) roundWhere(grain time.Duration, chosen func(n int) bool) bool {
+// roundChosen rounds the chosen moments. It says whether they are round now.
+func (r *reducer) roundChosen(grain time.Duration, chosen func(n int) bool) bool {
 	s := *r.best
 	s.Jobs, s.Faults, s.Cancels = slices.Clone(s.Jobs), slices.Clone(s.Faults), slices.Clone(s.Cancels)
 	changed := false
-	for n, moment := range moments(&s) {
+	for n, moment := range times(&s) {
 		if before := *moment; chosen(n) {
 			*moment = before.Round(grain)
 			changed = changed || *moment != before
 		}
 	}
-	return !changed || r.try("rounded", &s)
+	return !changed || r.tryWithAlternatives("rounded", &s)
 }
 
-// moments are all moments and lengths of a script.
-func moments(s *emulator.Script) []*time.Duration {
+// times are all moments and lengths of a script.
+func times(s *emulator.Script) []*time.Duration {
 	var list []*time.Duration
 	for i := range s.Jobs {
 		list = append(list, &s.Jobs[i].At)
--- a/pkg/emulator/reduce/story.go
+++ b/pkg/emulator/reduce/story.go
@@ -11,12 +11,12 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// mostLines is how long a story may be: a screen.
-const mostLines = 60
+// maxLines is how long a story may be: a screen.
+const maxLines = 60
 
-// Story tells a script's day by time: what is planned, who leads, what crashes, and what becomes of the
+// Timeline tells a script's day by time: what is planned, who leads, what crashes, and what becomes of the
 // task or job that the rule is broken with, until then. Without a rule it is all of the day's log.
-func Story(s *emulator.Script, rule string) []string {
+func Timeline(s *emulator.Script, rule string) []string {
 	w, broken := s.Play()
 	about := ""
 	for _, line := range broken {
@@ -25,24 +25,24 @@
 			break
 		}
 	}
-	lines := append(planned(s), logged(w.Log, rule, about)...)
-	slices.SortStableFunc(lines, func(a, b moment) int { return int(a.at - b.at) })
+	lines := append(plannedEntries(s), loggedEntries(w.Log, rule, about)...)
+	slices.SortStableFunc(lines, func(a, b timelineEntry) int { return int(a.at - b.at) })
 	head := fmt.Sprintf("%d hosts (%s), %d workers (%s), %d cells, %d events",
-		len(s.Hosts), places(s.Hosts), len(s.Workers), places(s.Workers), s.Plan.Cells, Events(s))
-	return append([]string{head}, told(lines, rule)...)
+		len(s.Hosts), describeNodes(s.Hosts), len(s.Workers), describeNodes(s.Workers), s.Plan.Cells, EventCount(s))
+	return append([]string{head}, format(lines, rule)...)
 }
 
-// moment is a line of a story.
-type moment struct {
+// timelineEntry is a line of a story.
+type timelineEntry struct {
 	at   time.Duration
 	line string
 }
 
-func told(lines []moment, rule string) []string {
+func format(lines []timelineEntry, rule string) []string {
 	var list []string
 	left := 0
 	for _, m := range lines {
-		if rule != "" && len(list) >= mostLines && !strings.HasPrefix(m.line, "BROKEN "+rule) {
+		if rule != "" && len(list) >= maxLines && !strings.HasPrefix(m.line, "BROKEN "+rule) {
 			left++
 			continue
 		}
@@ -57,23 +57,23 @@
 	return list
 }
 
-func planned(s *emulator.Script) []moment {
-	var lines []moment
+func plannedEntries(s *emulator.Script) []timelineEntry {
+	var lines []timelineEntry
 	for _, j := range s.Jobs {
-		text := fmt.Sprintf("JOB %s comes to %s: %s", j.Spec.GetId(), j.Spec.GetCell(), steps(j.Spec.JobSpec))
+		text := fmt.Sprintf("JOB %s comes to %s: %s", j.Spec.GetId(), j.Spec.GetCell(), describeSteps(j.Spec.JobSpec))
 		if j.Crash != nil {
 			text += fmt.Sprintf("; task %d.%d crashes its worker after %s", j.Crash.Step, j.Crash.Index, j.Crash.After)
 		}
-		lines = append(lines, moment{j.At, text})
+		lines = append(lines, timelineEntry{j.At, text})
 	}
 	for _, c := range s.Cancels {
-		lines = append(lines, moment{c.At, "CANCEL " + c.Job})
+		lines = append(lines, timelineEntry{c.At, "CANCEL " + c.Job})
 	}
 	return lines
 }
 
-// steps says what a job is made of.
-func steps(spec *wire.JobSpec) string {
+// describeSteps says what a job is made of.
+func describeSteps(spec *wire.JobSpec) string {
 	var list []string
 	for _, step := range spec.GetSteps() {
 		text := fmt.Sprintf("%d of %d millicores", step.GetCount(), step.GetMillicores())
@@ -97,11 +97,11 @@
 	return text
 }
 
-// storyWords are those of log lines that a story holds whatever they are about.
-var storyWords = []string{"FAULT ", "BROKEN ", " leads epoch ", "cell-settled"}
+// alwaysShown are those of log lines that a story holds whatever they are about.
+var alwaysShown = []string{"FAULT ", "BROKEN ", " leads epoch ", "cell-settled"}
 
-func logged(log []string, rule, about string) []moment {
-	var lines []moment
+func loggedEntries(log []string, rule, about string) []timelineEntry {
+	var lines []timelineEntry
 	for _, line := range log {
 		first, text, _ := strings.Cut(strings.TrimLeft(line, " "), " ")
 		seconds, err := strconv.ParseFloat(first, 64)
@@ -109,14 +109,14 @@
 			continue
 		}
 		holds := func(word string) bool { return strings.Contains(line, word) }
-		if rule == "" || slices.ContainsFunc(storyWords, holds) || strings.HasSuffix(line, " crashes") || (about != "" && holds(about)) {
-			lines = append(lines, moment{time.Duration(seconds * float64(time.Second)), text})
+		if rule == "" || slices.ContainsFunc(alwaysShown, holds) || strings.HasSuffix(line, " crashes") || (about != "" && holds(about)) {
+			lines = append(lines, timelineEntry{time.Duration(seconds * float64(time.Second)), text})
 		}
 	}
 	return lines
 }
 
-func places(list []emulator.Place) string {
+func describeNodes(list []emulator.Node) string {
 	var names []string
 	for _, p := range list {
 		names = append(names, p.Name+" in "+p.Cell)
--- a/pkg/emulator/script.go
+++ b/pkg/emulator/script.go
@@ -22,8 +22,8 @@
 	// Plan says how the world behaves, and when the day is over. The counts in it, of jobs and of faults,
 	// are what the day was drawn from; played is what stands below.
 	Plan    Plan
-	Hosts   []Place
-	Workers []Place
+	Hosts   []Node
+	Workers []Node
 	Jobs    []ScriptJob
 	Cancels []Cancel
 	Faults  []Fault
@@ -33,8 +33,8 @@
 	Beyond uint64
 }
 
-// Place is a host or a worker, and the cell that it belongs to.
-type Place struct{ Name, Cell string }
+// Node is a host or a worker, and the cell that it belongs to.
+type Node struct{ Name, Cell string }
 
 // ScriptJob is a job, the moment at which a caller hands it in, and the task of it that crashes its workers.
 type ScriptJob struct {
@@ -78,7 +78,7 @@
 // Play plays the script's day, without any random number, and returns the rules that were broken. The
 // script has to be a valid one; it stays as it is.
 func (s *Script) Play() (*World, []string) {
-	w := newWorld(s.Plan, playedDraws(s.Tapes, s.Beyond))
+	w := newWorld(s.Plan, tapeDraws(s.Tapes, s.Beyond))
 	w.cells = cellNames(s.Plan.Cells)
 	for _, p := range s.Workers {
 		w.workers = append(w.workers, newWorker(w, p.Name, usualMachine(p.Cell)))
@@ -114,7 +114,7 @@
 // drawnWorld is the world of a day that is drawn from its seed.
 func drawnWorld(plan Plan, keep bool) *World {
 	r := rand.New(rand.NewPCG(plan.Seed, 7))
-	w := newWorld(plan, recordedDraws(r, keep))
+	w := newWorld(plan, generatorDraws(r, keep))
 	w.rand = r
 	return w
 }
@@ -138,7 +138,7 @@
 	}
 	if c := j.Crash; c != nil {
 		task := name(spec.GetId(), 0, c.Step, c.Index)
-		w.crashers[crasherName(task)] = c.After
+		w.crashers[crashTaskKey(task)] = c.After
 		w.logf("%s crashes its worker after %s", task, c.After)
 	}
 	w.after(j.At, func() { w.submit(spec, 0) })
@@ -159,18 +159,18 @@
 // takeFleet writes down the hosts and workers of a day as it begins.
 func (s *Script) takeFleet(w *World) {
 	for _, h := range w.hosts {
-		s.Hosts = append(s.Hosts, Place{h.name, h.hall})
+		s.Hosts = append(s.Hosts, Node{h.name, h.hall})
 	}
 	for _, k := range w.workers {
-		s.Workers = append(s.Workers, Place{k.name, k.Hall})
+		s.Workers = append(s.Workers, Node{k.name, k.Hall})
 	}
 }
 
-// BrokenAt is when each broken rule was broken first.
-func (w *World) BrokenAt() map[string]time.Duration { return w.checker.brokenAt }
+// FirstBreaks is when each broken rule was broken first.
+func (w *World) FirstBreaks() map[string]time.Duration { return w.checker.brokenAt }
 
-// ReadTapes are the parts of a script's tapes that its day has read.
-func (w *World) ReadTapes() map[string][]uint64 {
+// TapesRead are the parts of a script's tapes that its day has read.
+func (w *World) TapesRead() map[string][]uint64 {
 	read := map[string][]uint64{}
 	for stream, tape := range w.draws.tapes {
 		if n := min(w.draws.read[stream], len(tape)); n > 0 {
--- a/pkg/emulator/script_test.go
+++ b/pkg/emulator/script_test.go
@@ -14,17 +14,17 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// allPlans are the plans whose days can be recorded, by name.
-var allPlans = map[string]func(seed uint64) emulator.Plan{
+// recordablePlans are the plans whose days can be recorded, by name.
+var recordablePlans = map[string]func(seed uint64) emulator.Plan{
 	"default": emulator.DefaultPlan, "two cells": emulator.TwoCellPlan, "same ids": emulator.SameIDsPlan,
 	"troubled cells": emulator.TroubledCellsPlan, "odd rows": emulator.OddRowsPlan, "crash tasks": emulator.CrashTasksPlan,
 	"crash waves": emulator.CrashWavesPlan, "rooms": emulator.RoomsPlan, "suspends": emulator.SuspendsPlan,
 	"deposed": emulator.DeposedPlan, "hall cut": emulator.HallCutPlan, "all troubles": emulator.AllTroublesPlan,
 }
 
-func TestAScriptPlaysTheDayThatWasRecorded(t *testing.T) {
+func TestScriptReplaysRecordedDay(t *testing.T) {
 	t.Parallel()
-	for name, plan := range allPlans {
+	for name, plan := range recordablePlans {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			drawn, _ := emulator.Play(plan(5))
@@ -47,7 +47,7 @@
 func story(w *emulator.World) string { return strings.Join(w.Log, "\n") }
 
 // A day that leaves its tapes goes on, each time in the same way.
-func TestAScriptWithoutTapesGivesTheSameDayEachTime(t *testing.T) {
+func TestScriptWithoutTapesIsDeterministic(t *testing.T) {
 	t.Parallel()
 	script, _, _, err := emulator.Record(emulator.DefaultPlan(1))
 	must.NoError(t, err)
@@ -58,19 +58,19 @@
 }
 
 // What a fault strikes is not drawn again when another fault is taken out.
-func TestAFaultTakenOutLeavesTheOthers(t *testing.T) {
+func TestRemovingFaultKeepsOtherFaults(t *testing.T) {
 	t.Parallel()
 	script, recorded, _, err := emulator.Record(emulator.TwoCellPlan(3))
 	must.NoError(t, err)
 	out := script.Faults[0]
 	script.Faults = script.Faults[1:]
 	played, _ := script.Play()
-	want := slicesOf(recorded.Log, "FAULT")
+	want := linesWith(recorded.Log, "FAULT")
 	must.StrContains(t, want[0], out.String())
-	must.Eq(t, want[1:], slicesOf(played.Log, "FAULT"))
+	must.Eq(t, want[1:], linesWith(played.Log, "FAULT"))
 }
 
-func slicesOf(log []string, word string) []string {
+func linesWith(log []string, word string) []string {
 	var list []string
 	for _, line := range log {
 		if strings.Contains(line, word) {
@@ -80,14 +80,14 @@
 	return list
 }
 
-func TestADayOfAGivenLoadIsNotRecorded(t *testing.T) {
+func TestRecordRefusesDayOfGivenLoad(t *testing.T) {
 	t.Parallel()
 	_, _, _, err := emulator.Record(weakLinkPlan(1))
 	must.Eq(t, fault.BadInput, fault.CodeOf(err))
 	must.ErrorContains(t, err, "Plan.Load")
 }
 
-func TestWhatIsNoScriptIsRefused(t *testing.T) {
+func TestDecodeScriptRefusesInvalidScripts(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, old, now, want string }{
 		{"version", `"Version":1`, `"Version":2`, `Version: "2"`},
@@ -105,14 +105,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			text := smallScript(t)
+			text := smallScriptText(t)
 			if c.now == "" {
 				text += "{}"
 			} else {
 				must.StrContains(t, text, c.old)
 				text = strings.Replace(text, c.old, c.now, 1)
 			}
-			_, err := emulator.DecodeScript("a-case/script.json.gz", packed(t, text))
+			_, err := emulator.DecodeScript("a-case/script.json.gz", compressed(t, text))
 			must.Eq(t, fault.BadInput, fault.CodeOf(err))
 			must.ErrorContains(t, err, "a-case/script.json.gz")
 			must.ErrorContains(t, err, c.want)
@@ -122,8 +122,8 @@
 	must.ErrorContains(t, err, "a-case/script.json.gz")
 }
 
-// smallScript is the text of a script with a fault of two kinds, and a cancel.
-func smallScript(t *testing.T) string {
+// smallScriptText is the text of a script with a fault of two kinds, and a cancel.
+func smallScriptText(t *testing.T) string {
 	t.Helper()
 	script, _, _, err := emulator.Record(emulator.DefaultPlan(1))
 	must.NoError(t, err)
@@ -141,7 +141,7 @@
 	return string(text)
 }
 
-func packed(t *testing.T, text string) []byte {
+func compressed(t *testing.T, text string) []byte {
 	t.Helper()
 	var file bytes.Buffer
 	z := gzip.NewWriter(&file)
@@ -151,7 +151,7 @@
 	return file.Bytes()
 }
 
-func TestADayOfLeavingWorkersIsNotRecorded(t *testing.T) {
+func TestRecordRefusesDayWithLeavingWorkers(t *testing.T) {
 	t.Parallel()
 	_, _, _, err := emulator.Record(emulator.LeavingPlan(1))
 	must.ErrorContains(t, err, "Plan.Leaving")
--- a/pkg/emulator/scriptcheck.go
+++ b/pkg/emulator/scriptcheck.go
@@ -11,15 +11,15 @@
 // What a script may hold. Each check names the field and the problem; an empty problem is none.
 
 const (
-	// mostCells bounds the cells of a script, longestDay its length.
-	mostCells  = 64
-	longestDay = 24 * time.Hour
+	// maxCells bounds the cells of a script, longestDay its length.
+	maxCells     = 64
+	maxDayLength = 24 * time.Hour
 )
 
 func quote(v any) string { return fmt.Sprintf("%q", fmt.Sprint(v)) }
 
 func (s *Script) check() (field, problem string) {
-	checks := []func() (string, string){s.checkPlan, s.checkPlaces, s.checkJobs, s.checkCancels, s.checkFaults}
+	checks := []func() (string, string){s.checkPlan, s.checkNodes, s.checkJobs, s.checkCancels, s.checkFaults}
 	for _, check := range checks {
 		if field, problem := check(); problem != "" {
 			return field, problem
@@ -30,9 +30,9 @@
 
 func (s *Script) checkPlan() (field, problem string) {
 	switch p := s.Plan; {
-	case p.Cells < 1 || p.Cells > mostCells:
-		return "Plan.Cells", fmt.Sprintf("%d is not from 1 to %d", p.Cells, mostCells)
-	case p.End <= 0 || p.End > longestDay:
+	case p.Cells < 1 || p.Cells > maxCells:
+		return "Plan.Cells", fmt.Sprintf("%d is not from 1 to %d", p.Cells, maxCells)
+	case p.End <= 0 || p.End > maxDayLength:
 		return "Plan.End", fmt.Sprintf("%s is not a day's length", p.End)
 	case p.Lasting > 0 || p.Leaving.Series > 0:
 		return "Plan.Leaving", "a day of workers that leave has no script"
@@ -42,11 +42,11 @@
 	return "", ""
 }
 
-func (s *Script) checkPlaces() (field, problem string) {
+func (s *Script) checkNodes() (field, problem string) {
 	known := map[string]bool{"table": true}
 	for _, list := range []struct {
 		field  string
-		places []Place
+		places []Node
 	}{{"Hosts", s.Hosts}, {"Workers", s.Workers}} {
 		if len(list.places) == 0 {
 			return list.field, "there is none"
@@ -67,11 +67,11 @@
 func (s *Script) hasCell(name string) bool { return slices.Contains(cellNames(s.Plan.Cells), name) }
 
 func (s *Script) hasHost(name string) bool {
-	return slices.ContainsFunc(s.Hosts, func(p Place) bool { return p.Name == name })
+	return slices.ContainsFunc(s.Hosts, func(p Node) bool { return p.Name == name })
 }
 
 func (s *Script) hasWorker(name string) bool {
-	return slices.ContainsFunc(s.Workers, func(p Place) bool { return p.Name == name })
+	return slices.ContainsFunc(s.Workers, func(p Node) bool { return p.Name == name })
 }
 
 func (s *Script) hasJob(id string) bool {
@@ -154,7 +154,7 @@
 }
 
 func (s *Script) checkFault(f Fault) (field, problem string) {
-	kind, ok := faultKinds[f.Kind]
+	kind, ok := faultSpecs[f.Kind]
 	switch {
 	case !ok:
 		return "Kind", quote(f.Kind) + " is not a kind of fault"
@@ -162,11 +162,11 @@
 		return "At", f.At.String() + " is before the day"
 	case f.For < 0:
 		return "For", f.For.String() + " is no span"
-	case f.How < 0 || f.How >= kind.ways:
+	case f.How < 0 || f.How >= kind.variants:
 		return "How", fmt.Sprintf("%d is not a way of %s", f.How, f.Kind)
 	case !s.hasTarget(kind.target, f.Target):
 		return "Target", quote(f.Target) + " is nothing that " + string(f.Kind) + " strikes"
-	case f.Kind == CutLink && !s.hasEnd(f.Peer):
+	case f.Kind == CutLink && !s.isLinkEnd(f.Peer):
 		return "Peer", quote(f.Peer) + " is not an end of a link"
 	case f.Kind != CutLink && f.Peer != "":
 		return "Peer", string(f.Kind) + " has none"
@@ -174,20 +174,20 @@
 	return "", ""
 }
 
-func (s *Script) hasTarget(kind targetKind, name string) bool {
+func (s *Script) hasTarget(kind targetType, name string) bool {
 	switch kind {
-	case strikesHost:
+	case targetHost:
 		return s.hasHost(name)
-	case strikesWorker:
+	case targetWorker:
 		return s.hasWorker(name)
-	case strikesCell:
+	case targetCell:
 		return s.hasCell(name)
 	default:
 		return name == ""
 	}
 }
 
-// hasEnd says whether a link may end there.
-func (s *Script) hasEnd(name string) bool {
+// isLinkEnd says whether a link may end there.
+func (s *Script) isLinkEnd(name string) bool {
 	return name == "table" || s.hasHost(name) || s.hasWorker(name)
 }
--- a/pkg/emulator/scriptfile.go
+++ b/pkg/emulator/scriptfile.go
@@ -14,8 +14,8 @@
 
 // Scripts as files: JSON of the types in script.go and strikes.go, which are the schema, compressed.
 
-// scriptMost is how long a script may be, uncompressed.
-const scriptMost = 32 << 20
+// maxScriptBytes is how long a script may be, uncompressed.
+const maxScriptBytes = 32 << 20
 
 // MarshalJSON writes a specification in its own JSON form.
 func (j JobSpec) MarshalJSON() ([]byte, error) { return protojson.Marshal(j.JobSpec) }
@@ -58,7 +58,7 @@
 	}
 	var head struct{ Version int }
 	if err := json.Unmarshal(text, &head); err != nil {
-		return nil, unreadable(name, err)
+		return nil, invalidScript(name, err)
 	}
 	if head.Version != ScriptVersion {
 		return nil, fault.New(fault.BadInput, name, "Version: "+quote(head.Version)+" is not a version that is played", "record the day again")
@@ -67,7 +67,7 @@
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(s); err != nil {
-		return nil, unreadable(name, err)
+		return nil, invalidScript(name, err)
 	}
 	if err := s.Check(name); err != nil {
 		return nil, err
@@ -78,19 +78,19 @@
 func uncompress(name string, file []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(file))
 	if err != nil {
-		return nil, unreadable(name, err)
+		return nil, invalidScript(name, err)
 	}
-	text, err := io.ReadAll(io.LimitReader(z, scriptMost+1))
+	text, err := io.ReadAll(io.LimitReader(z, maxScriptBytes+1))
 	if err != nil {
-		return nil, unreadable(name, err)
+		return nil, invalidScript(name, err)
 	}
-	if len(text) > scriptMost {
+	if len(text) > maxScriptBytes {
 		return nil, fault.New(fault.TooLarge, name, "is longer than a script may be", "")
 	}
 	return text, nil
 }
 
-func unreadable(name string, cause error) error {
+func invalidScript(name string, cause error) error {
 	return fault.New(fault.BadInput, name, "is not a script", "").WithCause(cause)
 }
 
--- a/pkg/emulator/strikes.go
+++ b/pkg/emulator/strikes.go
@@ -64,38 +64,38 @@
 	return text + " for " + f.For.String()
 }
 
-// targetKind is what a kind of fault strikes.
-type targetKind int
+// targetType is what a kind of fault strikes.
+type targetType int
 
 const (
-	strikesTable targetKind = iota
-	strikesHost
-	strikesWorker
-	strikesCell
+	targetTable targetType = iota
+	targetHost
+	targetWorker
+	targetCell
 )
 
-// faultKind says what a kind strikes, how many ways it has, and what it does.
-type faultKind struct {
-	target targetKind
-	ways   int
-	strike func(w *World, f Fault, until time.Time)
+// faultSpec says what a kind strikes, how many ways it has, and what it does.
+type faultSpec struct {
+	target   targetType
+	variants int
+	apply    func(w *World, f Fault, until time.Time)
 }
 
-var faultKinds = map[FaultKind]faultKind{
-	KillHost:     {strikesHost, 1, func(w *World, f Fault, _ time.Time) { w.hostAt(f.Target).kill(f.For) }},
-	FreezeHost:   {strikesHost, 1, func(w *World, f Fault, _ time.Time) { w.hostAt(f.Target).freeze(f.For) }},
-	SuspendHost:  {strikesHost, 1, func(w *World, f Fault, _ time.Time) { w.hostAt(f.Target).suspend(f.For) }},
-	TableDown:    {strikesTable, 1, func(w *World, _ Fault, until time.Time) { w.table.downUntil = until }},
-	TableLoses:   {strikesTable, 1, func(w *World, _ Fault, until time.Time) { w.table.losesUntil = until }},
-	TableSlow:    {strikesTable, 1, func(w *World, _ Fault, until time.Time) { w.table.slowUntil = until }},
-	CutLink:      {strikesHost, 1, func(w *World, f Fault, until time.Time) { w.cuts[[2]string{f.Target, f.Peer}] = until }},
-	CutCell:      {strikesCell, 1, func(w *World, f Fault, until time.Time) { w.cutCell(f.Target, until) }},
-	LateWorker:   {strikesWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).lateUntil = until }},
-	CrashWorker:  {strikesWorker, 1, func(w *World, f Fault, _ time.Time) { w.workerAt(f.Target).crash(f.For) }},
-	HangRuns:     {strikesWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).sicken(sickHangs, until) }},
-	FailRuns:     {strikesWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).sicken(sickFails, until) }},
-	ShrinkWorker: {strikesWorker, quarters + 1, func(w *World, f Fault, _ time.Time) { w.workerAt(f.Target).shrink(int64(f.How), f.For) }},
-	SpoilRow:     {strikesWorker, len(spoilings), func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).spoilRow(f.How, until) }},
+var faultSpecs = map[FaultKind]faultSpec{
+	KillHost:     {targetHost, 1, func(w *World, f Fault, _ time.Time) { w.hostAt(f.Target).kill(f.For) }},
+	FreezeHost:   {targetHost, 1, func(w *World, f Fault, _ time.Time) { w.hostAt(f.Target).freeze(f.For) }},
+	SuspendHost:  {targetHost, 1, func(w *World, f Fault, _ time.Time) { w.hostAt(f.Target).suspend(f.For) }},
+	TableDown:    {targetTable, 1, func(w *World, _ Fault, until time.Time) { w.table.downUntil = until }},
+	TableLoses:   {targetTable, 1, func(w *World, _ Fault, until time.Time) { w.table.losesUntil = until }},
+	TableSlow:    {targetTable, 1, func(w *World, _ Fault, until time.Time) { w.table.slowUntil = until }},
+	CutLink:      {targetHost, 1, func(w *World, f Fault, until time.Time) { w.cuts[[2]string{f.Target, f.Peer}] = until }},
+	CutCell:      {targetCell, 1, func(w *World, f Fault, until time.Time) { w.cutOffCell(f.Target, until) }},
+	LateWorker:   {targetWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).lateUntil = until }},
+	CrashWorker:  {targetWorker, 1, func(w *World, f Fault, _ time.Time) { w.workerAt(f.Target).crash(f.For) }},
+	HangRuns:     {targetWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).impairRuns(sickHangs, until) }},
+	FailRuns:     {targetWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).impairRuns(sickFails, until) }},
+	ShrinkWorker: {targetWorker, quarters + 1, func(w *World, f Fault, _ time.Time) { w.workerAt(f.Target).shrinkCapacity(int64(f.How), f.For) }},
+	SpoilRow:     {targetWorker, len(spoilings), func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).startSpoilingRow(f.How, until) }},
 }
 
 // strikeWith brings one fault about, now.
@@ -105,7 +105,7 @@
 		w.script.Faults = append(w.script.Faults, f)
 	}
 	w.logf("FAULT %s", f)
-	faultKinds[f.Kind].strike(w, f, w.now.Add(f.For))
+	faultSpecs[f.Kind].apply(w, f, w.now.Add(f.For))
 }
 
 func (w *World) hostAt(name string) *host {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-func (w *World) cutCell(name string, until time.Time) {
+func (w *World) cutOffCell(name string, until time.Time) {
 	w.hallCuts[name] = until
 	for _, h := range w.hosts {
 		if h.hall == name {
@@ -132,13 +132,13 @@
 	sickFails
 )
 
-func (k *worker) sicken(how int, until time.Time) { k.sickUntil, k.sickHow = until, how }
+func (k *worker) impairRuns(how int, until time.Time) { k.sickUntil, k.sickHow = until, how }
 
-func (k *worker) shrink(parts int64, span time.Duration) {
+func (k *worker) shrinkCapacity(parts int64, span time.Duration) {
 	k.setShrunk(parts)
 	k.world.after(span, func() { k.setShrunk(0) })
 }
 
-func (k *worker) spoilRow(how int, until time.Time) {
+func (k *worker) startSpoilingRow(how int, until time.Time) {
 	k.oddSince, k.oddUntil, k.spoil = k.world.now, until, spoilings[how]
 }
