--- a/pkg/emulator/cases_test.go
+++ b/pkg/emulator/cases_test.go
@@ -10,13 +10,14 @@
 	"github.com/wrenferry/wrenferry/pkg/emulator"
 )
 
-// mendedCasesFolder holds a folder for each day that broke a rule once: its scripts, and a page on what broke.
+// mendedCasesFolder holds a folder for each day that broke a rule before a fault was mended: the day's scripts, and a
+// page on the fault.
 const mendedCasesFolder = "../../test/cases/emulator"
 
-// openCasesFolder holds those whose fault is not mended; KNOWN-RED.txt tells of them.
+// openCasesFolder holds the folders of days whose fault is not mended. KNOWN-RED.txt lists them.
 const openCasesFolder = "../../test/cases/emulator-red"
 
-// maxScriptBytes is how large a script of a case may be.
+// maxScriptBytes bounds the size of a script file of a case.
 const maxScriptBytes = 200_000
 
 func TestRecordedDaysOfMendedFaultsBreakNoRule(t *testing.T) {
@@ -27,7 +28,7 @@
 func TestNoDayOfAnOpenFaultBreaks(t *testing.T) {
 	t.Parallel()
 	if folders, err := os.ReadDir(openCasesFolder); os.IsNotExist(err) || len(folders) == 0 {
-		return // no fault with a script is open
+		return // no open fault has a script
 	}
 	playCases(t, openCasesFolder)
 }
@@ -45,7 +46,7 @@
 	}
 }
 
-// playCase plays the scripts of a case. Whatever else stands in its folder, or is missing there, is an error.
+// playCase plays the scripts of a case. An unknown file in its folder is an error, and so is a missing one.
 func playCase(t *testing.T, folder string) {
 	t.Helper()
 	files, err := os.ReadDir(folder)
@@ -58,7 +59,7 @@
 		case "script.json.gz", "reduced.json.gz":
 			playScriptFile(t, filepath.Join(folder, file.Name()))
 		default:
-			t.Errorf("%s: nobody knows what %s is", folder, file.Name())
+			t.Errorf("%s: unknown file %s", folder, file.Name())
 		}
 	}
 	must.True(t, found["README.md"], must.Sprintf("%s has no README.md", folder))
--- a/pkg/emulator/crashers.go
+++ b/pkg/emulator/crashers.go
@@ -8,18 +8,19 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Tasks that crash each worker that starts them.
+// Crash tasks: tasks that crash each worker that starts them.
 
 const (
-	// minCrashDelay and crashLate bound how long after its start such a task crashes its worker,
-	// backSoon and backLate how long the worker is away then.
+	// minCrashDelay and maxCrashDelay bound the time from the start of a crash task to the crash, minDowntime and
+	// maxDowntime the time from the crash to the worker's restart.
 	minCrashDelay, maxCrashDelay = 5 * time.Millisecond, 300 * time.Millisecond
 	minDowntime, maxDowntime     = time.Second, 5 * time.Second
-	// crashTaskSeedStream keeps what is drawn for these tasks apart from all else of a day.
+	// crashTaskSeedStream is the stream of the random generator for crash tasks. The other draws of a day don't depend
+	// on it.
 	crashTaskSeedStream = 11
 )
 
-// drawCrasher picks one task of a job as such a task, at each of the job's times.
+// drawCrasher picks one task of a job as a crash task. It is one in each occurrence of a repeated job.
 func (w *World) drawCrasher(spec *wire.JobSpec) *Crash {
 	r := rand.New(rand.NewPCG(w.plan.Seed^uint64(len(w.crashers)), crashTaskSeedStream))
 	step := r.IntN(len(spec.GetSteps()))
@@ -28,13 +29,13 @@
 	return &Crash{Step: step, Index: index, After: after}
 }
 
-// crashTaskKey names a task at any of its job's times.
+// crashTaskKey returns the key of a task in World.crashers: the task's name without the occurrence of its job.
 func crashTaskKey(task string) string {
 	job, _, step := parts(task)
 	return fmt.Sprintf("%s.%d%s", job, step, task[len(taskOf(task)):])
 }
 
-// crashAfter crashes the worker if a run is of such a task.
+// crashAfter schedules a crash of the worker if the run is of a crash task.
 func (k *worker) crashAfter(r *workerRun) {
 	w := k.world
 	after, crashes := w.crashers[crashTaskKey(r.task)]
@@ -49,8 +50,8 @@
 	})
 }
 
-// extraDowntime is for how much longer than backSoon a crash by a run takes a worker away. What a seed gives
-// is kept apart from all else of a day.
+// extraDowntime returns the time that a worker stays down beyond minDowntime after a crash by a run. On a generated day
+// it has a generator of its own, so that the other draws of the day don't depend on it.
 func (w *World) extraDowntime(r *workerRun) time.Duration {
 	span := w.draws.take("away "+r.task, func(*rand.Rand) uint64 {
 		return uint64(rand.New(rand.NewPCG(w.plan.Seed, uint64(r.number))).Int64N(int64(maxDowntime - minDowntime)))
@@ -58,15 +59,15 @@
 	return time.Duration(span % uint64(maxDowntime-minDowntime))
 }
 
-// The rules about such tasks: none is started three times more after three workers have crashed
-// under it, and none but those is given up for crashes.
+// The rules for crash tasks. A third start of a task after three workers have crashed under it breaks BUDGET. A job may
+// fail for crashes only if at least two workers have crashed under one of its crash tasks; else it breaks MIXED.
 const (
 	crashesUntilPoisonous = 3
 	excessStarts          = 3
 	minCrashesOfFailedJob = 2
 )
 
-// crashed counts the crashes under each such task that runs there.
+// crashed counts a crash of worker k for each crash task that runs there.
 func (c *checker) crashed(k *worker) {
 	for task := range k.runs {
 		if _, guilty := c.world.crashers[crashTaskKey(task)]; guilty {
@@ -75,7 +76,7 @@
 	}
 }
 
-// checkCrasher looks at a start of such a task.
+// checkCrasher checks the rule BUDGET at a start of a task that has crashed workers.
 func (c *checker) checkCrasher(task string) {
 	if c.crashes[task] < crashesUntilPoisonous {
 		return
@@ -86,7 +87,7 @@
 	}
 }
 
-// mayFail says whether a job has cause to be shown as failed.
+// mayFail returns whether a job has had enough crashes or failed runs to be recorded as failed.
 func (c *checker) mayFail(id string) bool {
 	for task, n := range c.crashes {
 		if jobOf(task) == id && n >= minCrashesOfFailedJob {
--- a/pkg/emulator/days/days.go
+++ b/pkg/emulator/days/days.go
@@ -1,5 +1,5 @@
-// Package days is the developers' command line for days of the emulator: searches, and scripts. It is a program of its
-// own, as operators have no use for days on which fences are taken out.
+// Package days is the developers' command line of the emulator: it searches days that break rules, and records, plays
+// and reduces scripts. It is a program of its own, as operators have no use for days on which fences are removed.
 package days
 
 import (
@@ -20,23 +20,23 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// The exit codes.
+// The exit codes of Main: exitRuleBroken if a played day breaks a rule, exitBadInput for any error.
 const (
 	exitOK         = 0
 	exitRuleBroken = 1
 	exitBadInput   = 2
 )
 
-// defaultReductionTime bounds the time of a reduction unless told.
+// defaultReductionTime bounds the time of a reduction unless --for is given.
 const defaultReductionTime = 5 * time.Minute
 
 const fileMode = 0o644
 
-// Main runs the command line and returns its exit code: 1 if a day that was played breaks a rule.
+// Main runs the command line and returns its exit code.
 func Main(args []string, out, errs io.Writer) int {
 	code := exitOK
 	root := &cobra.Command{
-		Use: "emulate", Short: "Record, play and cut down days of the emulator", SilenceErrors: true, SilenceUsage: true,
+		Use: "emulate", Short: "Record, play and reduce days of the emulator", SilenceErrors: true, SilenceUsage: true,
 	}
 	root.CompletionOptions.DisableDefaultCmd = true
 	root.SetArgs(args)
@@ -79,7 +79,7 @@
 	all := false
 	verb := &cobra.Command{
 		Use:   "play FILE",
-		Short: "Play a script, and print its story up to the first broken rule",
+		Short: "Play a script, and print its timeline up to the first broken rule",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			script, err := readScript(args[0])
@@ -106,7 +106,7 @@
 	rule, good, longest := "", "", defaultReductionTime
 	verb := &cobra.Command{
 		Use:   "reduce FILE OUT",
-		Short: "Cut a script that breaks a rule down to little that still breaks it, and print its story",
+		Short: "Reduce a script that breaks a rule to a small one that still breaks it, and print its timeline",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			script, err := readScript(args[0])
@@ -126,19 +126,19 @@
 				return err
 			}
 			if !result.Done {
-				_, _ = fmt.Fprintf(c.ErrOrStderr(), "the time of %s is over; this is the least so far\n", longest)
+				_, _ = fmt.Fprintf(c.ErrOrStderr(), "stopped after %s; this is the smallest script so far\n", longest)
 			}
 			printLines(c.OutOrStdout(), reduce.Timeline(result.Script, result.Rule))
 			return writeScript(args[1], result.Script)
 		},
 	}
-	verb.Flags().StringVar(&good, "good", "", "an emulate built from code on which what is left breaks no rule")
-	verb.Flags().StringVar(&rule, "rule", "", "the rule to break, where the script breaks several")
-	verb.Flags().DurationVar(&longest, "for", longest, "how long it may take")
+	verb.Flags().StringVar(&good, "good", "", "path of an emulate built from code on which the reduced script has to break no rule")
+	verb.Flags().StringVar(&rule, "rule", "", "the rule to break, if the script breaks several")
+	verb.Flags().DurationVar(&longest, "for", longest, "the longest time of the reduction")
 	return verb
 }
 
-// breaksNoRuleIn says whether a script breaks no rule when another program plays it.
+// breaksNoRuleIn returns whether another emulate program plays a script without a broken rule.
 func breaksNoRuleIn(ctx context.Context, program string, s *emulator.Script) bool {
 	file, err := os.CreateTemp("", "emulate-*.json.gz")
 	if err != nil {
@@ -151,6 +151,7 @@
 
 func printLines(out io.Writer, lines []string) { _, _ = fmt.Fprintln(out, strings.Join(lines, "\n")) }
 
+// printBroken prints the number of broken rules and the first of them, and sets the exit code if there is one.
 func printBroken(out io.Writer, broken []string, code *int) {
 	if len(broken) == 0 {
 		_, _ = fmt.Fprintln(out, "no rule is broken")
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// plans are the plans by the names that tests use.
+// plans are the emulator's functions for plans, by name.
 var plans = map[string]func(seed uint64) emulator.Plan{
 	"DefaultPlan": emulator.DefaultPlan, "TwoCellPlan": emulator.TwoCellPlan, "SameIDsPlan": emulator.SameIDsPlan,
 	"TroubledCellsPlan": emulator.TroubledCellsPlan, "OddRowsPlan": emulator.OddRowsPlan, "CrashTasksPlan": emulator.CrashTasksPlan,
--- a/pkg/emulator/days/days_test.go
+++ b/pkg/emulator/days/days_test.go
@@ -11,7 +11,7 @@
 	"github.com/wrenferry/wrenferry/pkg/emulator/days"
 )
 
-// runEmulate gives the exit code and all that was printed.
+// runEmulate returns the exit code and the output of both streams.
 func runEmulate(args ...string) (code int, text string) {
 	var out bytes.Buffer
 	code = days.Main(args, &out, &out)
--- a/pkg/emulator/days/plan.go
+++ b/pkg/emulator/days/plan.go
@@ -9,7 +9,7 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// planOf is a plan by its name and seed, with some fields set.
+// planOf returns the plan of a name and a seed, with the fields of the JSON text set replaced.
 func planOf(name, seed, set string) (emulator.Plan, error) {
 	planFor, ok := plans[name]
 	if !ok {
@@ -26,7 +26,7 @@
 	d := json.NewDecoder(strings.NewReader(set))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&plan); err != nil {
-		return plan, fault.New(fault.BadInput, "--set", "is not for a plan", "").WithCause(err)
+		return plan, fault.New(fault.BadInput, "--set", "does not set fields of a plan", "").WithCause(err)
 	}
 	return plan, nil
 }
--- a/pkg/emulator/days/search.go
+++ b/pkg/emulator/days/search.go
@@ -49,10 +49,12 @@
 	log             bool
 
 	lock sync.Mutex
-	// played and broken are numbers of days; matches are lines that match count, on matching days.
+	// played is the number of days played, broken that of days that break a rule. matches is the number of log lines
+	// that match pattern, matchingDays the number of days with such lines.
 	played, broken, matches, matchingDays int
 }
 
+// newSearch returns a search for the arguments PLAN FIRST DAYS, or a BadInput error.
 func newSearch(args []string, set, count string) (*search, error) {
 	s := &search{name: args[0], set: set}
 	for i, into := range []*uint64{&s.first, &s.dayCount} {
@@ -63,16 +65,17 @@
 		*into = n
 	}
 	if count != "" {
-		pattern, err := regexp.Compile(count)
+		expr, err := regexp.Compile(count)
 		if err != nil {
 			return nil, fault.New(fault.BadInput, "--count", "is not a pattern", "").WithCause(err)
 		}
-		s.pattern = pattern
+		s.pattern = expr
 	}
 	_, err := planOf(s.name, args[1], set)
 	return s, err
 }
 
+// play plays the days of all seeds in parallel, and prints the result.
 func (s *search) play(out, progress io.Writer) {
 	seeds := make(chan uint64)
 	var wait sync.WaitGroup
@@ -100,7 +103,7 @@
 func (s *search) playDay(out io.Writer, seed uint64) {
 	plan, err := planOf(s.name, strconv.FormatUint(seed, 10), s.set)
 	if err != nil {
-		return // newSearch has checked name and fields
+		return // can't happen: newSearch has checked the name and the fields
 	}
 	w, broken := emulator.Play(plan)
 	matches := 0
--- a/pkg/emulator/draws.go
+++ b/pkg/emulator/draws.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// draws gives all that is drawn by chance while a day goes on. Each draw names its stream, by purpose and
-// entity, so that what one entity draws does not depend on how much others draw.
+// draws is the source of the random draws that are made while a day is played. Each draw names its stream by a purpose
+// and an entity. In a script the draws of one entity therefore don't depend on the number of draws of others.
 type draws struct {
-	// rand is the generator of a drawn day, nil when a script is played.
+	// rand is the generator of a day that is generated from its seed; nil when a script is played.
 	rand *rand.Rand
-	// tapes hold what was drawn by stream, read counts what of them was read. Without tapes nothing is kept.
+	// tapes are the recorded draws by stream; nil if a generated day is not recorded. read is the number of draws that
+	// have been read from each tape.
 	tapes map[string][]uint64
 	read  map[string]int
-	// beyond chooses among what follows where a tape has run out.
+	// beyond selects one of the sequences that may follow the end of a tape.
 	beyond uint64
 }
 
-// generatorDraws draws from a generator, and keeps what it drew if asked to.
+// generatorDraws returns draws of a generator. With keep, they are recorded.
 func generatorDraws(r *rand.Rand, keep bool) *draws {
 	d := &draws{rand: r}
 	if keep {
@@ -28,13 +29,13 @@
 	return d
 }
 
-// tapeDraws reads tapes.
+// tapeDraws returns draws that are read from tapes.
 func tapeDraws(tapes map[string][]uint64, beyond uint64) *draws {
 	return &draws{tapes: tapes, read: map[string]int{}, beyond: beyond}
 }
 
-// take is the next draw of a stream: from its tape, or from a generator. Where a tape has run out it
-// follows from the stream's name, the position and what the script chose.
+// take returns the next draw of a stream, from the generator or from the tape. After the end of a tape the draw is
+// computed from the stream's name, the position and the script's Beyond.
 func (d *draws) take(stream string, draw func(r *rand.Rand) uint64) uint64 {
 	if d.rand != nil {
 		v := draw(d.rand)
@@ -51,7 +52,7 @@
 	return drawBeyondTape(stream, n, d.beyond)
 }
 
-// drawBeyondTape mixes a stream's name, a position and a choice.
+// drawBeyondTape returns a pseudo-random number that is a hash of a stream's name, a position and a choice.
 func drawBeyondTape(stream string, n int, choice uint64) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(stream))
@@ -61,29 +62,29 @@
 	return v ^ v>>31
 }
 
-// below is a number from 0 to n-1.
+// below returns a number from 0 to n-1.
 func (d *draws) below(stream string, n int64) int64 {
 	return int64(d.take(stream, func(r *rand.Rand) uint64 { return uint64(r.Int64N(n)) }) % uint64(n))
 }
 
-// oneIn says yes once in n times.
+// oneIn returns true with a probability of 1/n.
 func (d *draws) oneIn(stream string, n int64) bool { return d.below(stream, n) == 0 }
 
-// between is a span from a to b.
+// between returns a duration from a to b.
 func (d *draws) between(stream string, a, b time.Duration) time.Duration {
 	return a + time.Duration(d.below(stream, int64(b-a)+1))
 }
 
-// fractionBits is how much of a fraction is kept: all that a generator draws.
+// fractionBits is the number of bits that are recorded of a fraction: all that a generator draws.
 const fractionBits = 53
 
-// fraction is a number from 0 to below 1.
+// fraction returns a number from 0 up to, but not including, 1.
 func (d *draws) fraction(stream string) float64 {
 	v := d.take(stream, func(r *rand.Rand) uint64 { return uint64(r.Float64() * (1 << fractionBits)) })
 	return float64(v%(1<<fractionBits)) / (1 << fractionBits)
 }
 
-// normal is a number of the normal distribution; beyond a tape it is 0.
+// normal returns a number of the standard normal distribution, or 0 after the end of a tape.
 func (d *draws) normal(stream string) float64 {
 	if d.rand == nil && d.read[stream] >= len(d.tapes[stream]) {
 		return 0
@@ -91,7 +92,7 @@
 	return math.Float64frombits(d.take(stream, func(r *rand.Rand) uint64 { return math.Float64bits(r.NormFloat64()) }))
 }
 
-// hop is the way of one message.
+// hop returns the network delay of one message.
 func (d *draws) hop(stream string) time.Duration {
 	return d.between(stream, 200*time.Microsecond, 3*time.Millisecond)
 }
--- a/pkg/emulator/faults.go
+++ b/pkg/emulator/faults.go
@@ -2,37 +2,44 @@
 
 import "time"
 
-// What strikes on a day, and when.
+// Random faults: the scheduling of each day's faults, and the functions that draw what each of them affects.
 
+const (
+	// earliestFault is the earliest time of a fault of a plan, earliestHallCut that of a cut of a hall.
+	earliestFault   = 2 * time.Second
+	earliestHallCut = 4 * time.Second
+)
+
+// planFaults schedules all faults of the plan.
 func (w *World) planFaults() {
 	for range w.plan.Faults {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.injectRandomFault)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.injectRandomFault)
 	}
 	if w.plan.OddRows {
 		w.planOddRows()
 	}
 	for range w.plan.Deposed {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.deposeLeader)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.deposeLeader)
 	}
 	for range w.plan.HallCuts {
-		w.after(w.between(4*time.Second, w.plan.Trouble), w.cutOffFirstHall)
+		w.after(w.between(earliestHallCut, w.plan.Trouble), w.cutOffFirstHall)
 	}
 	for range w.plan.Rooms {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.shrinkRoom)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.shrinkRoom)
 	}
 	for range w.plan.Suspends {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.suspendHost)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.suspendHost)
 	}
 	for range w.plan.Flaps {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.crashOneWorker)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.crashOneWorker)
 	}
 	for range w.plan.Crashes {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.crashHalfOfWorkers)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.crashHalfOfWorkers)
 	}
 	w.scheduleLeaving()
 }
 
-// crashHalfOfWorkers ends the lives of about half of the workers within a moment.
+// crashHalfOfWorkers crashes about half of the workers within 300 ms.
 func (w *World) crashHalfOfWorkers() {
 	for _, k := range w.workers {
 		if w.rand.IntN(2) == 0 {
@@ -43,8 +50,8 @@
 	}
 }
 
-// suspendHost suspends a host, mostly a leader, for some seconds, at times for longer than a leadership
-// lasts.
+// suspendHost suspends a host, mostly a leader, for some seconds. One suspension in three lasts longer than a
+// tenure, and after it only this host reaches two of the workers. One in six lasts 10 to 16 s.
 func (w *World) suspendHost() {
 	h := w.hosts[w.rand.IntN(len(w.hosts))]
 	if leader := w.leader(); leader != nil && w.rand.IntN(4) > 0 {
@@ -64,9 +71,9 @@
 	}
 }
 
-// deposeLeader has a cell's leader replaced while it goes on: the table is away for all, so that whoever is
-// first takes the cell when it returns; or the leader is cut off from it; or a whole hall is cut off from
-// it and from all else, and nobody else takes its cell for a while.
+// deposeLeader makes it likely that the leader of a random cell is replaced while it goes on. Either the table refuses
+// all requests, so that the first host to reach it again wins the cell; or the leader is cut off from the table; or a
+// whole hall is cut off from the table and the other halls, and no other host leads its cell for a while.
 func (w *World) deposeLeader() {
 	name := w.cells[w.rand.IntN(len(w.cells))]
 	span := w.between(1500*time.Millisecond, 11*time.Second)
@@ -83,8 +90,8 @@
 	}
 }
 
-// cutLeader cuts a cell's leader off from the table, and at times from other hosts. Those don't reach
-// some workers at first.
+// cutLeader cuts a cell's leader off from the table, and from each other host with a probability of one half. Each other
+// host is also cut off from one worker for up to 3 s.
 func (w *World) cutLeader(name string, span time.Duration) {
 	h := w.leaderOf(name)
 	if h == nil {
@@ -103,8 +110,9 @@
 	}
 }
 
-// cutOffFirstHall cuts off the hall that most jobs come to. Meanwhile the leader of the other one ends, and
-// what that had only been told is gone with it; workers there crash, and what they ran is started anew.
+// cutOffFirstHall cuts off the hall that receives most jobs. Meanwhile the leader of the second cell is killed, so that
+// cancels which it knows only from messages are lost. The workers of the other halls crash, so that their tasks have to
+// start again.
 func (w *World) cutOffFirstHall() {
 	w.cutOffHall(w.cells[0], w.between(6*time.Second, 11*time.Second))
 	w.after(w.between(500*time.Millisecond, 6*time.Second), func() {
@@ -119,22 +127,22 @@
 	}
 }
 
-// cutOffHall cuts a hall's hosts and workers off from other halls', and the hosts from the table.
+// cutOffHall cuts a hall's hosts and workers off from other halls, and its hosts from the table.
 func (w *World) cutOffHall(hall string, span time.Duration) {
 	w.strikeWith(Fault{Kind: CutCell, Target: hall, For: span})
 }
 
-// cutLink cuts two ends off from each other.
+// cutLink cuts the link between two hosts, between a host and a worker, or between a host and the table.
 func (w *World) cutLink(from, to string, span time.Duration) {
 	w.strikeWith(Fault{Kind: CutLink, Target: from, Peer: to, For: span})
 }
 
-// apart says whether halls are cut off from each other.
+// apart returns whether two halls are cut off from each other now.
 func (w *World) apart(a, b string) bool {
 	return a != b && (w.now.Before(w.hallCuts[a]) || w.now.Before(w.hallCuts[b]))
 }
 
-// leaderOf is a host that leads a cell, as far as it knows itself.
+// leaderOf returns the first host that regards itself as the leader of a cell, or nil. A deposed leader may be returned.
 func (w *World) leaderOf(name string) *host {
 	for _, h := range w.hosts {
 		if h.leads(name) != nil {
@@ -144,11 +152,11 @@
 	return nil
 }
 
-// longerThanTenure is longer than a leader goes on without a renewal, and a lease.
+// longerThanTenure exceeds both the time for which a leader goes on without a renewal and a lease.
 const longerThanTenure = 17 * time.Second
 
-// isolateWithTwoWorkers cuts all hosts but one off from two workers, and that one from the table: when it wakes, it
-// is the only one that reaches them, and nothing else tells it that others lead by now.
+// isolateWithTwoWorkers cuts all hosts but h off from the first two workers, and h off from the table. When h resumes
+// after a suspension, it alone reaches these workers, and can't read in the table that other hosts lead now.
 func (w *World) isolateWithTwoWorkers(h *host, span time.Duration) {
 	for _, k := range w.workers[:2] {
 		for _, other := range w.hosts {
@@ -160,7 +168,7 @@
 	w.cutLink(h.name, "table", span)
 }
 
-// crashOneWorker ends the life of one worker for a short while.
+// crashOneWorker crashes a random worker, which restarts after up to 3 s.
 func (w *World) crashOneWorker() {
 	k := w.workers[w.rand.IntN(len(w.workers))]
 	span := w.between(50*time.Millisecond, 3*time.Second)
@@ -170,7 +178,8 @@
 	}
 }
 
-// injectRandomFault brings one fault about.
+// injectRandomFault injects one fault of a random kind. For a fault of a single host it prefers
+// a leader in half of the cases.
 func (w *World) injectRandomFault() {
 	span := w.between(300*time.Millisecond, 6*time.Second)
 	h := w.hosts[w.rand.IntN(len(w.hosts))]
--- a/pkg/emulator/leaving.go
+++ b/pkg/emulator/leaving.go
@@ -7,20 +7,20 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// Workers that leave for good, in series of one each second, and new ones that come in their place.
+// Workers that leave for good, and their replacements. Workers leave in series, one each second.
 
-// LeaveKind is how the workers of a series leave.
+// LeaveKind is the way in which the workers of a series leave.
 type LeaveKind int
 
-// The kinds of leaves.
+// The kinds of series.
 const (
-	// LeaveReleased drain; a new worker starts as each says so.
+	// LeaveReleased workers announce that they leave, and drain. A replacement starts at the announcement.
 	LeaveReleased LeaveKind = iota
-	// LeaveScaledIn drain and are not replaced.
+	// LeaveScaledIn workers announce that they leave, drain, and are not replaced.
 	LeaveScaledIn
-	// LeaveSpot drain, and are gone before the drain time is over; others come later.
+	// LeaveSpot workers announce that they leave, and end before the drain time is over. Replacements start later.
 	LeaveSpot
-	// LeaveUnannounced never say that they drain: their row goes while they serve on.
+	// LeaveUnannounced workers don't announce that they leave: their registry row is removed while they still serve.
 	LeaveUnannounced
 )
 
@@ -28,52 +28,54 @@
 	return [...]string{"released", "scaled in", "spot", "unsaid"}[l]
 }
 
-// Leaving says which workers leave on a day.
+// Leaving configures which workers leave on a day.
 type Leaving struct {
-	// Series is how often a series of leaves strikes, after a pause of Apart each; Least and Most bound
-	// the workers of one.
+	// Series is the number of series, with a pause of Apart after each. Least and Most bound the number of workers of
+	// a series.
 	Series, Least, Most int
 	Apart               time.Duration
-	// Kinds are the kinds that are drawn from.
+	// Kinds are the kinds from which the kind of each series is drawn.
 	Kinds []LeaveKind
-	// Before is how many faults strike in the seconds before a series, and at times in its first.
+	// Before is the number of faults that are injected near each series: most in the seconds before, some in its first
+	// seconds.
 	Before int
 }
 
 const (
-	// leaveInterval is the time between two leaves of a series.
+	// leaveInterval is the time between two leaving workers of a series.
 	leaveInterval = time.Second
-	// firstSeriesAt is when the first series may strike.
+	// firstSeriesAt is the earliest time of the first series.
 	firstSeriesAt = 16 * time.Second
-	// drainTime is how long a leaving worker serves on at least, drainMore at most beyond that, and
-	// drainLong at times.
+	// drainTime is the shortest time for which a leaving worker other than a spot worker serves. Most serve up to
+	// drainTimeSpread longer, one in six up to maxDrainTime in all.
 	drainTime       = 2 * time.Second
 	drainTimeSpread = 500 * time.Millisecond
 	maxDrainTime    = 12 * time.Second
-	// spotReplacementDelay is how long after a notice of spot workers others come.
+	// spotReplacementDelay is the time from the announcement of a spot worker to the order of its replacement.
 	spotReplacementDelay = 4 * time.Second
-	// maxRowRetention is how long a row stays at most when its worker is gone.
+	// maxRowRetention is the longest time for which the registry row of an ended worker stays.
 	maxRowRetention = 3 * time.Second
-	// minStartupTime and startLate bound how long a new worker takes until it is ready.
+	// minStartupTime and maxStartupTime bound the time that a new worker needs until it is ready.
 	minStartupTime, maxStartupTime = 1200 * time.Millisecond, 1900 * time.Millisecond
-	// scaledInDivisor is the part of all workers that may go without others in their place.
+	// scaledInDivisor bounds the workers that leave without a replacement: at most one in five of the plan's.
 	scaledInDivisor = 5
 )
 
-// leave is what a worker that leaves has decided and done; the zero value: it stays.
+// leave is the state of a worker that leaves. The zero value means that the worker stays.
 type leave struct {
-	// begunAt is when its row said so, endsAt when its life ends.
+	// begunAt is the time at which the worker began to leave, endsAt the time at which it ends.
 	begunAt, endsAt time.Time
-	// unannounced says that its row goes instead, with the leave.
+	// unannounced means that the worker's row is removed at begunAt, without an announcement.
 	unannounced bool
-	// over says that its life has ended for good; its row stays until rowUntil.
+	// over means that the worker has ended for good. Its row stays until rowUntil.
 	over     bool
 	rowUntil time.Time
 }
 
+// leaves returns whether the worker has begun to leave.
 func (l leave) leaves() bool { return !l.begunAt.IsZero() }
 
-// scheduleLeaving has series of workers leave.
+// scheduleLeaving schedules the plan's series of leaving workers.
 func (w *World) scheduleLeaving() {
 	l := w.plan.Leaving
 	if l.Series == 0 {
@@ -93,15 +95,16 @@
 }
 
 const (
-	// minFaultLead and faultsLate bound how long before a series faults strike, faultsIn how long after it has
-	// begun some do.
+	// minFaultLead and maxFaultLead bound the time from a fault to the series that follows. maxFaultLag bounds the time
+	// from the beginning of a series to the faults in it.
 	minFaultLead, maxFaultLead = 8 * time.Second, 13 * time.Second
 	maxFaultLag                = 4 * time.Second
-	// minFaultSpan and longFault bound how long those last.
+	// minFaultSpan and maxFaultSpan bound the duration of these faults.
 	minFaultSpan, maxFaultSpan = 300 * time.Millisecond, 4 * time.Second
 )
 
-// scheduleFaultsBefore has faults strike before a series of leaves, and some as it begins.
+// scheduleFaultsBefore schedules faults before a series of leaving workers. One fault in four falls into the first
+// seconds of the series.
 func (w *World) scheduleFaultsBefore(series time.Duration, count int) {
 	for range count {
 		at := series - w.between(minFaultLead, maxFaultLead)
@@ -112,7 +115,7 @@
 	}
 }
 
-// injectFaultNearLeader brings about one of the faults after which others lead, or tasks are suspected.
+// injectFaultNearLeader injects a fault that changes the leader of a cell, or that makes tasks suspected of crashes.
 func (w *World) injectFaultNearLeader() {
 	span := w.between(minFaultSpan, maxFaultSpan)
 	cell := w.cells[w.rand.IntN(len(w.cells))]
@@ -147,7 +150,8 @@
 	}
 }
 
-// leaveOneByOne has one worker leave, and the others of its series after it.
+// leaveOneByOne makes a random worker leave, starts its replacement, and schedules the rest of the series. The series
+// ends early once one worker per cell is left, or once too many have been scaled in.
 func (w *World) leaveOneByOne(kind LeaveKind, count int) {
 	var stay []*worker
 	for _, k := range w.workers {
@@ -173,7 +177,7 @@
 	w.after(leaveInterval, func() { w.leaveOneByOne(kind, count-1) })
 }
 
-// join starts a new machine's worker.
+// join starts a worker on a new machine, after a random start-up time.
 func (w *World) join(m Machine) {
 	w.after(w.between(minStartupTime, maxStartupTime), func() {
 		k := newWorker(w, fmt.Sprintf("worker-%d", len(w.workers)), m)
@@ -182,6 +186,7 @@
 	})
 }
 
+// beginLeave makes the worker leave. It serves until a random end, which may come after the drain time.
 func (k *worker) beginLeave(kind LeaveKind) {
 	w := k.world
 	serves := drainTime + w.between(0, drainTimeSpread)
@@ -197,7 +202,7 @@
 	w.after(serves, k.endDeparted)
 }
 
-// endDeparted ends a life that left, with all that runs there.
+// endDeparted ends a leaving worker with all its runs. No incarnation follows.
 func (k *worker) endDeparted() {
 	w := k.world
 	if k.leave.over {
@@ -212,7 +217,7 @@
 	}
 }
 
-// hasRow says whether the list of workers names the worker.
+// hasRow returns whether the worker registry has a row of the worker.
 func (k *worker) hasRow() bool {
 	if k.leave.leaves() && k.leave.unannounced {
 		return false
@@ -220,7 +225,7 @@
 	return k.up || k.world.now.Before(k.leave.rowUntil)
 }
 
-// sayLeave completes what the worker's row says of its state.
+// sayLeave sets the fields of the worker's row that announce that it leaves.
 func (k *worker) sayLeave(r *workers.Record) {
 	if !k.leave.leaves() || k.leave.unannounced {
 		return
--- a/pkg/emulator/leaving_plans.go
+++ b/pkg/emulator/leaving_plans.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Days on which workers leave while lasting tasks stay.
+// Plans of days on which workers leave while lasting tasks stay.
 
-// leavingBasePlan is a day of cells that are often nearly full of lasting tasks that stay.
+// leavingBasePlan returns the plan of a day of cells that are often nearly full of lasting tasks that stay.
 func leavingBasePlan(seed uint64) Plan {
 	plan := TwoCellPlan(seed)
 	plan.Workers, plan.Faults, plan.Jobs = 12, 0, 60
@@ -16,14 +16,14 @@
 	return plan
 }
 
-// LeavingPlan is a day on which workers leave in all ways, and nothing else happens.
+// LeavingPlan returns the plan of a day on which workers leave in all ways, without faults.
 func LeavingPlan(seed uint64) Plan {
 	plan := leavingBasePlan(seed)
 	plan.Leaving = Leaving{Series: 3, Most: 8, Apart: 5 * time.Second, Kinds: []LeaveKind{LeaveReleased, LeaveScaledIn, LeaveSpot, LeaveUnannounced}}
 	return plan
 }
 
-// LeavingTroublePlan is such a day on which leaders, hosts and workers fail before workers leave, and tasks
+// LeavingTroublePlan returns a LeavingPlan on which leaders, hosts and workers fail before workers leave, and some tasks
 // crash their workers.
 func LeavingTroublePlan(seed uint64) Plan {
 	plan := LeavingPlan(seed)
@@ -33,7 +33,7 @@
 	return plan
 }
 
-// ReleasePlan is a day on which nearly all workers are replaced one after the other, after a fault or two.
+// ReleasePlan returns the plan of a day on which nearly all workers are replaced one after the other, after two faults.
 func ReleasePlan(seed uint64) Plan {
 	plan := LeavingTroublePlan(seed)
 	plan.Leaving.Series, plan.Leaving.Most, plan.Leaving.Least, plan.Leaving.Kinds = 2, 16, 12, []LeaveKind{LeaveReleased}
--- a/pkg/emulator/leaving_test.go
+++ b/pkg/emulator/leaving_test.go
@@ -8,22 +8,24 @@
 	"github.com/wrenferry/wrenferry/pkg/emulator"
 )
 
-// A successor waits for a worker that left before it led, and other leaving workers stop tasks meanwhile.
+// Guards against lasting tasks that stay stopped: a new leader waits for a worker that left under its predecessor, while
+// other leaving workers stop their tasks.
 func TestLastingTaskRestartsInTimeAfterSuccessiveReleases(t *testing.T) {
 	t.Parallel()
 	playSomeDays(t, emulator.ReleasePlan, usualLeavingDays)
 }
 
-// Leaders and hosts have failed shortly before, and tasks are suspected of crashes.
+// Leaders and hosts fail shortly before workers leave, and tasks are suspected of crashes.
 func TestLastingTaskRestartsWhenWorkersLeaveAfterFaults(t *testing.T) {
 	t.Parallel()
 	playSomeDays(t, emulator.LeavingTroublePlan, usualLeavingDays)
 }
 
-// usualLeavingDays are as many of these days, which are the longest, as CI has the time for.
+// usualLeavingDays is the number of days that CI plays of each of these plans. These days are the longest, and CI has no
+// time for more.
 const usualLeavingDays = 40
 
-// Workers leave in all ways, and nothing else happens.
+// Workers leave in all ways, without faults.
 func TestLastingTaskRestartsWhenWorkersLeave(t *testing.T) {
 	t.Parallel()
 	playSomeDays(t, emulator.LeavingPlan, usualLeavingDays)
--- a/pkg/emulator/plans.go
+++ b/pkg/emulator/plans.go
@@ -6,60 +6,61 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// Plan says what a day is made of.
+// Plan configures a day, which is one emulated run of a deployment: its size, its length and its faults.
 type Plan struct {
 	Seed uint64
-	// Cells is how many cells share the hosts and the workers.
+	// Cells is the number of cells among which the hosts and the workers are distributed.
 	Cells   int
 	Hosts   int
 	Workers int
 	Jobs    int
-	// Traffic is how long jobs come, Trouble how long faults strike, End when
-	// the day is over.
+	// Traffic is the time until which jobs are submitted, Trouble the time until which faults are injected, End the
+	// length of the day. All count from the beginning of the day.
 	Traffic, Trouble, End time.Duration
-	// Faults is how many strike between 2 s and Trouble.
+	// Faults is the number of faults of random kinds that are injected between 2 s and Trouble.
 	Faults int
 	Unsafe cell.Unsafe
-	// LinkRate is how many bytes a second each host's link carries away from it; 0: any
-	// number. What is sent waits for what was sent before.
+	// LinkRate is the rate in bytes per second at which each host sends; 0 means no limit. A message waits until all
+	// earlier messages of the host have been sent.
 	LinkRate float64
-	// Without are mechanisms that are left out.
+	// Without is the set of mechanisms of the cell that are disabled.
 	Without cell.Mechanism
-	// SameIDs says that a worker that starts again has the id that it had.
+	// SameIDs means that a restarted worker has the id of its previous incarnation.
 	SameIDs bool
-	// Unbound takes out the fence by which calls reach only the life that they are for.
+	// Unbound removes the fence that lets a call reach only the incarnation of the worker that the call is meant for.
 	Unbound bool
-	// Crashes is how often half of the workers crash within a moment, each for a while.
+	// Crashes is how often about half of the workers crash within 300 ms. Each restarts after up to 1.5 s.
 	Crashes int
-	// Flaps is how often a single worker crashes for a short while, besides the faults.
+	// Flaps is how often a single worker crashes and restarts after up to 3 s, in addition to Faults.
 	Flaps int
-	// CrashTasks is how many jobs have a task that crashes each worker that starts it.
+	// CrashTasks is the number of jobs with a task that crashes each worker that starts it.
 	CrashTasks int
-	// Unguarded says that workers start whatever they are told, Rooms how often one's room shrinks for
-	// a while.
+	// Unguarded means that workers start tasks without checking their capacity. Rooms is how often the capacity of
+	// a worker shrinks for a while.
 	Unguarded bool
 	Rooms     int
-	// Suspends is how often a host is suspended for some seconds. Steady says that its decisions go by
-	// a clock that does not count that time.
+	// Suspends is how often a host is suspended for some seconds. Steady means that the hosts decide by a clock that
+	// does not count the time of a suspension.
 	Suspends int
 	Steady   bool
-	// Deposed is how often a leader is cut off from the table, and so replaced while it goes on, Touch
-	// that the rules which bind hosts that are in touch are asked at every start.
+	// Deposed is how often a leader is replaced while it goes on, because the table fails or the leader is cut off
+	// from it. Touch means that the rules for hosts in contact are checked at every start.
 	Deposed int
 	Touch   bool
-	// HallCuts is how often the hall that most jobs come to is cut off from the others and the table.
+	// HallCuts is how often the hall that receives most jobs is cut off from the other halls and from the table.
 	HallCuts int
-	// OddRows says that rows of the list of workers are spoilt, and that others wrote some.
+	// OddRows means that rows of the worker registry become invalid for a while, and that the registry holds rows of
+	// unknown workers.
 	OddRows bool
-	// Leaving says which workers leave for good, Lasting which part of all cores is reserved by lasting tasks
-	// that stay until the trouble is over: those of the rule about them.
+	// Leaving configures which workers leave for good. Lasting is the fraction of all cores that is reserved by
+	// lasting tasks that nobody cancels before the faults are over. The rule LOST for lasting tasks checks these.
 	Leaving Leaving
 	Lasting float64
-	// Load, where set, takes the place of the drawn cells, workers and jobs.
+	// Load, if set, replaces the random cells, workers and jobs.
 	Load *Load `json:"-"`
 }
 
-// DefaultPlan is a small day with all kinds of faults.
+// DefaultPlan returns the plan of a small day of one cell with all kinds of faults.
 func DefaultPlan(seed uint64) Plan {
 	return Plan{
 		Seed: seed, Cells: 1, Hosts: 3, Workers: 5, Jobs: 24, Faults: 10,
@@ -67,8 +68,8 @@
 	}
 }
 
-// TwoCellPlan is a day of two cells that lend each other tasks: jobs go to one of them
-// by chance, so that it often has too little room. Some of them last until they are
+// TwoCellPlan returns the plan of a day of two cells that delegate tasks to each other. Most jobs are submitted to the
+// first cell, so that its capacity is often exceeded. Some jobs consist of lasting tasks, which run until they are
 // cancelled.
 func TwoCellPlan(seed uint64) Plan {
 	plan := DefaultPlan(seed)
@@ -76,30 +77,32 @@
 	return plan
 }
 
-// SameIDsPlan is a day on which workers crash many at once and start again under the ids
-// that they had, from the first second of work on.
+// SameIDsPlan returns the plan of a day on which many workers crash at once and restart under their previous ids, from
+// the first second of work on.
 func SameIDsPlan(seed uint64) Plan {
 	plan := DefaultPlan(seed)
 	plan.SameIDs, plan.Crashes = true, 5
 	return plan
 }
 
-// TroubledCellsPlan is a day of two cells that lend, with all of that.
+// TroubledCellsPlan returns the plan of a day of two cells that delegate tasks, with crashes of many workers, restarts
+// under previous ids and invalid registry rows.
 func TroubledCellsPlan(seed uint64) Plan {
 	plan := TwoCellPlan(seed)
 	plan.SameIDs, plan.Crashes, plan.OddRows = true, 4, true
 	return plan
 }
 
-// OddRowsPlan is such a day on which rows of the list of workers are spoilt, too.
+// OddRowsPlan returns a SameIDsPlan with fewer crashes on which registry rows of workers become invalid, too.
 func OddRowsPlan(seed uint64) Plan {
 	plan := SameIDsPlan(seed)
 	plan.Crashes, plan.OddRows = 2, true
 	return plan
 }
 
-// CrashTasksPlan is a day of two cells with some tasks that crash each worker that starts them,
-// among other troubles: on some days workers come back under their ids, on some many crash at once.
+// CrashTasksPlan returns the plan of a day of two cells with three jobs that have a task which crashes each worker that
+// starts it, among other faults. On days with an even seed workers restart under their previous ids. On two days of
+// three many workers crash at once.
 func CrashTasksPlan(seed uint64) Plan {
 	plan := TwoCellPlan(seed)
 	plan.Workers, plan.CrashTasks = 12, 3
@@ -107,8 +110,8 @@
 	return plan
 }
 
-// CrashWavesPlan is a day on which workers crash often, many at once and one by one, and no task
-// is to blame.
+// CrashWavesPlan returns the plan of a day on which workers crash often, many at once and one by one, and no task
+// causes a crash.
 func CrashWavesPlan(seed uint64) Plan {
 	plan := TwoCellPlan(seed)
 	plan.Workers, plan.Crashes, plan.Flaps = 12, 4, 12
@@ -116,8 +119,8 @@
 	return plan
 }
 
-// RoomsPlan is a day of two cells whose workers start whatever they are told, and whose rooms shrink
-// and grow.
+// RoomsPlan returns the plan of a day of two cells whose workers start tasks without checking their capacity, and whose
+// capacity shrinks and grows.
 func RoomsPlan(seed uint64) Plan {
 	plan := TwoCellPlan(seed)
 	plan.Unguarded, plan.Rooms = true, 12
@@ -125,8 +128,8 @@
 	return plan
 }
 
-// SuspendsPlan is a day of two cells on which hosts, leaders mostly, are suspended, at the worst moments
-// too: between a decision and its sending, as a renewal's answer comes, in a takeover.
+// SuspendsPlan returns the plan of a day of two cells on which hosts, mostly leaders, are suspended. Suspensions fall
+// also between a decision and its sending, at the answer to a renewal, and into a takeover.
 func SuspendsPlan(seed uint64) Plan {
 	plan := TwoCellPlan(seed)
 	plan.Suspends = 10
@@ -134,8 +137,8 @@
 	return plan
 }
 
-// DeposedPlan is a day of two cells that lend, on which leaders are cut off from the table and from other
-// hosts, and go on for their tenure beside successors that don't reach all workers; many jobs are
+// DeposedPlan returns the plan of a day of two cells that delegate tasks. Leaders are cut off from the table and from
+// other hosts, and go on until their tenure ends, beside successors that don't reach all workers. Many jobs are
 // cancelled.
 func DeposedPlan(seed uint64) Plan {
 	plan := TwoCellPlan(seed)
@@ -143,16 +146,17 @@
 	return plan
 }
 
-// HallCutPlan is a day of two cells under more load than they bear, on which a hall is cut off for longer
-// than a cell goes without a leader, while jobs are cancelled of which the other has tasks. Nothing else ails the hosts
-// of the other hall.
+// HallCutPlan returns the plan of a day of two overloaded cells. A hall is cut off for longer than a cell stays without
+// a leader, while jobs are cancelled that have delegated tasks in the other cell. The only fault of
+// the other hall's hosts is that its leader is killed.
 func HallCutPlan(seed uint64) Plan {
 	plan := TwoCellPlan(seed)
 	plan.Jobs, plan.Faults, plan.HallCuts, plan.Touch = 90, 0, 2, true
 	return plan
 }
 
-// AllTroublesPlan is a day with all that may come together.
+// AllTroublesPlan returns a CrashTasksPlan with suspensions, shrinking capacity, workers that don't check their
+// capacity, and invalid registry rows.
 func AllTroublesPlan(seed uint64) Plan {
 	plan := CrashTasksPlan(seed)
 	plan.Suspends, plan.Rooms, plan.Unguarded, plan.OddRows = 4, 6, true, true
--- a/pkg/emulator/reduce/least.go
+++ b/pkg/emulator/reduce/least.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// minimize takes out of a list what it holds without, chunk by chunk, first large ones and then single items.
-// It asks whether a list holds only for lists that are shorter than the last that did.
+// minimize returns a part of items for which holds is still true, by delta debugging: it removes chunks, first large
+// ones and then single items. It calls holds only for lists that are shorter than the last one for which holds was true.
 func minimize[T any](items []T, holds func([]T) bool) []T {
 	if len(items) == 0 || holds(nil) {
 		return nil
--- a/pkg/emulator/reduce/reduce.go
+++ b/pkg/emulator/reduce/reduce.go
@@ -1,6 +1,5 @@
-// Package reduce cuts a script that breaks a rule of the emulator down to little that still breaks the
-// same rule: by delta debugging over its jobs, faults, cancels, workers, hosts and tapes, then by rounding
-// moments and lengths.
+// Package reduce reduces a script that breaks a rule of the emulator to a small one that still breaks the same rule: by
+// delta debugging over its jobs, faults, cancels, workers, hosts and tapes, then by rounding times and durations.
 package reduce
 
 import (
@@ -16,37 +15,39 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// endOfDayRule is the rule that is asked only at the end of a day.
+// endOfDayRule is the rule that is checked at the end of a day, so that the day can't be shortened.
 const endOfDayRule = "LOST"
 
-// timeAfterBreak is for how long a day is played on, while it is cut down, after the rule was broken.
+// timeAfterBreak is the time for which a day is played on after the first break of the rule, during the reduction.
 const timeAfterBreak = 5 * time.Second
 
-// Result is what is left of a script.
+// Result is the result of a reduction.
 type Result struct {
 	Script *emulator.Script
-	// Rule is the one that it breaks, Plays how many days were played for it.
+	// Rule is the rule that the script breaks, Plays the number of days played during the reduction.
 	Rule  string
 	Plays int
-	// Done says that nothing more can be taken out, not that the time was over.
+	// Done means that nothing more can be removed. It is false if the context ended first.
 	Done bool
 }
 
-// Option changes how a script is cut down.
+// Option is an option of Script.
 type Option func(*reducer)
 
-// WithRule names the rule, where a script breaks several.
+// WithRule sets the rule to break, for a script that breaks several. The default is the first one broken.
 func WithRule(rule string) Option { return func(r *reducer) { r.rule = rule } }
 
-// WithReference names code on which what is left breaks no rule: holds says whether that is so. Without it a
-// script may be cut down to one that breaks the rule for another reason. This code with all fences
-// in is such code for a script that takes some out, if that script breaks no rule there.
+// WithReference adds reference code on which the reduced script has to break no rule: holds returns whether a script
+// breaks none there. Without a reference the reduced script may break the rule for another reason than the original.
+// For a script that removes fences, this code with all fences is a reference, if the script breaks no rule there.
 func WithReference(holds func(s *emulator.Script) bool) Option {
 	return func(r *reducer) { r.references = append(r.references, holds) }
 }
 
-// WithProgress has each step told.
-func WithProgress(tell func(line string)) Option { return func(r *reducer) { r.progress = tell } }
+// WithProgress sets a function that is called with a line of text for each successful step.
+func WithProgress(progress func(line string)) Option {
+	return func(r *reducer) { r.progress = progress }
+}
 
 type reducer struct {
 	ctx        context.Context
@@ -55,13 +56,15 @@
 	references []func(s *emulator.Script) bool
 	progress   func(line string)
 	plays      int
-	// dayEnd is when the whole day is over.
+	// dayEnd is the end of the original day.
 	dayEnd time.Duration
-	// alternatives is how many other days are tried where one does not break the rule any more.
+	// alternatives is the number of values of Script.Beyond that are tried, without tapes, if a script does not break
+	// the rule.
 	alternatives uint64
 }
 
-// Script cuts a script down until nothing more can be taken out or the context is over. It stays as it is.
+// Script reduces a script until nothing more can be removed or the context ends. It does not modify s. It returns a
+// BadInput error if s is invalid, does not break the rule, or breaks a rule on reference code.
 func Script(ctx context.Context, s *emulator.Script, opts ...Option) (*Result, error) {
 	r := &reducer{ctx: ctx, best: s, dayEnd: s.Plan.End, progress: func(string) {}}
 	for _, o := range opts {
@@ -92,7 +95,8 @@
 	return &Result{Script: &left, Rule: r.rule, Plays: r.plays, Done: ctx.Err() == nil}, nil
 }
 
-// checkReferences looks whether the script itself breaks no rule on good code.
+// checkReferences adds this code with all fences as a reference, if the script removes fences and breaks no rule with
+// all of them. It returns an error if the script breaks a rule on reference code.
 func (r *reducer) checkReferences(s *emulator.Script) error {
 	if p := s.Plan; p.Unsafe != (cell.Unsafe{}) || p.Unbound || p.Steady {
 		fenceHolds := func(s *emulator.Script) bool {
@@ -111,14 +115,14 @@
 	return nil
 }
 
-// withAllFences is a script with all fences in.
+// withAllFences returns a copy of a script without its settings that remove fences.
 func withAllFences(s *emulator.Script) *emulator.Script {
 	f := *s
 	f.Plan.Unsafe, f.Plan.Unbound, f.Plan.Steady = cell.Unsafe{}, false, false
 	return &f
 }
 
-// endAfter ends the day soon after the rule was broken, and leaves out what comes later.
+// endAfter ends the day soon after the rule was broken, and removes later faults and cancels.
 func (r *reducer) endAfter(at time.Duration) {
 	if r.rule == endOfDayRule {
 		return
@@ -130,11 +134,12 @@
 	r.tryWithAlternatives("the end", &s)
 }
 
-// alternativeCounts are how many other days are tried of what can't be cut further, one number after the other.
+// alternativeCounts are the values of alternatives, one after the other. The next one is used when a script can't be
+// reduced further.
 var alternativeCounts = []uint64{0, 12, 48}
 
-// reduceAll takes out group by group until nothing more goes, then what goes on days on which other things are
-// drawn, and rounds what is left.
+// reduceAll removes what it can with the draws of the script, then with alternative draws, and rounds the times that
+// are left.
 func (r *reducer) reduceAll() {
 	for _, r.alternatives = range alternativeCounts {
 		r.cutUntilStable()
@@ -143,6 +148,7 @@
 	r.roundTimes()
 }
 
+// cutUntilStable removes parts of all kinds again and again until the script does not shrink.
 func (r *reducer) cutUntilStable() {
 	for before := -1; before != r.size() && r.ctx.Err() == nil; {
 		before = r.size()
@@ -155,16 +161,17 @@
 	}
 }
 
-// size is how much of a script is left.
+// size returns the number of events, nodes and tapes of the best script.
 func (r *reducer) size() int {
 	s := r.best
 	return EventCount(s) + len(s.Workers) + len(s.Hosts) + len(s.Tapes)
 }
 
-// EventCount is how many events a script plans.
+// EventCount returns the number of jobs, faults and cancels of a script.
 func EventCount(s *emulator.Script) int { return len(s.Jobs) + len(s.Faults) + len(s.Cancels) }
 
-// tryWithAlternatives plays a script, and others with other draws, and keeps the first that still breaks the rule.
+// tryWithAlternatives plays a script, then its variants with alternative draws, and keeps the first that breaks the
+// rule. It returns whether there is one.
 func (r *reducer) tryWithAlternatives(what string, s *emulator.Script) bool {
 	if r.tryScript(what, s) {
 		return true
@@ -179,7 +186,7 @@
 	return false
 }
 
-// tryScript plays a script, and keeps it if it still breaks the rule.
+// tryScript plays a script, keeps it if it breaks the rule and passes on all references, and returns whether it does.
 func (r *reducer) tryScript(what string, s *emulator.Script) bool {
 	if r.ctx.Err() != nil || s.Check("script") != nil {
 		return false
@@ -200,7 +207,7 @@
 	return true
 }
 
-// referencesPass says whether a script breaks no rule on good code, to the end of its whole day.
+// referencesPass returns whether a script breaks no rule on any reference code, up to the end of the original day.
 func (r *reducer) referencesPass(s *emulator.Script) bool {
 	whole := *s
 	whole.Plan.End = r.dayEnd
@@ -251,7 +258,7 @@
 	})
 }
 
-// dropFaultsWithoutTarget takes out the faults that strike what is not there any more.
+// dropFaultsWithoutTarget removes the faults whose host or worker is not in the script.
 func dropFaultsWithoutTarget(s *emulator.Script) {
 	there := map[string]bool{"": true, "table": true}
 	for _, p := range slices.Concat(s.Hosts, s.Workers) {
@@ -262,7 +269,7 @@
 	})
 }
 
-// cutTapes takes out what was drawn: all of it, by purpose, and by stream.
+// cutTapes removes tapes: all of them, then those of a purpose, then single ones.
 func (r *reducer) cutTapes() {
 	purposes := map[string]bool{}
 	for stream := range r.best.Tapes {
@@ -276,11 +283,13 @@
 	})
 }
 
+// purposeOf returns the purpose of a stream, which is the first word of the stream's name.
 func purposeOf(stream string) string {
 	purpose, _, _ := strings.Cut(stream, " ")
 	return purpose
 }
 
+// keepTapes tries the best script with only the tapes of the streams that keeps accepts.
 func (r *reducer) keepTapes(keeps func(stream string) bool) bool {
 	s := *r.best
 	s.Tapes = maps.Clone(s.Tapes)
--- a/pkg/emulator/reduce/reduce_test.go
+++ b/pkg/emulator/reduce/reduce_test.go
@@ -14,19 +14,19 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// maxEvents is how many events a day is cut down to.
+// maxEvents bounds the number of events of a reduced script.
 const maxEvents = 10
 
-// maxTimelineLines is how many lines a story has at most.
+// maxTimelineLines bounds the number of lines of a timeline.
 const maxTimelineLines = 60
 
-// reductionTime bounds the time of one test.
+// reductionTime bounds the time of one reduction.
 const reductionTime = 4 * time.Minute
 
-// shortReductionTime bounds a test of what is not cut.
+// shortReductionTime bounds the reduction in the test of references, which does not have to be complete.
 const shortReductionTime = 2 * time.Second
 
-// firstBreakingScript is the script of the first day that breaks a rule without a fence.
+// firstBreakingScript returns the script of the first day, from a seed on, that breaks a rule with fences removed.
 func firstBreakingScript(t *testing.T, plan func(seed uint64) emulator.Plan, from uint64, unsafe cell.Unsafe, rule string) *emulator.Script {
 	t.Helper()
 	for seed := from; seed < from+400; seed++ {
--- a/pkg/emulator/reduce/simplify.go
+++ b/pkg/emulator/reduce/simplify.go
@@ -10,7 +10,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// jobChanges make a job simpler; false says that there is nothing to change.
+// jobChanges are functions that each simplify a job in one way. They return false if there is nothing to change.
 var jobChanges = []func(j *emulator.ScriptJob) bool{
 	func(j *emulator.ScriptJob) bool {
 		had := j.Crash != nil
@@ -22,7 +22,7 @@
 		j.Spec.Repeats, j.Spec.FirstUnixMs, j.Spec.IntervalMs = 0, 0, 0
 		return had
 	},
-	func(j *emulator.ScriptJob) bool { // the first step alone
+	func(j *emulator.ScriptJob) bool { // only the first step
 		had := len(j.Spec.Steps) > 1
 		j.Spec.Steps = j.Spec.Steps[:1]
 		return had
@@ -32,7 +32,7 @@
 		j.Spec.Steps = j.Spec.Steps[:max(1, last)]
 		return last > 0
 	},
-	func(j *emulator.ScriptJob) bool { // one task a step
+	func(j *emulator.ScriptJob) bool { // one task per step
 		had := false
 		for _, step := range j.Spec.Steps {
 			had = had || step.Count > 1
@@ -42,7 +42,7 @@
 	},
 }
 
-// simplifyJobs makes each job simpler as long as the rule is broken.
+// simplifyJobs applies each of jobChanges to each job, and keeps the changes with which the rule is still broken.
 func (r *reducer) simplifyJobs() {
 	for i := range r.best.Jobs {
 		for _, change := range jobChanges {
@@ -63,10 +63,11 @@
 	}
 }
 
-// roundings are what moments and lengths are rounded to, the coarsest that goes.
+// roundings are the units to which times and durations are rounded, the coarsest first.
 var roundings = []time.Duration{time.Second, 100 * time.Millisecond, 10 * time.Millisecond, time.Millisecond}
 
-// roundTimes rounds moments and lengths: all at once first, then each.
+// roundTimes rounds times and durations: first all at once, from the finest unit to the coarsest, then each by itself to
+// the coarsest unit with which the rule is still broken.
 func (r *reducer) roundTimes() {
 	for _, grain := range slices.Backward(roundings) {
 		r.roundChosen(grain, func(int) bool { return true })
@@ -80,7 +81,7 @@
 	}
 }
 
-// roundChosen rounds the chosen moments. It says whether they are round now.
+// roundChosen rounds the chosen times and returns whether they are round now in the best script.
 func (r *reducer) roundChosen(grain time.Duration, chosen func(n int) bool) bool {
 	s := *r.best
 	s.Jobs, s.Faults, s.Cancels = slices.Clone(s.Jobs), slices.Clone(s.Faults), slices.Clone(s.Cancels)
@@ -94,7 +95,7 @@
 	return !changed || r.tryWithAlternatives("rounded", &s)
 }
 
-// times are all moments and lengths of a script.
+// times returns pointers to all times and durations of a script.
 func times(s *emulator.Script) []*time.Duration {
 	var list []*time.Duration
 	for i := range s.Jobs {
--- a/pkg/emulator/reduce/story.go
+++ b/pkg/emulator/reduce/story.go
@@ -11,11 +11,12 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// maxLines is how long a story may be: a screen.
+// maxLines is the number of lines of a timeline that ends with a broken rule: one screen.
 const maxLines = 60
 
-// Timeline tells a script's day by time: what is planned, who leads, what crashes, and what becomes of the
-// task or job that the rule is broken with, until then. Without a rule it is all of the day's log.
+// Timeline plays a script and returns the events of its day in their order: jobs, cancels, faults, leaders, crashes, and
+// the log lines on the task or job that breaks the rule, up to that moment. Without a rule it returns
+// all jobs, cancels and log lines.
 func Timeline(s *emulator.Script, rule string) []string {
 	w, broken := s.Play()
 	about := ""
@@ -32,18 +33,20 @@
 	return append([]string{head}, format(lines, rule)...)
 }
 
-// timelineEntry is a line of a story.
+// timelineEntry is a line of a timeline with its time from the beginning of the day.
 type timelineEntry struct {
 	at   time.Duration
 	line string
 }
 
+// format returns the lines of the entries, up to the one with which the rule is broken. Beyond maxLines it leaves out
+// entries and adds a line with their number.
 func format(lines []timelineEntry, rule string) []string {
 	var list []string
-	left := 0
+	omitted := 0
 	for _, m := range lines {
 		if rule != "" && len(list) >= maxLines && !strings.HasPrefix(m.line, "BROKEN "+rule) {
-			left++
+			omitted++
 			continue
 		}
 		list = append(list, fmt.Sprintf("%8.3f %s", m.at.Seconds(), m.line))
@@ -51,12 +54,13 @@
 			break
 		}
 	}
-	if left > 0 {
-		list = append(list, fmt.Sprintf("(%d lines left out before that)", left))
+	if omitted > 0 {
+		list = append(list, fmt.Sprintf("(%d lines left out before that)", omitted))
 	}
 	return list
 }
 
+// plannedEntries returns the entries of the script's jobs and cancels.
 func plannedEntries(s *emulator.Script) []timelineEntry {
 	var lines []timelineEntry
 	for _, j := range s.Jobs {
@@ -72,7 +76,7 @@
 	return lines
 }
 
-// describeSteps says what a job is made of.
+// describeSteps returns a text on a job's steps: task counts, sizes, kinds and order.
 func describeSteps(spec *wire.JobSpec) string {
 	var list []string
 	for _, step := range spec.GetSteps() {
@@ -97,9 +101,11 @@
 	return text
 }
 
-// alwaysShown are those of log lines that a story holds whatever they are about.
+// alwaysShown are texts of log lines that a timeline shows whatever task or job they are about.
 var alwaysShown = []string{"FAULT ", "BROKEN ", " leads epoch ", "cell-settled"}
 
+// loggedEntries returns the entries of the log lines that a timeline of the rule shows: those with a text of alwaysShown
+// or about, and crashes of workers. Without a rule it returns all.
 func loggedEntries(log []string, rule, about string) []timelineEntry {
 	var lines []timelineEntry
 	for _, line := range log {
--- a/pkg/emulator/script.go
+++ b/pkg/emulator/script.go
@@ -12,31 +12,31 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// ScriptVersion is the version of scripts that Record writes, and the only one that is played.
+// ScriptVersion is the version of scripts that Record writes, and the only one that DecodeScript accepts.
 const ScriptVersion = 1
 
-// Script is a day as data: what is planned, what strikes, and what is drawn by chance beside that. Spans
-// and moments are nanoseconds since the day's beginning.
+// Script is a recorded day: its plan, jobs, cancels and faults, and the other random draws made while it was played.
+// Times are counted from the beginning of the day; times and durations are in nanoseconds.
 type Script struct {
 	Version int
-	// Plan says how the world behaves, and when the day is over. The counts in it, of jobs and of faults,
-	// are what the day was drawn from; played is what stands below.
+	// Plan configures the day. Its numbers of jobs, faults, hosts and workers are those that the day was generated
+	// from. Play ignores them and plays the lists below.
 	Plan    Plan
 	Hosts   []Node
 	Workers []Node
 	Jobs    []ScriptJob
 	Cancels []Cancel
 	Faults  []Fault
-	// Tapes are the draws by stream, in the order in which they are read. Beyond chooses among what follows
-	// where a tape has run out.
+	// Tapes are the random draws by stream, in the order in which they are read. Beyond selects one of the sequences
+	// that may follow the end of a tape.
 	Tapes  map[string][]uint64
 	Beyond uint64
 }
 
-// Node is a host or a worker, and the cell that it belongs to.
+// Node is a host or a worker, with the cell of its hall.
 type Node struct{ Name, Cell string }
 
-// ScriptJob is a job, the moment at which a caller hands it in, and the task of it that crashes its workers.
+// ScriptJob is a job with the time at which a caller submits it, and its task that crashes workers, if any.
 type ScriptJob struct {
 	At    time.Duration
 	Spec  JobSpec
@@ -46,27 +46,28 @@
 // JobSpec is a job's specification in its own JSON form.
 type JobSpec struct{ *wire.JobSpec }
 
-// Crash says which task of a job crashes each worker that starts it, and how long after the start.
+// Crash names the task of a job that crashes each worker that starts it, and the time from the start to the crash.
 type Crash struct {
 	Step, Index int
 	After       time.Duration
 }
 
-// Cancel is a caller's cancel. One that is made surely is repeated until it has been taken, and waits for
-// its job to be accepted.
+// Cancel is a caller's request to cancel a job. With Surely it waits until the job is accepted, and is repeated until a
+// host acknowledges it.
 type Cancel struct {
 	At     time.Duration
 	Job    string
 	Surely bool `json:",omitempty"`
 }
 
-// Record plays a day and writes its script.
+// Record plays a day and returns its script, the world after the day, and the broken rules. It returns a BadInput error
+// for a day of a given load and for a day with leaving workers or lasting tasks that stay, which no script can hold.
 func Record(plan Plan) (*Script, *World, []string, error) {
 	if plan.Load != nil {
-		return nil, nil, nil, fault.New(fault.BadInput, "Plan.Load", "a day of a given load has no script", "")
+		return nil, nil, nil, fault.New(fault.BadInput, "Plan.Load", "a day of a given load can't be recorded", "")
 	}
 	if plan.Lasting > 0 || plan.Leaving.Series > 0 {
-		return nil, nil, nil, fault.New(fault.BadInput, "Plan.Leaving", "a day of workers that leave has no script", "play it by its seed")
+		return nil, nil, nil, fault.New(fault.BadInput, "Plan.Leaving", "a day of workers that leave can't be recorded", "play it by its seed")
 	}
 	w := drawnWorld(plan, true)
 	w.script = &Script{Version: ScriptVersion, Plan: plan}
@@ -75,8 +76,8 @@
 	return w.script, w, broken, nil
 }
 
-// Play plays the script's day, without any random number, and returns the rules that were broken. The
-// script has to be a valid one; it stays as it is.
+// Play plays the script's day without a random generator, and returns the world after it and the broken rules. The
+// script must be valid (see Check); Play does not modify it.
 func (s *Script) Play() (*World, []string) {
 	w := newWorld(s.Plan, tapeDraws(s.Tapes, s.Beyond))
 	w.cells = cellNames(s.Plan.Cells)
@@ -98,6 +99,7 @@
 	return w, w.run()
 }
 
+// newWorld returns a world without hosts, workers and jobs.
 func newWorld(plan Plan, d *draws) *World {
 	w := &World{
 		plan: plan, draws: d, start: time.Unix(1_000_000, 0),
@@ -111,7 +113,7 @@
 	return w
 }
 
-// drawnWorld is the world of a day that is drawn from its seed.
+// drawnWorld returns the empty world of a day that is generated from its seed. With keep, the draws are recorded.
 func drawnWorld(plan Plan, keep bool) *World {
 	r := rand.New(rand.NewPCG(plan.Seed, 7))
 	w := newWorld(plan, generatorDraws(r, keep))
@@ -119,6 +121,7 @@
 	return w
 }
 
+// cellNames returns the names of the first cells, which are also the names of their halls.
 func cellNames(count int) []string {
 	var names []string
 	for i := range count {
@@ -127,7 +130,7 @@
 	return names
 }
 
-// planJob has a job handed in.
+// planJob schedules the submission of a job.
 func (w *World) planJob(j ScriptJob) {
 	spec, ok := proto.Clone(j.Spec.JobSpec).(*wire.JobSpec)
 	if !ok {
@@ -144,7 +147,7 @@
 	w.after(j.At, func() { w.submit(spec, 0) })
 }
 
-// planCancel has a job cancelled.
+// planCancel schedules the cancel of a job.
 func (w *World) planCancel(c Cancel) {
 	if w.script != nil {
 		w.script.Cancels = append(w.script.Cancels, c)
@@ -156,7 +159,7 @@
 	w.after(c.At, func() { do(c.Job) })
 }
 
-// takeFleet writes down the hosts and workers of a day as it begins.
+// takeFleet records the hosts and workers of a day as it begins.
 func (s *Script) takeFleet(w *World) {
 	for _, h := range w.hosts {
 		s.Hosts = append(s.Hosts, Node{h.name, h.hall})
@@ -166,10 +169,10 @@
 	}
 }
 
-// FirstBreaks is when each broken rule was broken first.
+// FirstBreaks returns the time at which each broken rule was broken first, by rule.
 func (w *World) FirstBreaks() map[string]time.Duration { return w.checker.brokenAt }
 
-// TapesRead are the parts of a script's tapes that its day has read.
+// TapesRead returns the parts of a script's tapes that the day has read.
 func (w *World) TapesRead() map[string][]uint64 {
 	read := map[string][]uint64{}
 	for stream, tape := range w.draws.tapes {
--- a/pkg/emulator/script_test.go
+++ b/pkg/emulator/script_test.go
@@ -46,7 +46,7 @@
 
 func story(w *emulator.World) string { return strings.Join(w.Log, "\n") }
 
-// A day that leaves its tapes goes on, each time in the same way.
+// A script draws the same numbers each time after the end of its tapes.
 func TestScriptWithoutTapesIsDeterministic(t *testing.T) {
 	t.Parallel()
 	script, _, _, err := emulator.Record(emulator.DefaultPlan(1))
@@ -57,7 +57,7 @@
 	must.Eq(t, story(a), story(b))
 }
 
-// What a fault strikes is not drawn again when another fault is taken out.
+// Removing a fault from a script does not change the targets of the other faults.
 func TestRemovingFaultKeepsOtherFaults(t *testing.T) {
 	t.Parallel()
 	script, recorded, _, err := emulator.Record(emulator.TwoCellPlan(3))
@@ -101,7 +101,7 @@
 		{"cell of a worker", `{"Name":"worker-0","Cell":"hall-0"}`, `{"Name":"worker-0","Cell":"hall-7"}`, `Workers[0].Cell: "hall-7"`},
 		{"host's name", `{"Name":"host-1"`, `{"Name":"host-0"`, `Hosts[1].Name: "host-0"`},
 		{"cancelled job", `"Job":"0000000000000001"`, `"Job":"00"`, `Cancels[0].Job: "00"`},
-		{"something behind", `"Version":1`, "", "after top-level value"},
+		{"trailing value", `"Version":1`, "", "after top-level value"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -122,7 +122,7 @@
 	must.ErrorContains(t, err, "a-case/script.json.gz")
 }
 
-// smallScriptText is the text of a script with a fault of two kinds, and a cancel.
+// smallScriptText returns the JSON text of a script with two faults of different kinds and one cancel.
 func smallScriptText(t *testing.T) string {
 	t.Helper()
 	script, _, _, err := emulator.Record(emulator.DefaultPlan(1))
--- a/pkg/emulator/scriptcheck.go
+++ b/pkg/emulator/scriptcheck.go
@@ -8,10 +8,10 @@
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
 )
 
-// What a script may hold. Each check names the field and the problem; an empty problem is none.
+// Validation of scripts. Each check returns a field and its problem; an empty problem means that there is none.
 
 const (
-	// maxCells bounds the cells of a script, longestDay its length.
+	// maxCells bounds the number of cells of a script, maxDayLength the length of its day.
 	maxCells     = 64
 	maxDayLength = 24 * time.Hour
 )
@@ -33,9 +33,9 @@
 	case p.Cells < 1 || p.Cells > maxCells:
 		return "Plan.Cells", fmt.Sprintf("%d is not from 1 to %d", p.Cells, maxCells)
 	case p.End <= 0 || p.End > maxDayLength:
-		return "Plan.End", fmt.Sprintf("%s is not a day's length", p.End)
+		return "Plan.End", fmt.Sprintf("%s is not a valid length of a day", p.End)
 	case p.Lasting > 0 || p.Leaving.Series > 0:
-		return "Plan.Leaving", "a day of workers that leave has no script"
+		return "Plan.Leaving", "a day of workers that leave can't be recorded"
 	case p.LinkRate < 0:
 		return "Plan.LinkRate", fmt.Sprintf("%v is below 0", p.LinkRate)
 	}
@@ -45,16 +45,16 @@
 func (s *Script) checkNodes() (field, problem string) {
 	known := map[string]bool{"table": true}
 	for _, list := range []struct {
-		field  string
-		places []Node
+		field string
+		nodes []Node
 	}{{"Hosts", s.Hosts}, {"Workers", s.Workers}} {
-		if len(list.places) == 0 {
-			return list.field, "there is none"
+		if len(list.nodes) == 0 {
+			return list.field, "is empty"
 		}
-		for i, p := range list.places {
+		for i, p := range list.nodes {
 			switch {
 			case p.Name == "" || known[p.Name]:
-				return fmt.Sprintf("%s[%d].Name", list.field, i), quote(p.Name) + " is not a name of its own"
+				return fmt.Sprintf("%s[%d].Name", list.field, i), quote(p.Name) + " is empty or used twice"
 			case !s.hasCell(p.Cell):
 				return fmt.Sprintf("%s[%d].Cell", list.field, i), quote(p.Cell) + " is not a cell"
 			}
@@ -83,7 +83,7 @@
 	for i, j := range s.Jobs {
 		field, problem := j.check()
 		if known[j.Spec.GetId()] {
-			field, problem = "Spec.id", quote(j.Spec.GetId())+" is there twice"
+			field, problem = "Spec.id", quote(j.Spec.GetId())+" is used twice"
 		}
 		if problem == "" && !s.hasCell(j.Spec.GetCell()) {
 			field, problem = "Spec.cell", quote(j.Spec.GetCell())+" is not a cell"
@@ -103,13 +103,13 @@
 	}
 	switch {
 	case j.At < 0:
-		return "At", j.At.String() + " is before the day"
+		return "At", j.At.String() + " is before the beginning of the day"
 	case spec.GetQueue() != queueName:
 		return "Spec.queue", quote(spec.GetQueue()) + " is not a queue"
 	case spec.GetService() != serviceName:
 		return "Spec.service", quote(spec.GetService()) + " is not a service"
 	case len(spec.GetSteps()) == 0:
-		return "Spec.steps", "there is none"
+		return "Spec.steps", "is empty"
 	}
 	for i, step := range spec.GetSteps() {
 		if step.GetCount() < 1 {
@@ -126,7 +126,7 @@
 			return "Crash", fmt.Sprintf("%d.%d is not a task", c.Step, c.Index)
 		}
 		if c.After < 0 {
-			return "Crash.After", c.After.String() + " is before the start"
+			return "Crash.After", c.After.String() + " is before the start of the task"
 		}
 	}
 	return "", ""
@@ -135,7 +135,7 @@
 func (s *Script) checkCancels() (field, problem string) {
 	for i, c := range s.Cancels {
 		if c.At < 0 {
-			return fmt.Sprintf("Cancels[%d].At", i), c.At.String() + " is before the day"
+			return fmt.Sprintf("Cancels[%d].At", i), c.At.String() + " is before the beginning of the day"
 		}
 		if !s.hasJob(c.Job) {
 			return fmt.Sprintf("Cancels[%d].Job", i), quote(c.Job) + " is not a job"
@@ -159,17 +159,17 @@
 	case !ok:
 		return "Kind", quote(f.Kind) + " is not a kind of fault"
 	case f.At < 0:
-		return "At", f.At.String() + " is before the day"
+		return "At", f.At.String() + " is before the beginning of the day"
 	case f.For < 0:
-		return "For", f.For.String() + " is no span"
+		return "For", f.For.String() + " is below 0"
 	case f.How < 0 || f.How >= kind.variants:
-		return "How", fmt.Sprintf("%d is not a way of %s", f.How, f.Kind)
+		return "How", fmt.Sprintf("%d is not valid for %s", f.How, f.Kind)
 	case !s.hasTarget(kind.target, f.Target):
-		return "Target", quote(f.Target) + " is nothing that " + string(f.Kind) + " strikes"
+		return "Target", quote(f.Target) + " is not of the type that " + string(f.Kind) + " affects"
 	case f.Kind == CutLink && !s.isLinkEnd(f.Peer):
 		return "Peer", quote(f.Peer) + " is not an end of a link"
 	case f.Kind != CutLink && f.Peer != "":
-		return "Peer", string(f.Kind) + " has none"
+		return "Peer", string(f.Kind) + " takes no peer"
 	}
 	return "", ""
 }
@@ -187,7 +187,7 @@
 	}
 }
 
-// isLinkEnd says whether a link may end there.
+// isLinkEnd returns whether a link may end at the table, host or worker of that name.
 func (s *Script) isLinkEnd(name string) bool {
 	return name == "table" || s.hasHost(name) || s.hasWorker(name)
 }
--- a/pkg/emulator/scriptfile.go
+++ b/pkg/emulator/scriptfile.go
@@ -12,15 +12,15 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Scripts as files: JSON of the types in script.go and strikes.go, which are the schema, compressed.
+// Script files: gzip of the JSON encoding of Script. The types in script.go and strikes.go are the schema.
 
-// maxScriptBytes is how long a script may be, uncompressed.
+// maxScriptBytes bounds the uncompressed size of a script, in bytes.
 const maxScriptBytes = 32 << 20
 
-// MarshalJSON writes a specification in its own JSON form.
+// MarshalJSON encodes a specification as protobuf JSON.
 func (j JobSpec) MarshalJSON() ([]byte, error) { return protojson.Marshal(j.JobSpec) }
 
-// UnmarshalJSON reads one, and refuses fields that it does not know.
+// UnmarshalJSON decodes a specification and refuses unknown fields.
 func (j *JobSpec) UnmarshalJSON(text []byte) error {
 	j.JobSpec = &wire.JobSpec{}
 	if err := protojson.Unmarshal(text, j.JobSpec); err != nil {
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// Encode is the script as it stands in a file.
+// Encode returns the content of the script's file.
 func (s *Script) Encode() ([]byte, error) {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return file.Bytes(), nil
 }
 
-// DecodeScript reads a script file. Whatever the emulator would not play as it is meant is an error that
-// names the file and the field.
+// DecodeScript decodes a script file. It returns an error with the name of the file and the field for anything that the
+// emulator could not play as written.
 func DecodeScript(name string, file []byte) (*Script, error) {
 	text, err := uncompress(name, file)
 	if err != nil {
@@ -61,7 +61,7 @@
 		return nil, invalidScript(name, err)
 	}
 	if head.Version != ScriptVersion {
-		return nil, fault.New(fault.BadInput, name, "Version: "+quote(head.Version)+" is not a version that is played", "record the day again")
+		return nil, fault.New(fault.BadInput, name, "Version: "+quote(head.Version)+" is not a supported version", "record the day again")
 	}
 	s := &Script{}
 	d := json.NewDecoder(bytes.NewReader(text))
@@ -75,6 +75,7 @@
 	return s, nil
 }
 
+// uncompress returns the uncompressed text, or an error if it exceeds maxScriptBytes.
 func uncompress(name string, file []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(file))
 	if err != nil {
@@ -94,7 +95,7 @@
 	return fault.New(fault.BadInput, name, "is not a script", "").WithCause(cause)
 }
 
-// Check says whether the emulator would play the script as it is meant; name is the script's in errors.
+// Check returns an error if the emulator could not play the script as written. The error names the script by name.
 func (s *Script) Check(name string) error {
 	if field, problem := s.check(); problem != "" {
 		return fault.New(fault.BadInput, name, field+": "+problem, "")
--- a/pkg/emulator/strikes.go
+++ b/pkg/emulator/strikes.go
@@ -5,51 +5,52 @@
 	"time"
 )
 
-// FaultKind is one thing that strikes.
+// FaultKind is the kind of a fault, as scripts write it.
 type FaultKind string
 
-// The kinds of faults. What each strikes, how long it lasts and how it shows stands in a Fault.
+// The kinds of faults. A Fault names the target and the duration (For).
 const (
-	// KillHost ends a host's incarnation; the next boots after the span.
+	// KillHost ends a host's incarnation. The next one boots after the duration.
 	KillHost FaultKind = "kill-host"
-	// FreezeHost has a host take in nothing for the span.
+	// FreezeHost stops a host from processing events for the duration.
 	FreezeHost FaultKind = "freeze-host"
-	// SuspendHost does so, too, and its steady clock does not count the span.
+	// SuspendHost does the same, and the host's steady clock does not count the duration.
 	SuspendHost FaultKind = "suspend-host"
-	// TableDown has the table refuse everything, TableLoses lose answers, TableSlow answer late.
+	// TableDown makes the table refuse all requests, TableLoses lose answers, TableSlow answer late.
 	TableDown  FaultKind = "table-down"
 	TableLoses FaultKind = "table-loses"
 	TableSlow  FaultKind = "table-slow"
-	// CutLink cuts a host off from its peer: the table, a worker or another host.
+	// CutLink cuts a host off from its peer, which is the table, a worker or another host.
 	CutLink FaultKind = "cut-link"
-	// CutCell cuts the hosts and workers of a cell off from other cells, and its hosts from the table.
+	// CutCell cuts the hosts and workers of a cell's hall off from other halls, and its hosts from the table.
 	CutCell FaultKind = "cut-cell"
 	// LateWorker delays some calls to a worker by seconds.
 	LateWorker FaultKind = "late-worker"
-	// CrashWorker ends a worker's incarnation; the next begins after the span.
+	// CrashWorker ends a worker's incarnation. The next one begins after the duration.
 	CrashWorker FaultKind = "crash-worker"
-	// HangRuns has what a worker starts hang, FailRuns has it fail.
+	// HangRuns makes the runs that a worker starts during the fault hang, FailRuns makes them fail.
 	HangRuns FaultKind = "hang-runs"
 	FailRuns FaultKind = "fail-runs"
-	// ShrinkWorker takes some quarters of a worker's capacity away.
+	// ShrinkWorker removes a number of quarters (How) of a worker's capacity.
 	ShrinkWorker FaultKind = "shrink-worker"
-	// SpoilRow spoils a worker's row in some way.
+	// SpoilRow makes a worker's registry row invalid. How is an index into spoilings.
 	SpoilRow FaultKind = "spoil-row"
 )
 
-// Fault is one thing that strikes, and when.
+// Fault is a fault with its time, counted from the beginning of the day.
 type Fault struct {
 	At   time.Duration
 	Kind FaultKind
-	// Target is a host, a worker, a cell, or nothing where the table is meant; Peer the other end of a link.
+	// Target is the name of a host, a worker or a cell; it is empty for the table. Peer is the other end of a link. For
+	// is the duration.
 	Target string        `json:",omitempty"`
 	Peer   string        `json:",omitempty"`
 	For    time.Duration `json:",omitempty"`
-	// How is the number of quarters, or of the way in which a row is spoilt.
+	// How is the number of quarters that ShrinkWorker removes, or the index of the change that SpoilRow makes.
 	How int `json:",omitempty"`
 }
 
-// String says what strikes.
+// String returns the fault's kind, target and duration, as the log shows them.
 func (f Fault) String() string {
 	text := string(f.Kind)
 	if f.Target != "" {
@@ -64,7 +65,7 @@
 	return text + " for " + f.For.String()
 }
 
-// targetType is what a kind of fault strikes.
+// targetType is the type of the entity that a kind of fault affects.
 type targetType int
 
 const (
@@ -74,11 +75,13 @@
 	targetCell
 )
 
-// faultSpec says what a kind strikes, how many ways it has, and what it does.
+// faultSpec describes a kind of fault.
 type faultSpec struct {
-	target   targetType
+	target targetType
+	// variants is the number of values that Fault.How may have, from 0 on.
 	variants int
-	apply    func(w *World, f Fault, until time.Time)
+	// apply makes the fault take effect. It lasts until the time until.
+	apply func(w *World, f Fault, until time.Time)
 }
 
 var faultSpecs = map[FaultKind]faultSpec{
@@ -98,7 +101,7 @@
 	SpoilRow:     {targetWorker, len(spoilings), func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).startSpoilingRow(f.How, until) }},
 }
 
-// strikeWith brings one fault about, now.
+// strikeWith injects a fault now, logs it, and records it in the script of a recorded day.
 func (w *World) strikeWith(f Fault) {
 	f.At = w.now.Sub(w.start)
 	if w.script != nil {
@@ -108,6 +111,7 @@
 	faultSpecs[f.Kind].apply(w, f, w.now.Add(f.For))
 }
 
+// hostAt returns the host of a name, or nil.
 func (w *World) hostAt(name string) *host {
 	for _, h := range w.hosts {
 		if h.name == name {
@@ -126,19 +130,22 @@
 	}
 }
 
-// The ways in which a worker is sick.
+// Values of worker.sickHow: runs that the worker starts hang, or fail.
 const (
 	sickHangs = iota
 	sickFails
 )
 
+// impairRuns makes runs that the worker starts before until hang or fail.
 func (k *worker) impairRuns(how int, until time.Time) { k.sickUntil, k.sickHow = until, how }
 
+// shrinkCapacity removes a number of quarters of the worker's capacity for a time.
 func (k *worker) shrinkCapacity(parts int64, span time.Duration) {
 	k.setShrunk(parts)
 	k.world.after(span, func() { k.setShrunk(0) })
 }
 
+// startSpoilingRow makes the worker's registry row invalid until a time, by the change of index how in spoilings.
 func (k *worker) startSpoilingRow(how int, until time.Time) {
 	k.oddSince, k.oddUntil, k.spoil = k.world.now, until, spoilings[how]
 }
--- a/pkg/emulator/touch.go
+++ b/pkg/emulator/touch.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// Which hosts are in touch: rules with a bound in time hold for these alone.
+// Hosts in contact. A host is in contact if it and its links have had no fault for contactTime. The rule UNASKED holds
+// for starts after a cancel if the order came from such a host, and the table has had no fault for contactTime.
 
 const (
-	// contactTime is for how long nothing may have ailed a host, its links and the table.
+	// contactTime is the time without faults of the host, its links and the table after which a host is in contact.
 	contactTime = 4 * time.Second
-	// maxOrderAge is how old an order may be when it is carried out, to count as its host's own doing.
+	// maxOrderAge bounds the age of an order at its execution. An older order says nothing about the present state of
+	// its host.
 	maxOrderAge = time.Second
 )
 
-// inTouch says whether the order that a worker carries out was given just now, by a host that was in
-// touch.
+// inTouch returns whether the order that a worker executes is younger than maxOrderAge and comes from a host in contact.
+// It returns false on days without Plan.Touch.
 func (c *checker) inTouch(k *worker) bool {
 	w, by := c.world, k.orderedBy
 	return w.plan.Touch && by != nil && w.now.Sub(k.orderedAt) < maxOrderAge && w.tableInContact() && by.inContact()
 }
 
-// tableInContact says whether nothing has ailed the table for a while.
+// tableInContact returns whether the table has had no fault for contactTime.
 func (w *World) tableInContact() bool {
 	t := w.table
 	for _, until := range []time.Time{t.downUntil, t.losesUntil, t.slowUntil} {
@@ -29,7 +31,7 @@
 	return true
 }
 
-// inContact says whether a host has run, with all its links, for a while.
+// inContact returns whether the host has run without a fault of its own or of its links for contactTime.
 func (h *host) inContact() bool {
 	w := h.world
 	if !h.up || w.now.Sub(h.bootedAt) < contactTime || w.now.Sub(h.frozenUntil) < contactTime {
