--- a/pkg/emulator/faults.go
+++ b/pkg/emulator/faults.go
@@ -2,38 +2,45 @@
 
 import "time"
 
-// What strikes on a day, and when.
+// Random faults: the scheduling of each day's faults, and the functions that draw what each of them affects.
 
+const (
+	// earliestFault is the earliest time of a fault of a plan, earliestHallCut that of a cut of a hall.
+	earliestFault   = 2 * time.Second
+	earliestHallCut = 4 * time.Second
+)
+
+// planFaults schedules all faults of the plan.
 func (w *World) planFaults() {
 	for range w.plan.Faults {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.strike)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.injectRandomFault)
 	}
 	if w.plan.OddRows {
 		w.planOddRows()
 	}
 	for range w.plan.Deposed {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.deposeOne)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.deposeLeader)
 	}
 	for range w.plan.HallCuts {
-		w.after(w.between(4*time.Second, w.plan.Trouble), w.cutFirstHall)
+		w.after(w.between(earliestHallCut, w.plan.Trouble), w.cutOffFirstHall)
 	}
 	for range w.plan.Rooms {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.shrinkRoom)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.shrinkRoom)
 	}
 	for range w.plan.Suspends {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.suspendOne)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.suspendHost)
 	}
 	for range w.plan.Flaps {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.flap)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.crashOneWorker)
 	}
 	for range w.plan.Crashes {
-		w.after(w.between(2*time.Second, w.plan.Trouble), w.crashMany)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.crashHalfOfWorkers)
 	}
-	w.planLeaving()
+	w.scheduleLeaving()
 }
 
-// crashMany ends the lives of about half of the workers within a moment.
-func (w *World) crashMany() {
+// crashHalfOfWorkers crashes about half of the workers within 300 ms.
+func (w *World) crashHalfOfWorkers() {
 	for _, k := range w.workers {
 		if w.rand.IntN(2) == 0 {
 			span := w.between(50*time.Millisecond, 1500*time.Millisecond)
@@ -43,9 +50,9 @@
 	}
 }
 
-// suspendOne suspends a host, mostly a leader, for some seconds, at times for longer than a leadership
-// lasts.
-func (w *World) suspendOne() {
+// suspendHost suspends a host, mostly a leader, for some seconds. One suspension in three lasts longer than a
+// tenure, and after it only this host reaches two of the workers. One in six lasts 10 to 16 s.
+func (w *World) suspendHost() {
 	h := w.hosts[w.rand.IntN(len(w.hosts))]
 	if leader := w.leader(); leader != nil && w.rand.IntN(4) > 0 {
 		h = leader
@@ -56,7 +63,7 @@
 	}
 	if w.rand.IntN(3) == 0 {
 		span = w.between(longerThanTenure, longerThanTenure+5*time.Second)
-		w.leaveTwoTo(h, span+w.between(time.Second, 4*time.Second))
+		w.isolateWithTwoWorkers(h, span+w.between(time.Second, 4*time.Second))
 	}
 	w.strikeWith(Fault{Kind: SuspendHost, Target: h.name, For: span})
 	if until := w.now.Add(span); until.After(w.troubleUntil) {
@@ -64,10 +71,10 @@
 	}
 }
 
-// deposeOne has a cell's leader replaced while it goes on: the table is away for all, so that whoever is
-// first takes the cell when it returns; or the leader is cut off from it; or a whole hall is cut off from
-// it and from all else, and nobody else takes its cell for a while.
-func (w *World) deposeOne() {
+// deposeLeader makes it likely that the leader of a random cell is replaced while it goes on. Either the table refuses
+// all requests, so that the first host to reach it again wins the cell; or the leader is cut off from the table; or a
+// whole hall is cut off from the table and the other halls, and no other host leads its cell for a while.
+func (w *World) deposeLeader() {
 	name := w.cells[w.rand.IntN(len(w.cells))]
 	span := w.between(1500*time.Millisecond, 11*time.Second)
 	switch kind := w.rand.IntN(3); kind {
@@ -76,15 +83,15 @@
 	case 1:
 		w.cutLeader(name, span)
 	default:
-		w.cutHall(name, span)
+		w.cutOffHall(name, span)
 	}
 	if until := w.now.Add(span); until.After(w.troubleUntil) {
 		w.troubleUntil = until
 	}
 }
 
-// cutLeader cuts a cell's leader off from the table, and at times from other hosts. Those don't reach
-// some workers at first.
+// cutLeader cuts a cell's leader off from the table, and from each other host with a probability of one half. Each other
+// host is also cut off from one worker for up to 3 s.
 func (w *World) cutLeader(name string, span time.Duration) {
 	h := w.leaderOf(name)
 	if h == nil {
@@ -103,10 +110,11 @@
 	}
 }
 
-// cutFirstHall cuts off the hall that most jobs come to. Meanwhile the leader of the other one ends, and
-// what that had only been told is gone with it; workers there crash, and what they ran is started anew.
-func (w *World) cutFirstHall() {
-	w.cutHall(w.cells[0], w.between(6*time.Second, 11*time.Second))
+// cutOffFirstHall cuts off the hall that receives most jobs. Meanwhile the leader of the second cell is killed, so that
+// cancels which it knows only from messages are lost. The workers of the other halls crash, so that their tasks have to
+// start again.
+func (w *World) cutOffFirstHall() {
+	w.cutOffHall(w.cells[0], w.between(6*time.Second, 11*time.Second))
 	w.after(w.between(500*time.Millisecond, 6*time.Second), func() {
 		if h := w.leaderOf(w.cells[1]); h != nil && h.hall != w.cells[0] {
 			w.strikeWith(Fault{Kind: KillHost, Target: h.name, For: time.Second})
@@ -119,22 +127,22 @@
 	}
 }
 
-// cutHall cuts a hall's hosts and workers off from other halls', and the hosts from the table.
-func (w *World) cutHall(hall string, span time.Duration) {
+// cutOffHall cuts a hall's hosts and workers off from other halls, and its hosts from the table.
+func (w *World) cutOffHall(hall string, span time.Duration) {
 	w.strikeWith(Fault{Kind: CutCell, Target: hall, For: span})
 }
 
-// cutLink cuts two ends off from each other.
+// cutLink cuts the link between two hosts, between a host and a worker, or between a host and the table.
 func (w *World) cutLink(from, to string, span time.Duration) {
 	w.strikeWith(Fault{Kind: CutLink, Target: from, Peer: to, For: span})
 }
 
-// apart says whether halls are cut off from each other.
+// apart returns whether two halls are cut off from each other now.
 func (w *World) apart(a, b string) bool {
 	return a != b && (w.now.Before(w.hallCuts[a]) || w.now.Before(w.hallCuts[b]))
 }
 
-// leaderOf is a host that leads a cell, as far as it knows itself.
+// leaderOf returns the first host that regards itself as the leader of a cell, or nil. A deposed leader may be returned.
 func (w *World) leaderOf(name string) *host {
 	for _, h := range w.hosts {
 		if h.leads(name) != nil {
@@ -144,12 +152,12 @@
 	return nil
 }
 
-// longerThanTenure is longer than a leader goes on without a renewal, and a lease.
+// longerThanTenure exceeds both the time for which a leader goes on without a renewal and a lease.
 const longerThanTenure = 17 * time.Second
 
-// leaveTwoTo cuts all hosts but one off from two workers, and that one from the table: when it wakes, it
-// is the only one that reaches them, and nothing else tells it that others lead by now.
-func (w *World) leaveTwoTo(h *host, span time.Duration) {
+// isolateWithTwoWorkers cuts all hosts but h off from the first two workers, and h off from the table. When h resumes
+// after a suspension, it alone reaches these workers, and can't read in the table that other hosts lead now.
+func (w *World) isolateWithTwoWorkers(h *host, span time.Duration) {
 	for _, k := range w.workers[:2] {
 		for _, other := range w.hosts {
 			if other != h {
@@ -160,8 +168,8 @@
 	w.cutLink(h.name, "table", span)
 }
 
-// flap ends the life of one worker for a short while.
-func (w *World) flap() {
+// crashOneWorker crashes a random worker, which restarts after up to 3 s.
+func (w *World) crashOneWorker() {
 	k := w.workers[w.rand.IntN(len(w.workers))]
 	span := w.between(50*time.Millisecond, 3*time.Second)
 	w.strikeWith(Fault{Kind: CrashWorker, Target: k.name, For: span})
@@ -170,8 +178,9 @@
 	}
 }
 
-// strike brings one fault about.
-func (w *World) strike() {
+// injectRandomFault injects one fault of a random kind. For a fault of a single host it prefers
+// a leader in half of the cases.
+func (w *World) injectRandomFault() {
 	span := w.between(300*time.Millisecond, 6*time.Second)
 	h := w.hosts[w.rand.IntN(len(w.hosts))]
 	if leader := w.leader(); leader != nil && w.rand.IntN(2) == 0 {
--- a/pkg/emulator/leaving.go
+++ b/pkg/emulator/leaving.go
@@ -7,114 +7,117 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// Workers that leave for good, in series of one each second, and new ones that come in their place.
+// Workers that leave for good, and their replacements. Workers leave in series, one each second.
 
-// LeaveKind is how the workers of a series leave.
+// LeaveKind is the way in which the workers of a series leave.
 type LeaveKind int
 
-// The kinds of leaves.
+// The kinds of series.
 const (
-	// LeaveReleased drain; a new worker starts as each says so.
+	// LeaveReleased workers announce that they leave, and drain. A replacement starts at the announcement.
 	LeaveReleased LeaveKind = iota
-	// LeaveScaledIn drain and are not replaced.
+	// LeaveScaledIn workers announce that they leave, drain, and are not replaced.
 	LeaveScaledIn
-	// LeaveSpot drain, and are gone before the drain time is over; others come later.
+	// LeaveSpot workers announce that they leave, and end before the drain time is over. Replacements start later.
 	LeaveSpot
-	// LeaveUnsaid never say that they drain: their row goes while they serve on.
-	LeaveUnsaid
+	// LeaveUnannounced workers don't announce that they leave: their registry row is removed while they still serve.
+	LeaveUnannounced
 )
 
 func (l LeaveKind) String() string {
 	return [...]string{"released", "scaled in", "spot", "unsaid"}[l]
 }
 
-// Leaving says which workers leave on a day.
+// Leaving configures which workers leave on a day.
 type Leaving struct {
-	// Series is how often a series of leaves strikes, after a pause of Apart each; Least and Most bound
-	// the workers of one.
+	// Series is the number of series, with a pause of Apart after each. Least and Most bound the number of workers of
+	// a series.
 	Series, Least, Most int
 	Apart               time.Duration
-	// Kinds are the kinds that are drawn from.
+	// Kinds are the kinds from which the kind of each series is drawn.
 	Kinds []LeaveKind
-	// Before is how many faults strike in the seconds before a series, and at times in its first.
+	// Before is the number of faults that are injected near each series: most in the seconds before, some in its first
+	// seconds.
 	Before int
 }
 
 const (
-	// leaveStep is the time between two leaves of a series.
-	leaveStep = time.Second
-	// firstLeaves is when the first series may strike.
-	firstLeaves = 16 * time.Second
-	// drainTime is how long a leaving worker serves on at least, drainMore at most beyond that, and
-	// drainLong at times.
-	drainTime = 2 * time.Second
-	drainMore = 500 * time.Millisecond
-	drainLong = 12 * time.Second
-	// spotLate is how long after a notice of spot workers others come.
-	spotLate = 4 * time.Second
-	// rowKept is how long a row stays at most when its worker is gone.
-	rowKept = 3 * time.Second
-	// startSoon and startLate bound how long a new worker takes until it is ready.
-	startSoon, startLate = 1200 * time.Millisecond, 1900 * time.Millisecond
-	// mostScaledIn is the part of all workers that may go without others in their place.
-	mostScaledIn = 5
+	// leaveInterval is the time between two leaving workers of a series.
+	leaveInterval = time.Second
+	// firstSeriesAt is the earliest time of the first series.
+	firstSeriesAt = 16 * time.Second
+	// drainTime is the shortest time for which a leaving worker other than a spot worker serves. Most serve up to
+	// drainTimeSpread longer, one in six up to maxDrainTime in all.
+	drainTime       = 2 * time.Second
+	drainTimeSpread = 500 * time.Millisecond
+	maxDrainTime    = 12 * time.Second
+	// spotReplacementDelay is the time from the announcement of a spot worker to the order of its replacement.
+	spotReplacementDelay = 4 * time.Second
+	// maxRowRetention is the longest time for which the registry row of an ended worker stays.
+	maxRowRetention = 3 * time.Second
+	// minStartupTime and maxStartupTime bound the time that a new worker needs until it is ready.
+	minStartupTime, maxStartupTime = 1200 * time.Millisecond, 1900 * time.Millisecond
+	// scaledInDivisor bounds the workers that leave without a replacement: at most one in five of the plan's.
+	scaledInDivisor = 5
 )
 
-// leave is what a worker that leaves has decided and done; the zero value: it stays.
+// leave is the state of a worker that leaves. The zero value means that the worker stays.
 type leave struct {
-	// saidAt is when its row said so, endsAt when its life ends.
-	saidAt, endsAt time.Time
-	// unsaid says that its row goes instead, with the leave.
-	unsaid bool
-	// over says that its life has ended for good; its row stays until rowUntil.
+	// begunAt is the time at which the worker began to leave, endsAt the time at which it ends.
+	begunAt, endsAt time.Time
+	// unannounced means that the worker's row is removed at begunAt, without an announcement.
+	unannounced bool
+	// over means that the worker has ended for good. Its row stays until rowUntil.
 	over     bool
 	rowUntil time.Time
 }
 
-func (l leave) leaves() bool { return !l.saidAt.IsZero() }
+// leaves returns whether the worker has begun to leave.
+func (l leave) leaves() bool { return !l.begunAt.IsZero() }
 
-// planLeaving has series of workers leave.
-func (w *World) planLeaving() {
+// scheduleLeaving schedules the plan's series of leaving workers.
+func (w *World) scheduleLeaving() {
 	l := w.plan.Leaving
 	if l.Series == 0 {
 		return
 	}
-	at := firstLeaves
+	at := firstSeriesAt
 	for range l.Series {
 		at += w.between(0, 3*time.Second)
 		kind := l.Kinds[w.rand.IntN(len(l.Kinds))]
 		count := max(1, l.Least) + w.rand.IntN(l.Most-max(1, l.Least)+1)
 		if l.Before > 0 {
-			w.planFaultsBefore(at, l.Before)
+			w.scheduleFaultsBefore(at, l.Before)
 		}
-		w.after(at, func() { w.leaveInTurn(kind, count) })
-		at += time.Duration(count)*leaveStep + l.Apart
+		w.after(at, func() { w.leaveOneByOne(kind, count) })
+		at += time.Duration(count)*leaveInterval + l.Apart
 	}
 }
 
 const (
-	// faultsSoon and faultsLate bound how long before a series faults strike, faultsIn how long after it has
-	// begun some do.
-	faultsSoon, faultsLate = 8 * time.Second, 13 * time.Second
-	faultsIn               = 4 * time.Second
-	// shortFault and longFault bound how long those last.
-	shortFault, longFault = 300 * time.Millisecond, 4 * time.Second
+	// minFaultLead and maxFaultLead bound the time from a fault to the series that follows. maxFaultLag bounds the time
+	// from the beginning of a series to the faults in it.
+	minFaultLead, maxFaultLead = 8 * time.Second, 13 * time.Second
+	maxFaultLag                = 4 * time.Second
+	// minFaultSpan and maxFaultSpan bound the duration of these faults.
+	minFaultSpan, maxFaultSpan = 300 * time.Millisecond, 4 * time.Second
 )
 
-// planFaultsBefore has faults strike before a series of leaves, and some as it begins.
-func (w *World) planFaultsBefore(series time.Duration, count int) {
+// scheduleFaultsBefore schedules faults before a series of leaving workers. One fault in four falls into the first
+// seconds of the series.
+func (w *World) scheduleFaultsBefore(series time.Duration, count int) {
 	for range count {
-		at := series - w.between(faultsSoon, faultsLate)
+		at := series - w.between(minFaultLead, maxFaultLead)
 		if w.rand.IntN(4) == 0 {
-			at = series + w.between(0, faultsIn)
+			at = series + w.between(0, maxFaultLag)
 		}
-		w.after(at, w.strikeLeader)
+		w.after(at, w.injectFaultNearLeader)
 	}
 }
 
-// strikeLeader brings about one of the faults after which others lead, or tasks are suspected.
-func (w *World) strikeLeader() {
-	span := w.between(shortFault, longFault)
+// injectFaultNearLeader injects a fault that changes the leader of a cell, or that makes tasks suspected of crashes.
+func (w *World) injectFaultNearLeader() {
+	span := w.between(minFaultSpan, maxFaultSpan)
 	cell := w.cells[w.rand.IntN(len(w.cells))]
 	h := w.leaderOf(cell)
 	if h == nil {
@@ -132,9 +135,9 @@
 	case 3:
 		h.suspend(span)
 	case 4:
-		w.flap()
+		w.crashOneWorker()
 	case 5:
-		w.crashMany()
+		w.crashHalfOfWorkers()
 	case 6:
 		for _, each := range w.hosts {
 			each.kill(w.between(500*time.Millisecond, 1500*time.Millisecond))
@@ -147,8 +150,9 @@
 	}
 }
 
-// leaveInTurn has one worker leave, and the others of its series after it.
-func (w *World) leaveInTurn(kind LeaveKind, count int) {
+// leaveOneByOne makes a random worker leave, starts its replacement, and schedules the rest of the series. The series
+// ends early once one worker per cell is left, or once too many have been scaled in.
+func (w *World) leaveOneByOne(kind LeaveKind, count int) {
 	var stay []*worker
 	for _, k := range w.workers {
 		if k.up && !k.leave.leaves() {
@@ -158,47 +162,48 @@
 	if count == 0 || len(stay) <= len(w.cells) {
 		return
 	}
-	if kind == LeaveScaledIn && len(stay) <= w.plan.Workers-w.plan.Workers/mostScaledIn {
+	if kind == LeaveScaledIn && len(stay) <= w.plan.Workers-w.plan.Workers/scaledInDivisor {
 		return
 	}
 	k := stay[w.rand.IntN(len(stay))]
 	k.beginLeave(kind)
 	switch kind {
 	case LeaveSpot:
-		w.after(spotLate, func() { w.join(k.Machine) })
-	case LeaveReleased, LeaveUnsaid:
+		w.after(spotReplacementDelay, func() { w.join(k.Machine) })
+	case LeaveReleased, LeaveUnannounced:
 		w.join(k.Machine)
 	case LeaveScaledIn:
 	}
-	w.after(leaveStep, func() { w.leaveInTurn(kind, count-1) })
+	w.after(leaveInterval, func() { w.leaveOneByOne(kind, count-1) })
 }
 
-// join starts a new machine's worker.
+// join starts a worker on a new machine, after a random start-up time.
 func (w *World) join(m Machine) {
-	w.after(w.between(startSoon, startLate), func() {
+	w.after(w.between(minStartupTime, maxStartupTime), func() {
 		k := newWorker(w, fmt.Sprintf("worker-%d", len(w.workers)), m)
 		w.workers = append(w.workers, k)
 		w.logf("%s joins %s", k.id(), k.Hall)
 	})
 }
 
+// beginLeave makes the worker leave. It serves until a random end, which may come after the drain time.
 func (k *worker) beginLeave(kind LeaveKind) {
 	w := k.world
-	serves := drainTime + w.between(0, drainMore)
+	serves := drainTime + w.between(0, drainTimeSpread)
 	switch {
 	case kind == LeaveSpot:
 		serves = w.between(100*time.Millisecond, drainTime)
 	case w.rand.IntN(6) == 0:
-		serves = w.between(drainTime, drainLong)
+		serves = w.between(drainTime, maxDrainTime)
 	}
-	k.leave.saidAt, k.leave.endsAt = w.now, w.now.Add(serves)
-	k.leave.unsaid = kind == LeaveUnsaid
+	k.leave.begunAt, k.leave.endsAt = w.now, w.now.Add(serves)
+	k.leave.unannounced = kind == LeaveUnannounced
 	w.logf("%s leaves (%s), and serves on for %s", k.id(), kind, serves)
-	w.after(serves, k.endForGood)
+	w.after(serves, k.endDeparted)
 }
 
-// endForGood ends a life that left, with all that runs there.
-func (k *worker) endForGood() {
+// endDeparted ends a leaving worker with all its runs. No incarnation follows.
+func (k *worker) endDeparted() {
 	w := k.world
 	if k.leave.over {
 		return
@@ -206,25 +211,25 @@
 	k.leave.over = true
 	if k.up {
 		w.logf("%s is gone", k.id())
-		k.leave.rowUntil = w.now.Add(w.between(0, rowKept))
+		k.leave.rowUntil = w.now.Add(w.between(0, maxRowRetention))
 		k.endLife("gone")
 		k.breakCalls()
 	}
 }
 
-// hasRow says whether the list of workers names the worker.
+// hasRow returns whether the worker registry has a row of the worker.
 func (k *worker) hasRow() bool {
-	if k.leave.leaves() && k.leave.unsaid {
+	if k.leave.leaves() && k.leave.unannounced {
 		return false
 	}
 	return k.up || k.world.now.Before(k.leave.rowUntil)
 }
 
-// sayLeave completes what the worker's row says of its state.
+// sayLeave sets the fields of the worker's row that announce that it leaves.
 func (k *worker) sayLeave(r *workers.Record) {
-	if !k.leave.leaves() || k.leave.unsaid {
+	if !k.leave.leaves() || k.leave.unannounced {
 		return
 	}
 	r.Ready, r.Leaving = false, true
-	r.Remaining = max(0, k.leave.saidAt.Add(drainTime).Sub(k.world.now))
+	r.Remaining = max(0, k.leave.begunAt.Add(drainTime).Sub(k.world.now))
 }
--- a/pkg/emulator/touch.go
+++ b/pkg/emulator/touch.go
@@ -2,41 +2,43 @@
 
 import "time"
 
-// Which hosts are in touch: rules with a bound in time hold for these alone.
+// Hosts in contact. A host is in contact if it and its links have had no fault for contactTime. The rule UNASKED holds
+// for starts after a cancel if the order came from such a host, and the table has had no fault for contactTime.
 
 const (
-	// contact is for how long nothing may have ailed a host, its links and the table.
-	contact = 4 * time.Second
-	// promptOrder is how old an order may be when it is carried out, to count as its host's own doing.
-	promptOrder = time.Second
+	// contactTime is the time without faults of the host, its links and the table after which a host is in contact.
+	contactTime = 4 * time.Second
+	// maxOrderAge bounds the age of an order at its execution. An older order says nothing about the present state of
+	// its host.
+	maxOrderAge = time.Second
 )
 
-// inTouch says whether the order that a worker carries out was given just now, by a host that was in
-// touch.
+// inTouch returns whether the order that a worker executes is younger than maxOrderAge and comes from a host in contact.
+// It returns false on days without Plan.Touch.
 func (c *checker) inTouch(k *worker) bool {
 	w, by := c.world, k.orderedBy
-	return w.plan.Touch && by != nil && w.now.Sub(k.orderedAt) < promptOrder && w.tableStable() && by.sound()
+	return w.plan.Touch && by != nil && w.now.Sub(k.orderedAt) < maxOrderAge && w.tableInContact() && by.inContact()
 }
 
-// tableStable says whether nothing has ailed the table for a while.
-func (w *World) tableStable() bool {
+// tableInContact returns whether the table has had no fault for contactTime.
+func (w *World) tableInContact() bool {
 	t := w.table
 	for _, until := range []time.Time{t.downUntil, t.losesUntil, t.slowUntil} {
-		if w.now.Sub(until) < contact {
+		if w.now.Sub(until) < contactTime {
 			return false
 		}
 	}
 	return true
 }
 
-// sound says whether a host has run, with all its links, for a while.
-func (h *host) sound() bool {
+// inContact returns whether the host has run without a fault of its own or of its links for contactTime.
+func (h *host) inContact() bool {
 	w := h.world
-	if !h.up || w.now.Sub(h.bootedAt) < contact || w.now.Sub(h.frozenUntil) < contact {
+	if !h.up || w.now.Sub(h.bootedAt) < contactTime || w.now.Sub(h.frozenUntil) < contactTime {
 		return false
 	}
 	for ends, until := range w.cuts {
-		if (ends[0] == h.name || ends[1] == h.name) && w.now.Sub(until) < contact {
+		if (ends[0] == h.name || ends[1] == h.name) && w.now.Sub(until) < contactTime {
 			return false
 		}
 	}
