--- a/pkg/configfile/configfile.go
+++ b/pkg/configfile/configfile.go
@@ -25,11 +25,11 @@
 	Help     string
 	Set      func(c *T, literal []byte) error
 	// Rows, in place of Set, reads a list of objects and returns its problems.
-	Rows func(c *T, r *reader, v hujson.Value) []string
+	Rows func(c *T, r *sourceFile, v hujson.Value) []string
 }
 
-// reader is a file that is being read.
-type reader struct {
+// sourceFile is a file that is being read.
+type sourceFile struct {
 	file   string
 	source []byte
 }
@@ -40,7 +40,7 @@
 	if err != nil {
 		return fault.New(fault.BadInput, file, "not JSON with comments", "mend the syntax").WithCause(err)
 	}
-	r := &reader{file: file, source: source}
+	r := &sourceFile{file: file, source: source}
 	if problems := readObject(r, syntax, c, fields); len(problems) > 0 {
 		return fault.New(fault.BadInput, "", strings.Join(problems, "\n"), "")
 	}
@@ -48,7 +48,7 @@
 }
 
 // readObject reads one object by its table of fields, and returns what is wrong with it.
-func readObject[T any](r *reader, v hujson.Value, c *T, fields []Field[T]) []string {
+func readObject[T any](r *sourceFile, v hujson.Value, c *T, fields []Field[T]) []string {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
 		return []string{r.position(v) + "not an object; write it as { ... }"}
@@ -59,7 +59,7 @@
 		m := &object.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
 		seen[name] = true
-		problems = append(problems, set(r, c, fields, name, m)...)
+		problems = append(problems, readMember(r, c, fields, name, m)...)
 	}
 	for _, f := range fields {
 		if f.Required && !seen[f.Name] {
@@ -69,7 +69,7 @@
 	return problems
 }
 
-func set[T any](r *reader, c *T, fields []Field[T], name string, m *hujson.ObjectMember) []string {
+func readMember[T any](r *sourceFile, c *T, fields []Field[T], name string, m *hujson.ObjectMember) []string {
 	value := m.Value.Clone()
 	value.Standardize()
 	known := make([]string, 0, len(fields))
@@ -91,8 +91,8 @@
 
 // Rows reads a list of objects, each by the same table of fields, into the list that at
 // names.
-func Rows[T, E any](fields []Field[E], at func(*T) *[]E) func(*T, *reader, hujson.Value) []string {
-	return func(c *T, r *reader, v hujson.Value) []string {
+func Rows[T, E any](fields []Field[E], at func(*T) *[]E) func(*T, *sourceFile, hujson.Value) []string {
+	return func(c *T, r *sourceFile, v hujson.Value) []string {
 		list, ok := v.Value.(*hujson.Array)
 		if !ok {
 			return []string{r.position(v) + "not a list; write it as [ ... ]"}
@@ -107,7 +107,7 @@
 	}
 }
 
-func (r *reader) position(v hujson.Value) string {
+func (r *sourceFile) position(v hujson.Value) string {
 	return position(r.file, r.source, v.StartOffset)
 }
 
--- a/pkg/container/expiring.go
+++ b/pkg/container/expiring.go
@@ -21,8 +21,8 @@
 type expiringEntry[K comparable, V any] struct {
 	key   K
 	value V
-	put   time.Time
-	until time.Time
+	putAt   time.Time
+	expiresAt time.Time
 }
 
 // NewExpiring returns an empty map for so many entries.
@@ -34,7 +34,7 @@
 func (m *Expiring[K, V]) Get(now time.Time, key K) (V, bool) {
 	if element, ok := m.entries[key]; ok {
 		e := element.Value.(*expiringEntry[K, V])
-		if now.Before(e.until) {
+		if now.Before(e.expiresAt) {
 			return e.value, true
 		}
 		m.remove(element)
@@ -49,7 +49,7 @@
 		m.remove(element)
 	}
 	m.sweep(now)
-	m.entries[key] = m.order.PushBack(&expiringEntry[K, V]{key: key, value: value, put: now, until: now.Add(span)})
+	m.entries[key] = m.order.PushBack(&expiringEntry[K, V]{key: key, value: value, putAt: now, expiresAt: now.Add(span)})
 }
 
 // LostUntil is the time of the newest entry that was dropped for want of room;
@@ -64,12 +64,12 @@
 func (m *Expiring[K, V]) sweep(now time.Time) {
 	for element := m.order.Front(); element != nil; element = m.order.Front() {
 		e := element.Value.(*expiringEntry[K, V])
-		ended := !now.Before(e.until)
+		ended := !now.Before(e.expiresAt)
 		if !ended && m.order.Len() < m.limit {
 			return
 		}
 		if !ended {
-			m.lostUntil = e.put
+			m.lostUntil = e.putAt
 		}
 		m.remove(element)
 	}
--- a/pkg/embedded/embedded.go
+++ b/pkg/embedded/embedded.go
@@ -20,7 +20,7 @@
 	workers     = 3
 	runners     = 4
 	runnerSlots = 8
-	listLag     = 200 * time.Millisecond
+	hostListLag     = 200 * time.Millisecond
 )
 
 // workerSize is the size of an embedded worker: 32 cores and 125 GB.
@@ -37,7 +37,7 @@
 // Start starts the stand-ins for one hall. The runners serve the given
 // services.
 func Start(hallName string, services []string) (*Standins, error) {
-	s := &Standins{platform: standin.NewPlatform(listLag)}
+	s := &Standins{platform: standin.NewPlatform(hostListLag)}
 	var err error
 	if s.Platform, err = Serve(s.platform); err != nil {
 		return nil, err
--- a/pkg/eventlog/eventlog.go
+++ b/pkg/eventlog/eventlog.go
@@ -20,8 +20,8 @@
 	bufferLines = 4096
 	// linesPerSecond is the budget. A leader on a busy day writes about 200.
 	linesPerSecond = 2000
-	// flushEvery is how long lines may wait, so that many share one write.
-	flushEvery = 200 * time.Millisecond
+	// flushInterval is how long lines may wait, so that many share one write.
+	flushInterval = 200 * time.Millisecond
 	// flushBytes is about how much is written at once: a pipe takes so much
 	// whole (PIPE_BUF), so that no line is torn.
 	flushBytes = 4 << 10
@@ -35,12 +35,12 @@
 	dropped atomic.Int64
 	total   atomic.Int64
 	budget  atomic.Int64
-	writing chan struct{}
+	writeLock chan struct{}
 }
 
 // New returns a log that writes to out once Serve runs.
 func New(out io.Writer, level logrus.Level) *Log {
-	l := &Log{out: out, lines: make(chan []byte, bufferLines), writing: make(chan struct{}, 1)}
+	l := &Log{out: out, lines: make(chan []byte, bufferLines), writeLock: make(chan struct{}, 1)}
 	l.budget.Store(linesPerSecond)
 	l.logger = &logrus.Logger{
 		Out: queue{l}, Level: level, Hooks: logrus.LevelHooks{},
@@ -66,18 +66,18 @@
 
 func (q queue) Write(line []byte) (int, error) {
 	if q.log.budget.Add(-1) < 0 {
-		q.log.drop()
+		q.log.countDropped()
 		return len(line), nil
 	}
 	select {
 	case q.log.lines <- append([]byte(nil), line...):
 	default:
-		q.log.drop()
+		q.log.countDropped()
 	}
 	return len(line), nil
 }
 
-func (l *Log) drop() {
+func (l *Log) countDropped() {
 	l.dropped.Add(1)
 	l.total.Add(1)
 }
@@ -87,7 +87,7 @@
 
 // Serve writes lines until the context ends.
 func (l *Log) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(flushEvery)
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	refill := time.Now()
 	for {
@@ -110,8 +110,8 @@
 
 // Flush writes what waits.
 func (l *Log) Flush() {
-	l.writing <- struct{}{}
-	defer func() { <-l.writing }()
+	l.writeLock <- struct{}{}
+	defer func() { <-l.writeLock }()
 	var batch []byte
 	for {
 		select {
--- a/pkg/serve/fleet.go
+++ b/pkg/serve/fleet.go
@@ -24,9 +24,9 @@
 	// gcPercent lets the heap grow to this much above what lives, in percent.
 	// Processor time is dearer than memory on small hosts, up to the limit.
 	gcPercent = 400
-	// memoryShare is the share of a process's memory that the runtime keeps
+	// memoryLimitShare is the share of a process's memory that the runtime keeps
 	// within; the rest is for what it does not count.
-	memoryShare = 0.6
+	memoryLimitShare = 0.6
 )
 
 // newFleetCommand runs an entry host on the users' platform.
@@ -35,7 +35,7 @@
 	cmd := &cobra.Command{
 		Use:     "fleet",
 		Short:   "Run an entry host that schedules jobs on the platform's table service",
-		Long:    fleetLong(),
+		Long:    fleetLongHelp(),
 		Example: "  wrenferryd fleet --config /etc/wrenferry/settings.yaml",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return runFleet(cmd.Context(), config, out) },
@@ -45,7 +45,7 @@
 	return cmd
 }
 
-func fleetLong() string {
+func fleetLongHelp() string {
 	var b strings.Builder
 	b.WriteString("Settings of the process (JSON with comments):\n")
 	for _, f := range fleet.Fields {
@@ -92,7 +92,7 @@
 }
 
 func limitMemory(config fleet.Config) {
-	debug.SetMemoryLimit(int64(config.MemoryMB * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(config.MemoryMB * memoryLimitShare * (1 << 20)))
 }
 
 // OnPlatform joins a host to the platform's adapters.
--- a/pkg/serve/fleettry.go
+++ b/pkg/serve/fleettry.go
@@ -22,12 +22,12 @@
 // them as callers do, stops the leader of a cell, and tells what became of each job.
 
 const (
-	// tryLimit is how long the whole try-out may take.
-	tryLimit = 40 * time.Second
-	// tryLookEvery is how often it looks whether something has come about.
-	tryLookEvery = 30 * time.Millisecond
-	// tryTask is how long a task takes.
-	tryTask = 150 * time.Millisecond
+	// tryTimeout is how long the whole try-out may take.
+	tryTimeout = 40 * time.Second
+	// tryPollInterval is how often it looks whether something has come about.
+	tryPollInterval = 30 * time.Millisecond
+	// tryTaskDuration is how long a task takes.
+	tryTaskDuration = 150 * time.Millisecond
 )
 
 func newFleetTryCommand(out io.Writer) *cobra.Command {
@@ -37,7 +37,7 @@
 		Example: "  wrenferryd fleet try",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, cancel := context.WithTimeout(cmd.Context(), tryLimit)
+			ctx, cancel := context.WithTimeout(cmd.Context(), tryTimeout)
 			defer cancel()
 			return tryFleet(ctx, out)
 		},
@@ -48,11 +48,11 @@
 type fleetTry struct {
 	out        io.Writer
 	deployment *platformtest.Deployment
-	hosts      []*triedHost
+	hosts      []*runningHost
 }
 
-// triedHost is a host that runs, and how to stop it as planned.
-type triedHost struct {
+// runningHost is a host that runs, and how to stop it as planned.
+type runningHost struct {
 	*fleet.Host
 	stop  context.CancelFunc
 	ended chan error
@@ -60,7 +60,7 @@
 
 func tryFleet(ctx context.Context, out io.Writer) error {
 	halls := []string{"hall-a", "hall-b"}
-	t := &fleetTry{out: out, deployment: platformtest.NewDeployment(halls, 2, tryTask)}
+	t := &fleetTry{out: out, deployment: platformtest.NewDeployment(halls, 2, tryTaskDuration)}
 	defer t.deployment.Close()
 	defer t.stopAll()
 	fmt.Fprintln(out, "An embedded table service and four runners in two halls: nothing is kept.")
@@ -73,10 +73,10 @@
 		title string
 		run   func(context.Context) error
 	}{
-		{"Three entry hosts are ready, and each hall's cell is led", t.ready},
+		{"Three entry hosts are ready, and each hall's cell is led", t.awaitReady},
 		{"A caller hands a job of two steps in, twice, at two hosts: it stays one job", t.runJob},
 		{"The leader of hall-a is stopped while a job runs: another host goes on with it", t.stopLeader},
-		{"A job that nobody handed in, and a path that is no queue", t.unknown},
+		{"A job that nobody handed in, and a path that is no queue", t.callUnknownJobs},
 	} {
 		fmt.Fprintf(out, "\n== %s\n", step.title)
 		if err := step.run(ctx); err != nil {
@@ -105,7 +105,7 @@
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	tried := &triedHost{Host: h, stop: stop, ended: make(chan error, 1)}
+	tried := &runningHost{Host: h, stop: stop, ended: make(chan error, 1)}
 	go func() { tried.ended <- h.Run(ctx) }()
 	t.hosts = append(t.hosts, tried)
 	return nil
@@ -120,20 +120,20 @@
 	}
 }
 
-// until waits for something to come about.
-func (t *fleetTry) until(ctx context.Context, what string, ok func() bool) error {
+// waitFor waits for something to come about.
+func (t *fleetTry) waitFor(ctx context.Context, what string, ok func() bool) error {
 	for !ok() {
 		select {
 		case <-ctx.Done():
 			return fault.New(fault.Unavailable, what, "did not come about in time", "")
-		case <-time.After(tryLookEvery):
+		case <-time.After(tryPollInterval):
 		}
 	}
 	return nil
 }
 
-func (t *fleetTry) ready(ctx context.Context) error {
-	err := t.until(ctx, "all hosts ready, all cells led", func() bool {
+func (t *fleetTry) awaitReady(ctx context.Context) error {
+	err := t.waitFor(ctx, "all hosts ready, all cells led", func() bool {
 		for _, h := range t.hosts {
 			if ok, _ := h.Ready(clock.Now()); !ok {
 				return false
@@ -152,7 +152,7 @@
 }
 
 // leader is the host that leads a cell, with its jobs loaded.
-func (t *fleetTry) leader(cell string) *triedHost {
+func (t *fleetTry) leader(cell string) *runningHost {
 	for _, h := range t.hosts {
 		if h.Control.View().Cells[cell].Mine && h.Control.Load(context.Background(), cell, false).GetLeading() {
 			return h
@@ -168,10 +168,10 @@
 			return err
 		}
 	}
-	return t.completes(ctx, t.hosts[2], id)
+	return t.awaitCompleted(ctx, t.hosts[2], id)
 }
 
-func (t *fleetTry) submit(ctx context.Context, h *triedHost, id string) error {
+func (t *fleetTry) submit(ctx context.Context, h *runningHost, id string) error {
 	status, _, err := platformtest.Call(ctx, h.Config.Callers, http.MethodPost, id, platformtest.TwoSteps)
 	if err != nil || status != http.StatusOK {
 		return fault.New(fault.Unavailable, id, fmt.Sprintf("handing it in at %s was answered %d", h.Config.Name, status), "").WithCause(err)
@@ -180,9 +180,9 @@
 	return nil
 }
 
-// completes waits for a job's end, and tells how often its tasks were started.
-func (t *fleetTry) completes(ctx context.Context, at *triedHost, id string) error {
-	err := t.until(ctx, "job "+id+" completed", func() bool {
+// awaitCompleted waits for a job's end, and tells how often its tasks were started.
+func (t *fleetTry) awaitCompleted(ctx context.Context, at *runningHost, id string) error {
+	err := t.waitFor(ctx, "job "+id+" completed", func() bool {
 		_, body, err := platformtest.Call(ctx, at.Config.Callers, http.MethodGet, id, "")
 		return err == nil && strings.Contains(body, "completed")
 	})
@@ -210,7 +210,7 @@
 		return err
 	}
 	old.stop()
-	err := t.until(ctx, "another leader of hall-a", func() bool {
+	err := t.waitFor(ctx, "another leader of hall-a", func() bool {
 		next := t.leader("hall-a")
 		return next != nil && next != old
 	})
@@ -218,10 +218,10 @@
 		return err
 	}
 	fmt.Fprintf(t.out, "%s stops; hall-a is led by %s\n", old.Config.Name, t.leader("hall-a").Config.Name)
-	return t.completes(ctx, t.hosts[2], id)
+	return t.awaitCompleted(ctx, t.hosts[2], id)
 }
 
-func (t *fleetTry) unknown(ctx context.Context) error {
+func (t *fleetTry) callUnknownJobs(ctx context.Context) error {
 	for _, c := range []struct {
 		job    string
 		status int
--- a/pkg/serve/fleettry_test.go
+++ b/pkg/serve/fleettry_test.go
@@ -11,7 +11,7 @@
 
 // The main job on the embedded stand-in of the platform, a planned stop of a leader
 // included.
-func TestTheTryOutOnATableService(t *testing.T) {
+func TestFleetTryCompletesItsJobs(t *testing.T) {
 	t.Parallel()
 	var out, errs bytes.Buffer
 	code := serve.Main([]string{"fleet", "try"}, &out, &errs)
--- a/pkg/serve/serve.go
+++ b/pkg/serve/serve.go
@@ -57,7 +57,7 @@
 	root := &cobra.Command{
 		Use:           "wrenferryd",
 		Short:         "The entry host's daemon of wrenferry",
-		Long:          long(),
+		Long:          longHelp(),
 		Example:       "  wrenferryd --config /etc/wrenferry/process.jsonc\n  wrenferryd try",
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -77,7 +77,7 @@
 	return root
 }
 
-func long() string {
+func longHelp() string {
 	var b strings.Builder
 	b.WriteString("wrenferryd is the one daemon of every entry host. It serves callers, operators\nand its peers, and may lead its hall.\n\nSettings of the process (JSON with comments):\n")
 	for _, f := range daemon.Fields {
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	unsafe, err := fences(f.unsafe)
+	unsafe, err := parseFences(f.unsafe)
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 	return names
 }
 
-func fences(names []string) (daemon.Unsafe, error) {
+func parseFences(names []string) (daemon.Unsafe, error) {
 	var u daemon.Unsafe
 	for _, name := range names {
 		found := false
