--- a/pkg/cli/audit.go
+++ b/pkg/cli/audit.go
@@ -34,7 +34,7 @@
 func auditLines(entries []operators.AuditView) [][]any {
 	lines := make([][]any, 0, len(entries))
 	for _, a := range entries {
-		lines = append(lines, []any{a.At.Format(time.DateTime), a.Actor, a.Verb, a.Object, dash(a.Detail)})
+		lines = append(lines, []any{a.At.Format(time.DateTime), a.Actor, a.Verb, a.Object, orDash(a.Detail)})
 	}
 	return lines
 }
--- a/pkg/cli/cli.go
+++ b/pkg/cli/cli.go
@@ -123,8 +123,8 @@
 		SilenceErrors: true,
 	}
 	persistent := root.PersistentFlags()
-	persistent.StringVar(&f.address, "address", firstOf(os.Getenv(addressVariable), defaultAddress), "operators' addresses of entry hosts, with commas between")
-	persistent.StringVar(&f.actor, "actor", firstOf(os.Getenv("USER"), "unknown"), "who you are, for the audit trail")
+	persistent.StringVar(&f.address, "address", firstNonEmpty(os.Getenv(addressVariable), defaultAddress), "operators' addresses of entry hosts, with commas between")
+	persistent.StringVar(&f.actor, "actor", firstNonEmpty(os.Getenv("USER"), "unknown"), "who you are, for the audit trail")
 	persistent.StringVarP(&f.output, "output", "o", "table", "table for people, json for programs")
 	groups := map[string]*cobra.Command{}
 	for _, v := range verbs {
@@ -133,7 +133,7 @@
 	return root
 }
 
-func firstOf(words ...string) string {
+func firstNonEmpty(words ...string) string {
 	for _, w := range words {
 		if w != "" {
 			return w
@@ -157,7 +157,7 @@
 	command := &cobra.Command{
 		Use:     strings.TrimSpace(name + " " + v.args),
 		Short:   v.short,
-		Long:    firstOf(v.long, v.short),
+		Long:    firstNonEmpty(v.long, v.short),
 		Example: v.example,
 		Args:    arguments(v),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -189,8 +189,8 @@
 	set.BoolVar(&f.dryRun, "dry-run", false, "say what would be done, and do nothing")
 }
 
-// wouldDo says what a verb would do, if it is a dry run.
-func (s *session) wouldDo(format string, args ...any) bool {
+// reportDryRun says what a verb would do, if it is a dry run.
+func (s *session) reportDryRun(format string, args ...any) bool {
 	if s.flags.dryRun {
 		fmt.Fprintf(s.out, "would "+format+"; nothing was changed\n", args...)
 	}
--- a/pkg/cli/client.go
+++ b/pkg/cli/client.go
@@ -66,7 +66,7 @@
 		return fault.New(fault.Unknown, address, "the answer broke off", "ask again").WithCause(err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return problem(text)
+		return faultFromProblem(text)
 	}
 	if err := json.Unmarshal(text, out); err != nil {
 		return fault.New(fault.Internal, path, "the answer can't be read", "do wrenferry and wrenferryd have the same version?").WithCause(err)
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// problem turns a problem body back into the fault that it tells of.
-func problem(text []byte) error {
+// faultFromProblem turns a problem body back into the fault that it tells of.
+func faultFromProblem(text []byte) error {
 	var p struct {
 		operators.Problem
 		Reason string `json:"reason"`
@@ -84,7 +84,7 @@
 	if json.Unmarshal(text, &p) != nil {
 		return fault.New(fault.Internal, "", string(text), "")
 	}
-	return fault.New(fault.Code(firstOf(p.Code, p.Reason)), "", p.Detail, p.Remedy)
+	return fault.New(fault.Code(firstNonEmpty(p.Code, p.Reason)), "", p.Detail, p.Remedy)
 }
 
 // get reads a view.
--- a/pkg/cli/delays.go
+++ b/pkg/cli/delays.go
@@ -61,17 +61,17 @@
 			return err
 		}
 		for _, l := range lines {
-			takeTimes(all, lacks, l)
+			addLogLine(all, lacks, l)
 		}
 	}
 	if len(all) == 0 {
 		return fault.New(fault.NotFound, strings.Join(s.args, " "), "no line of these logs is about a job", "collect the logs of all hosts")
 	}
-	return show(s, delaysOf(all, lacks), "QUEUE JOBS DONE FAILED MEAN-MS P95-MS WAIT AGAIN RUN RECORD LACKED", delayLines)
+	return show(s, delaysByQueue(all, lacks), "QUEUE JOBS DONE FAILED MEAN-MS P95-MS WAIT AGAIN RUN RECORD LACKED", delayLines)
 }
 
-// takeTimes takes in one line.
-func takeTimes(all map[string]*jobTimes, lacks map[string]map[string]int, l logLine) {
+// addLogLine takes in one line.
+func addLogLine(all map[string]*jobTimes, lacks map[string]map[string]int, l logLine) {
 	if l.Job == "" {
 		return
 	}
@@ -100,7 +100,7 @@
 			}
 		}
 	case cell.NoteWaits:
-		countLacks(lacks, l)
+		countLackedResources(lacks, l)
 	default:
 	}
 }
@@ -112,14 +112,14 @@
 	return a
 }
 
-// lackForm finds what usable workers lacked, and how many, in a line's detail.
-var lackForm = regexp.MustCompile(`([a-z][a-z ]*):(\d+)`)
+// lackPattern finds what usable workers lacked, and how many, in a line's detail.
+var lackPattern = regexp.MustCompile(`([a-z][a-z ]*):(\d+)`)
 
-func countLacks(lacks map[string]map[string]int, l logLine) {
+func countLackedResources(lacks map[string]map[string]int, l logLine) {
 	if lacks[l.Job] == nil {
 		lacks[l.Job] = map[string]int{}
 	}
-	for _, m := range lackForm.FindAllStringSubmatch(l.Detail, -1) {
+	for _, m := range lackPattern.FindAllStringSubmatch(l.Detail, -1) {
 		if n, err := strconv.Atoi(m[2]); err == nil {
 			lacks[l.Job][strings.TrimSpace(m[1])] += n
 		}
@@ -127,10 +127,10 @@
 }
 
 // timeParts are the waits, lost time and run time of a job's critical tasks.
-type timeParts struct{ wait, again, run time.Duration }
+type timeParts struct{ wait, lost, run time.Duration }
 
-// critical adds up over a job's steps, in the order in which they began.
-func (j *jobTimes) critical() timeParts {
+// criticalTimes adds up over a job's steps, in the order in which they began.
+func (j *jobTimes) criticalTimes() timeParts {
 	type step struct{ began, ended, first, last time.Time }
 	steps := map[string]*step{}
 	for task, runs := range j.runs {
@@ -155,7 +155,7 @@
 			continue
 		}
 		p.wait += max(0, st.first.Sub(ready))
-		p.again += st.last.Sub(st.first)
+		p.lost += st.last.Sub(st.first)
 		p.run += st.ended.Sub(st.last)
 		if st.ended.After(ready) {
 			ready = st.ended
@@ -164,20 +164,20 @@
 	return p
 }
 
-func delaysOf(all map[string]*jobTimes, lacks map[string]map[string]int) []QueueDelays {
+func delaysByQueue(all map[string]*jobTimes, lacks map[string]map[string]int) []QueueDelays {
 	byQueue := map[string][]string{}
 	for id, j := range all {
 		byQueue[j.queue] = append(byQueue[j.queue], id)
 	}
 	var list []QueueDelays
 	for _, queue := range slices.Sorted(maps.Keys(byQueue)) {
-		list = append(list, queueDelays(queue, byQueue[queue], all, lacks))
+		list = append(list, delaysOfQueue(queue, byQueue[queue], all, lacks))
 	}
 	return list
 }
 
-func queueDelays(queue string, ids []string, all map[string]*jobTimes, lacks map[string]map[string]int) QueueDelays {
-	d := QueueDelays{Queue: dash(queue), Jobs: len(ids)}
+func delaysOfQueue(queue string, ids []string, all map[string]*jobTimes, lacks map[string]map[string]int) QueueDelays {
+	d := QueueDelays{Queue: orDash(queue), Jobs: len(ids)}
 	var whole []time.Duration
 	sum := timeParts{}
 	record, recorded := time.Duration(0), 0
@@ -195,8 +195,8 @@
 		}
 		d.Done++
 		whole = append(whole, j.ended.Sub(j.queued))
-		p := j.critical()
-		sum.wait, sum.again, sum.run = sum.wait+p.wait, sum.again+p.again, sum.run+p.run
+		p := j.criticalTimes()
+		sum.wait, sum.lost, sum.run = sum.wait+p.wait, sum.lost+p.lost, sum.run+p.run
 		if !j.recorded.IsZero() {
 			record += j.recorded.Sub(j.ended)
 			recorded++
@@ -213,7 +213,7 @@
 	}
 	mean := func(sum time.Duration) int64 { return (sum / time.Duration(d.Done)).Milliseconds() }
 	d.MeanMs, d.P95Ms = mean(total), whole[len(whole)*95/100].Milliseconds()
-	d.WaitMs, d.AgainMs, d.RunMs = mean(sum.wait), mean(sum.again), mean(sum.run)
+	d.WaitMs, d.AgainMs, d.RunMs = mean(sum.wait), mean(sum.lost), mean(sum.run)
 	d.RecordMs = (record / time.Duration(max(1, recorded))).Milliseconds()
 	return d
 }
@@ -241,7 +241,7 @@
 func delayLines(list []QueueDelays) [][]any {
 	lines := make([][]any, 0, len(list))
 	for _, d := range list {
-		lines = append(lines, []any{d.Queue, d.Jobs, d.Done, d.Failed, d.MeanMs, d.P95Ms, d.WaitMs, d.AgainMs, d.RunMs, d.RecordMs, dash(d.Lacked)})
+		lines = append(lines, []any{d.Queue, d.Jobs, d.Done, d.Failed, d.MeanMs, d.P95Ms, d.WaitMs, d.AgainMs, d.RunMs, d.RecordMs, orDash(d.Lacked)})
 	}
 	return lines
 }
--- a/pkg/cli/explain.go
+++ b/pkg/cli/explain.go
@@ -26,7 +26,7 @@
 func factLines(facts []operators.FactView) [][]any {
 	lines := make([][]any, 0, len(facts))
 	for _, f := range facts {
-		lines = append(lines, []any{f.At.Format(time.TimeOnly), dash(f.Hall), f.Object, f.Reason, f.Detail})
+		lines = append(lines, []any{f.At.Format(time.TimeOnly), orDash(f.Hall), f.Object, f.Reason, f.Detail})
 	}
 	return lines
 }
--- a/pkg/cli/fleet_status.go
+++ b/pkg/cli/fleet_status.go
@@ -20,8 +20,8 @@
 	run:     runFleetStatus,
 }
 
-// statusTimeout bounds the question to one host.
-const statusTimeout = 2 * time.Second
+// metricsCallTimeout bounds the question to one host.
+const metricsCallTimeout = 2 * time.Second
 
 // hostStatus is what one address answered.
 type hostStatus struct {
@@ -35,7 +35,7 @@
 	list := make([]hostStatus, 0, len(s.args))
 	answered := 0
 	for _, address := range s.args {
-		status, err := askStatus(ctx, address)
+		status, err := getStatus(ctx, address)
 		one := hostStatus{Address: address, Status: status}
 		if err != nil {
 			one.Error = err.Error()
@@ -53,9 +53,9 @@
 	return nil
 }
 
-func askStatus(ctx context.Context, address string) (*fleet.Status, error) {
+func getStatus(ctx context.Context, address string) (*fleet.Status, error) {
 	status := &fleet.Status{}
-	if err := askHost(ctx, http.MethodGet, address, "/status", status); err != nil {
+	if err := callMetricsAddress(ctx, http.MethodGet, address, "/status", status); err != nil {
 		return nil, err
 	}
 	return status, nil
@@ -69,7 +69,7 @@
 			continue
 		}
 		first := []any{
-			h.Status.Host, h.Status.Hall, dash(map[bool]string{true: "yes", false: h.Status.Why}[h.Status.Ready]),
+			h.Status.Host, h.Status.Hall, orDash(map[bool]string{true: "yes", false: h.Status.Why}[h.Status.Ready]),
 			h.Status.Manifest, fmt.Sprintf("%d ms ago", h.Status.StoreAgeMs),
 		}
 		led := slices.Sorted(maps.Keys(h.Status.Led))
--- a/pkg/cli/fleet_status_test.go
+++ b/pkg/cli/fleet_status_test.go
@@ -34,7 +34,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestAFleetsStatusIsShownForEachHost(t *testing.T) {
+func TestFleetStatusShowsEachHost(t *testing.T) {
 	t.Parallel()
 	var out, errs bytes.Buffer
 	code := cli.Main([]string{"fleet", "status", statusHost(t), "127.0.0.1:1"}, nil, &out, &errs)
@@ -44,14 +44,14 @@
 	must.StrContains(t, out.String(), "no answer")
 }
 
-func TestAFleetOfWhichNobodyAnswersIsAnError(t *testing.T) {
+func TestFleetStatusFailsIfNoHostAnswers(t *testing.T) {
 	t.Parallel()
 	var out, errs bytes.Buffer
 	must.Eq(t, 5, cli.Main([]string{"fleet", "status", "127.0.0.1:1"}, nil, &out, &errs))
 	must.StrContains(t, errs.String(), "no host answered")
 }
 
-func TestAFleetsStatusForPrograms(t *testing.T) {
+func TestFleetStatusPrintsJSON(t *testing.T) {
 	t.Parallel()
 	var out, errs bytes.Buffer
 	must.Eq(t, 0, cli.Main([]string{"fleet", "status", statusHost(t), "-o", "json"}, nil, &out, &errs))
@@ -82,7 +82,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), cleared
 }
 
-func TestSuspectsAreListedWithWhatIsHeldAgainstThem(t *testing.T) {
+func TestFleetSuspectsListsCrashesByTask(t *testing.T) {
 	t.Parallel()
 	address, _ := suspectsHost(t)
 	var out, errs bytes.Buffer
@@ -93,7 +93,7 @@
 	must.Eq(t, 5, cli.Main([]string{"fleet", "suspects", "127.0.0.1:1"}, nil, &out, &errs))
 }
 
-func TestASuspicionIsTakenBackWhereItIsHeld(t *testing.T) {
+func TestFleetClearReachesTheLeaderThatHoldsEvidence(t *testing.T) {
 	t.Parallel()
 	address, cleared := suspectsHost(t)
 	var out, errs bytes.Buffer
--- a/pkg/cli/fleet_suspects.go
+++ b/pkg/cli/fleet_suspects.go
@@ -41,7 +41,7 @@
 	answered := 0
 	for _, address := range s.args {
 		byCell := map[string][]cell.Suspect{}
-		if err := askHost(ctx, http.MethodGet, address, "/suspects", &byCell); err != nil {
+		if err := callMetricsAddress(ctx, http.MethodGet, address, "/suspects", &byCell); err != nil {
 			continue // the other hosts lead the other cells; none at all is said below
 		}
 		answered++
@@ -61,7 +61,7 @@
 	var lines [][]any
 	for _, row := range list {
 		for _, c := range row.Crashes {
-			lines = append(lines, []any{row.Cell, row.Task, row.Level, dash(c.Worker), c.Run, c.Age.Round(time.Millisecond), c.Company, otherCause(c)})
+			lines = append(lines, []any{row.Cell, row.Task, row.Level, orDash(c.Worker), c.Run, c.Age.Round(time.Millisecond), c.Company, otherCause(c)})
 		}
 	}
 	return lines
@@ -87,7 +87,7 @@
 func runFleetClear(ctx context.Context, s *session) error {
 	task := s.args[0]
 	for _, address := range s.args[1:] {
-		if askHost(ctx, http.MethodDelete, address, "/suspects/"+task, nil) == nil {
+		if callMetricsAddress(ctx, http.MethodDelete, address, "/suspects/"+task, nil) == nil {
 			_, err := fmt.Fprintf(s.out, "%s is no longer suspected (by %s)\n", task, address)
 			return err
 		}
@@ -95,9 +95,9 @@
 	return fault.New(fault.NotFound, task, "no host that answered holds anything against it", "see wrenferry fleet suspects")
 }
 
-// askHost calls a host's metrics address, and reads the answer into a value, if one is wanted.
-func askHost(ctx context.Context, method, address, path string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+// callMetricsAddress calls a host's metrics address, and reads the answer into a value, if one is wanted.
+func callMetricsAddress(ctx context.Context, method, address, path string, into any) error {
+	ctx, cancel := context.WithTimeout(ctx, metricsCallTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, http.NoBody)
 	if err != nil {
--- a/pkg/cli/hosts.go
+++ b/pkg/cli/hosts.go
@@ -24,7 +24,7 @@
 func hostLines(hosts []operators.HostView) [][]any {
 	lines := make([][]any, 0, len(hosts))
 	for _, h := range hosts {
-		lines = append(lines, []any{h.Name, h.Role, h.Hall, dash(h.Rack), dash(h.Service), h.Address, h.Leaving})
+		lines = append(lines, []any{h.Name, h.Role, h.Hall, orDash(h.Rack), orDash(h.Service), h.Address, h.Leaving})
 	}
 	return lines
 }
--- a/pkg/cli/job.go
+++ b/pkg/cli/job.go
@@ -47,7 +47,7 @@
 	short:   "Start no more tasks of a job; those that run come to their end",
 	example: "  wrenferry job drain offer-1",
 	flags:   dryRunFlag,
-	run:     jobEnder("drain", "cancel the tasks of %s that have not started"),
+	run:     changeJob("drain", "cancel the tasks of %s that have not started"),
 }
 
 var jobStop = verb{
@@ -55,7 +55,7 @@
 	short:   "Cancel a job; its running tasks are stopped without a checkpoint",
 	example: "  wrenferry job stop offer-1 --dry-run\n  wrenferry job stop offer-1",
 	flags:   dryRunFlag,
-	run:     jobEnder("stop", "stop all tasks of %s; work done so far is lost"),
+	run:     changeJob("stop", "stop all tasks of %s; work done so far is lost"),
 }
 
 func runJobList(ctx context.Context, s *session) error {
@@ -82,7 +82,7 @@
 			return err
 		}
 	}
-	if s.wouldDo("submit %s under the key %q with %d tasks", s.args[0], s.flags.key, s.flags.tasks) {
+	if s.reportDryRun("submit %s under the key %q with %d tasks", s.args[0], s.flags.key, s.flags.tasks) {
 		return nil
 	}
 	path := fmt.Sprintf("/v1/jobs/%s?%s=%d", s.args[0], gateway.TasksParameter, s.flags.tasks)
@@ -93,9 +93,9 @@
 	return s.showJob(view)
 }
 
-func jobEnder(name, would string) func(context.Context, *session) error {
+func changeJob(name, would string) func(context.Context, *session) error {
 	return func(ctx context.Context, s *session) error {
-		if s.wouldDo(would, s.args[0]) {
+		if s.reportDryRun(would, s.args[0]) {
 			return nil
 		}
 		view, err := post[gateway.JobView](ctx, s, "/v1/job-list/"+url.PathEscape(s.args[0])+"/"+name, "", nil)
@@ -116,7 +116,7 @@
 func jobLines(jobs []gateway.JobView) [][]any {
 	lines := make([][]any, 0, len(jobs))
 	for _, j := range jobs {
-		lines = append(lines, []any{j.Key, j.State, j.DoneTasks, j.Tasks, j.Hall, j.Service, j.Kind, dash(j.Reason), dash(j.Result)})
+		lines = append(lines, []any{j.Key, j.State, j.DoneTasks, j.Tasks, j.Hall, j.Service, j.Kind, orDash(j.Reason), orDash(j.Result)})
 	}
 	return lines
 }
--- a/pkg/cli/lab.go
+++ b/pkg/cli/lab.go
@@ -15,21 +15,21 @@
 // What the lab's verbs share: how a workload, its days and the mechanisms to leave out
 // are named.
 
-// usualDays is how many days a verb of the lab plays unless told: some minutes' work on
+// defaultDays is how many days a verb of the lab plays unless told: some minutes' work on
 // eight processors at the size of the examples.
-const usualDays = 16
+const defaultDays = 16
 
-func labFlags(set *pflag.FlagSet, f *flags) {
-	set.IntVar(&f.days, "days", usualDays, "how many days to play, with the seeds 1, 2, ...")
+func daysFlag(set *pflag.FlagSet, f *flags) {
+	set.IntVar(&f.days, "days", defaultDays, "how many days to play, with the seeds 1, 2, ...")
 }
 
-func withoutFlag(set *pflag.FlagSet, f *flags) {
-	labFlags(set, f)
+func daysAndWithoutFlags(set *pflag.FlagSet, f *flags) {
+	daysFlag(set, f)
 	set.StringVar(&f.without, "without", "", "mechanisms to leave out, with commas between; wrenferry lab mechanisms lists them")
 }
 
-// workload reads the workload file that a verb is given.
-func (s *session) workload() (*lab.Workload, error) {
+// readWorkload reads the workload file that a verb is given.
+func (s *session) readWorkload() (*lab.Workload, error) {
 	text, err := s.readFile(s.args[0])
 	if err != nil {
 		return nil, err
@@ -40,8 +40,8 @@
 	return lab.Parse(s.args[0], []byte(text))
 }
 
-// arm names a policy by the mechanisms that it leaves out.
-func arm(names string) (lab.Arm, error) {
+// parseArm names a policy by the mechanisms that it leaves out.
+func parseArm(names string) (lab.Arm, error) {
 	a := lab.Arm{Name: "shipped"}
 	if names == "" {
 		return a, nil
--- a/pkg/cli/lab_compare.go
+++ b/pkg/cli/lab_compare.go
@@ -13,16 +13,16 @@
 	short:   "Compare the shipped policy with one that leaves mechanisms out, day by day",
 	long:    "lab compare plays the same days with both policies and shows by how much their worth\ndiffers, and the interval that holds the true difference 95 times of 100.",
 	example: "  wrenferry lab compare examples/lab/full.jsonc --without serving-by-image --days 32",
-	flags:   withoutFlag,
+	flags:   daysAndWithoutFlags,
 	run:     runLabCompare,
 }
 
 func runLabCompare(_ context.Context, s *session) error {
-	w, err := s.workload()
+	w, err := s.readWorkload()
 	if err != nil {
 		return err
 	}
-	a, err := arm(s.flags.without)
+	a, err := parseArm(s.flags.without)
 	if err != nil {
 		return err
 	}
@@ -37,12 +37,12 @@
 	short:   "Leave each mechanism out in turn, and show what it is worth",
 	long:    "lab ablate compares the shipped policy with one that lacks each mechanism in turn, on\nthe same days. A negative difference is what the mechanism is worth there.",
 	example: "  wrenferry lab ablate examples/lab/full.jsonc --days 32",
-	flags:   labFlags,
+	flags:   daysFlag,
 	run:     runLabAblate,
 }
 
 func runLabAblate(_ context.Context, s *session) error {
-	w, err := s.workload()
+	w, err := s.readWorkload()
 	if err != nil {
 		return err
 	}
--- a/pkg/cli/lab_run.go
+++ b/pkg/cli/lab_run.go
@@ -14,16 +14,16 @@
 	short:   "Play days of a workload in virtual time, and show what they were worth",
 	long:    "lab run plays days of a workload file (- is standard input) with the scheduler's own\ndecisions, against modelled workers, table and network, and shows what callers gained:\nthe whole worth of each day, and of each kind of job the share that it earned.",
 	example: "  wrenferry lab run examples/lab/full.jsonc --days 4\n  wrenferry lab run examples/lab/full.jsonc --without lend-plain,lend-fillers",
-	flags:   withoutFlag,
+	flags:   daysAndWithoutFlags,
 	run:     runLabRun,
 }
 
 func runLabRun(_ context.Context, s *session) error {
-	w, err := s.workload()
+	w, err := s.readWorkload()
 	if err != nil {
 		return err
 	}
-	a, err := arm(s.flags.without)
+	a, err := parseArm(s.flags.without)
 	if err != nil {
 		return err
 	}
--- a/pkg/cli/logs.go
+++ b/pkg/cli/logs.go
@@ -50,8 +50,8 @@
 	FitsElsewhere int64  `json:"fits_elsewhere,omitempty"`
 }
 
-// cellEvents are about a cell as a whole: they matter to each of its jobs.
-const cellEvents = "cell-"
+// cellEventPrefix are about a cell as a whole: they matter to each of its jobs.
+const cellEventPrefix = "cell-"
 
 // droppedEvent says that lines are missing.
 const droppedEvent = "log-lines-dropped"
@@ -65,11 +65,11 @@
 		}
 		all = append(all, lines...)
 	}
-	story := storyOf(s.args[0], all)
+	story := linesAboutJob(s.args[0], all)
 	if len(story) == 0 {
 		return fault.New(fault.NotFound, s.args[0], "no line of these logs is about the job", "collect the logs of all hosts, from before it was sent")
 	}
-	return show(s, story, "TIME HOST EVENT RUN WORKER WHAT", storyLines)
+	return show(s, story, "TIME HOST EVENT RUN WORKER WHAT", jobLogLines)
 }
 
 // readLog reads the lines of one file that are JSON; what stands before a
@@ -104,8 +104,8 @@
 	return list, nil
 }
 
-// storyOf picks the lines that matter to a job, in the order of time.
-func storyOf(job string, all []logLine) []logLine {
+// linesAboutJob picks the lines that matter to a job, in the order of time.
+func linesAboutJob(job string, all []logLine) []logLine {
 	cells, workers := map[string]bool{}, map[string]bool{}
 	var own, story []logLine
 	for _, l := range all {
@@ -125,7 +125,7 @@
 	first, last := own[0].At, own[len(own)-1].At
 	for _, l := range all {
 		about := l.Job == "" && l.Task == "" && l.Path == "" &&
-			((strings.HasPrefix(l.Event, cellEvents) && cells[l.Cell]) || workers[l.Worker] || l.Event == droppedEvent)
+			((strings.HasPrefix(l.Event, cellEventPrefix) && cells[l.Cell]) || workers[l.Worker] || l.Event == droppedEvent)
 		if about && !l.At.Before(first) && !l.At.After(last) {
 			story = append(story, l)
 		}
@@ -135,14 +135,14 @@
 	return story
 }
 
-func storyLines(story []logLine) [][]any {
+func jobLogLines(story []logLine) [][]any {
 	lines := make([][]any, 0, len(story))
 	for _, l := range story {
 		run := "-"
 		if l.Run != 0 {
 			run = fmt.Sprintf("%s#%d", shortTask(l), l.Run)
 		}
-		lines = append(lines, []any{l.At.UTC().Format("15:04:05.000"), l.Host, l.Event, run, dash(l.Worker), l.what()})
+		lines = append(lines, []any{l.At.UTC().Format("15:04:05.000"), l.Host, l.Event, run, orDash(l.Worker), l.text()})
 	}
 	return lines
 }
@@ -153,7 +153,7 @@
 	return rest
 }
 
-func (l logLine) what() string {
+func (l logLine) text() string {
 	var words []string
 	add := func(say bool, format string, args ...any) {
 		if say {
@@ -171,5 +171,5 @@
 	if l.Ms != nil {
 		add(true, "(took %d ms)", *l.Ms)
 	}
-	return dash(strings.Join(words, " "))
+	return orDash(strings.Join(words, " "))
 }
--- a/pkg/cli/output.go
+++ b/pkg/cli/output.go
@@ -9,15 +9,15 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// cellGap is the space between two columns.
-const cellGap = 2
+// columnGap is the space between two columns.
+const columnGap = 2
 
 // show prints a view: as JSON whole, or as a table of the given cells.
 func show[T any](s *session, view T, head string, lines func(T) [][]any) error {
 	if s.flags.output == "json" {
 		return s.showJSON(view)
 	}
-	w := tabwriter.NewWriter(s.out, 0, 0, cellGap, ' ', 0)
+	w := tabwriter.NewWriter(s.out, 0, 0, columnGap, ' ', 0)
 	if head != "" {
 		fmt.Fprintln(w, strings.ReplaceAll(head, " ", "\t"))
 	}
@@ -43,5 +43,5 @@
 	return nil
 }
 
-// dash shows an empty cell.
-func dash(text string) string { return firstOf(text, "-") }
+// orDash shows an empty cell.
+func orDash(text string) string { return firstNonEmpty(text, "-") }
--- a/pkg/cli/service.go
+++ b/pkg/cli/service.go
@@ -23,7 +23,7 @@
 	short:   "Let a service take calls and jobs",
 	example: "  wrenferry service start quotes",
 	flags:   dryRunFlag,
-	run:     serviceRunner("start", "let %s take calls and jobs"),
+	run:     changeService("start", "let %s take calls and jobs"),
 }
 
 var serviceDrain = verb{
@@ -31,7 +31,7 @@
 	short:   "Take nothing new for a service; what is in flight and running comes to its end",
 	example: "  wrenferry service drain quotes --dry-run\n  wrenferry service drain quotes",
 	flags:   dryRunFlag,
-	run:     serviceRunner("drain", "refuse new calls and jobs for %s and let what is in flight come to its end"),
+	run:     changeService("drain", "refuse new calls and jobs for %s and let what is in flight come to its end"),
 }
 
 var serviceStop = verb{
@@ -40,7 +40,7 @@
 	long:    "service stop refuses new calls and jobs. What is in flight is never cut off; stop\nrunning jobs with wrenferry job stop.",
 	example: "  wrenferry service stop quotes",
 	flags:   dryRunFlag,
-	run:     serviceRunner("stop", "refuse all new calls and jobs for %s"),
+	run:     changeService("stop", "refuse all new calls and jobs for %s"),
 }
 
 func runServiceList(ctx context.Context, s *session) error {
@@ -57,9 +57,9 @@
 	})
 }
 
-func serviceRunner(name, would string) func(context.Context, *session) error {
+func changeService(name, would string) func(context.Context, *session) error {
 	return func(ctx context.Context, s *session) error {
-		if s.wouldDo(would, s.args[0]) {
+		if s.reportDryRun(would, s.args[0]) {
 			return nil
 		}
 		view, err := post[operators.ServiceState](ctx, s, "/v1/services/"+s.args[0]+"/"+name, "", nil)
--- a/pkg/cli/settings_diff.go
+++ b/pkg/cli/settings_diff.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	name, text, err := s.other(ctx)
+	name, text, err := s.textToCompare(ctx)
 	if err != nil {
 		return err
 	}
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// other is the file or the version to compare to.
-func (s *session) other(ctx context.Context) (name, text string, err error) {
+// textToCompare is the file or the version to compare to.
+func (s *session) textToCompare(ctx context.Context) (name, text string, err error) {
 	if len(s.args) > 0 {
 		text, err = s.readFile(s.args[0])
 		return s.args[0], text, err
--- a/pkg/cli/settings_edit.go
+++ b/pkg/cli/settings_edit.go
@@ -43,10 +43,10 @@
 		}
 		base = view.Version
 	}
-	if s.wouldDo("put %s in force as version %d", s.args[0], base+1) {
+	if s.reportDryRun("put %s in force as version %d", s.args[0], base+1) {
 		return nil
 	}
-	return s.sendEdit(ctx, operators.EditBody{Text: text, Base: base, EditID: firstOf(s.flags.editID, uuid.NewString())})
+	return s.sendEdit(ctx, operators.EditBody{Text: text, Base: base, EditID: firstNonEmpty(s.flags.editID, uuid.NewString())})
 }
 
 func (s *session) sendEdit(ctx context.Context, edit operators.EditBody) error {
--- a/pkg/cli/settings_keys.go
+++ b/pkg/cli/settings_keys.go
@@ -31,7 +31,7 @@
 		return [][]any{
 			{k.Name, k.Help},
 			{"type", k.Type},
-			{"unit", dash(k.Unit)},
+			{"unit", orDash(k.Unit)},
 			{"range", k.Range()},
 			{"default", k.Default},
 			{"example", fmt.Sprintf("%q: %s", k.Name, k.Example)},
--- a/pkg/cli/status.go
+++ b/pkg/cli/status.go
@@ -31,7 +31,7 @@
 		{"entry host", v.Name},
 		{"hall", v.Hall},
 		{"ready", v.Ready},
-		{"leader of the hall", dash(v.Leader)},
+		{"leader of the hall", orDash(v.Leader)},
 		{"epoch", v.Epoch},
 		{"settings version", v.Settings, age},
 	}
--- a/pkg/standin/faults.go
+++ b/pkg/standin/faults.go
@@ -50,26 +50,26 @@
 	Samples map[string]int64 `json:"samples"`
 }
 
-// switches holds the faults in force.
-type switches struct {
+// faultSwitches holds the faults in force.
+type faultSwitches struct {
 	mu     sync.Mutex
 	faults Faults
 }
 
-func (s *switches) get() Faults {
+func (s *faultSwitches) get() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-func (s *switches) set(f Faults) {
+func (s *faultSwitches) set(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
 // serveSet takes a new setting of the switches.
-func (s *switches) serveSet(w http.ResponseWriter, r *http.Request) {
+func (s *faultSwitches) serveSet(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -78,9 +78,9 @@
 	s.set(f)
 }
 
-// before applies the faults that act on the way in. It says whether the call
+// admit applies the faults that act on the way in. It says whether the call
 // is to go on.
-func (s *switches) before(w http.ResponseWriter, r *http.Request) bool {
+func (s *faultSwitches) admit(w http.ResponseWriter, r *http.Request) bool {
 	f := s.get()
 	time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
 	if f.Outage || isCut(f.Cut, r.Header.Get(protohttp.FromHeader)) {
@@ -99,8 +99,8 @@
 	return false
 }
 
-// hold holds a call on its way in, if it is one of those to be held.
-func (s *switches) hold() {
+// holdCall holds a call on its way in, if it is one of those to be held.
+func (s *faultSwitches) holdCall() {
 	s.mu.Lock()
 	span := time.Duration(0)
 	if s.faults.HoldCalls > 0 {
@@ -111,8 +111,8 @@
 	time.Sleep(span)
 }
 
-// loses says whether the answer to a call on these keys is to be lost.
-func (s *switches) loses(keys []string) bool {
+// losesAnswer says whether the answer to a call on these keys is to be lost.
+func (s *faultSwitches) losesAnswer(keys []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseAnswers <= 0 {
--- a/pkg/standin/platform.go
+++ b/pkg/standin/platform.go
@@ -15,7 +15,7 @@
 // Platform stands in for the platform: a transactional table in memory, an
 // object store, and a list of hosts that lags.
 type Platform struct {
-	switches
+	faultSwitches
 	mux *http.ServeMux
 
 	mu       sync.Mutex
@@ -58,19 +58,19 @@
 
 func (p *Platform) serveCommit(w http.ResponseWriter, r *http.Request) {
 	req := &wire.CommitRequest{}
-	if !p.before(w, r) || protohttp.Receive(r, req) != nil {
+	if !p.admit(w, r) || protohttp.Receive(r, req) != nil {
 		return
 	}
-	keys := touched(req)
+	keys := changedKeys(req)
 	reply := p.commit(req)
-	if len(reply.GetConflicts()) == 0 && p.loses(keys) {
+	if len(reply.GetConflicts()) == 0 && p.losesAnswer(keys) {
 		dropConnection(w)
 		return
 	}
 	_ = protohttp.Answer(w, reply)
 }
 
-func touched(req *wire.CommitRequest) []string {
+func changedKeys(req *wire.CommitRequest) []string {
 	var keys []string
 	for _, row := range req.GetPuts() {
 		keys = append(keys, row.GetKey())
@@ -94,22 +94,22 @@
 	p.revision++
 	reply.Revision = p.revision
 	for _, row := range req.GetPuts() {
-		p.put(&wire.Row{Key: row.GetKey(), Value: row.GetValue(), Revision: p.revision})
+		p.putRow(&wire.Row{Key: row.GetKey(), Value: row.GetValue(), Revision: p.revision})
 	}
 	for _, key := range req.GetDeletes() {
-		p.drop(key)
+		p.deleteRow(key)
 	}
 	return reply
 }
 
-func (p *Platform) put(row *wire.Row) {
+func (p *Platform) putRow(row *wire.Row) {
 	if i, found := slices.BinarySearch(p.keys, row.GetKey()); !found {
 		p.keys = slices.Insert(p.keys, i, row.GetKey())
 	}
 	p.rows[row.GetKey()] = row
 }
 
-func (p *Platform) drop(key string) {
+func (p *Platform) deleteRow(key string) {
 	if i, found := slices.BinarySearch(p.keys, key); found {
 		p.keys = slices.Delete(p.keys, i, i+1)
 		delete(p.rows, key)
@@ -118,7 +118,7 @@
 
 func (p *Platform) serveRead(w http.ResponseWriter, r *http.Request) {
 	req := &wire.ReadRequest{}
-	if !p.before(w, r) || protohttp.Receive(r, req) != nil {
+	if !p.admit(w, r) || protohttp.Receive(r, req) != nil {
 		return
 	}
 	_ = protohttp.Answer(w, p.read(req))
@@ -162,7 +162,7 @@
 // pendingHosts is a list of hosts that is told from a given time on.
 type pendingHosts struct {
 	hosts []*wire.Host
-	from  time.Time
+	visibleAt  time.Time
 }
 
 // SetHosts changes the hosts; the list shows it after its lag.
@@ -170,14 +170,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.passLag(now)
-	p.pending = append(p.pending, pendingHosts{hosts: hosts, from: now.Add(p.listLag)})
+	p.publishDueHosts(now)
+	p.pending = append(p.pending, pendingHosts{hosts: hosts, visibleAt: now.Add(p.listLag)})
 }
 
-// passLag lists the newest hosts whose lag is over. The time decides that, and no timer, which may run late or
+// publishDueHosts lists the newest hosts whose lag is over. The time decides that, and no timer, which may run late or
 // after another's.
-func (p *Platform) passLag(now time.Time) {
-	for len(p.pending) > 0 && !now.Before(p.pending[0].from) {
+func (p *Platform) publishDueHosts(now time.Time) {
+	for len(p.pending) > 0 && !now.Before(p.pending[0].visibleAt) {
 		p.listed, p.pending = p.pending[0].hosts, p.pending[1:]
 	}
 }
@@ -193,11 +193,11 @@
 }
 
 func (p *Platform) serveHosts(w http.ResponseWriter, r *http.Request) {
-	if !p.before(w, r) {
+	if !p.admit(w, r) {
 		return
 	}
 	p.mu.Lock()
-	p.passLag(time.Now())
+	p.publishDueHosts(time.Now())
 	list := &wire.HostList{Hosts: p.listed}
 	p.mu.Unlock()
 	_ = protohttp.Answer(w, list)
@@ -206,7 +206,7 @@
 // ---------------------------------------------------------------- objects
 
 func (p *Platform) servePutObject(w http.ResponseWriter, r *http.Request) {
-	if !p.before(w, r) {
+	if !p.admit(w, r) {
 		return
 	}
 	var body [1 << 16]byte
@@ -217,7 +217,7 @@
 }
 
 func (p *Platform) serveGetObject(w http.ResponseWriter, r *http.Request) {
-	if !p.before(w, r) {
+	if !p.admit(w, r) {
 		return
 	}
 	p.mu.Lock()
--- a/pkg/standin/platform_test.go
+++ b/pkg/standin/platform_test.go
@@ -18,7 +18,7 @@
 // Found beside a load of 28 on 8 processors (TestBadInput: "it never came about: servers
 // are known"): lists that were set within the lag came to be told in another order, and
 // the last one told, without the servers, stayed.
-func TestTheListOfHostsEndsWithTheLastThatWasSet(t *testing.T) {
+func TestHostListEndsWithTheLastListSet(t *testing.T) {
 	t.Parallel()
 	p := standin.NewPlatform(time.Millisecond)
 	for round := range 40 {
@@ -38,28 +38,28 @@
 }
 
 // The list follows the time and waits for no timer: one without a lag is right when it is read at once.
-func TestTheListOfHostsLagsByNoMoreThanItsLag(t *testing.T) {
+func TestHostListWithoutLagShowsNewHostsAtOnce(t *testing.T) {
 	t.Parallel()
 	p := standin.NewPlatform(0)
 	for round := range 200 {
 		name := fmt.Sprintf("host-%d", round)
 		p.SetHosts([]*wire.Host{{Name: name}})
-		must.Eq(t, []string{name}, toldHosts(t, p), must.Sprintf("round %d", round))
+		must.Eq(t, []string{name}, listedHosts(t, p), must.Sprintf("round %d", round))
 	}
 }
 
 // Until its lag is over the list is as it was, also where several are set meanwhile.
-func TestTheListOfHostsIsAsItWasUntilItsLagIsOver(t *testing.T) {
+func TestHostListIsUnchangedUntilTheLagHasPassed(t *testing.T) {
 	t.Parallel()
 	p := standin.NewPlatform(time.Hour)
 	for range 3 {
 		p.SetHosts([]*wire.Host{{Name: "early"}})
-		must.SliceEmpty(t, toldHosts(t, p))
+		must.SliceEmpty(t, listedHosts(t, p))
 	}
 }
 
-// toldHosts names the hosts that the platform lists.
-func toldHosts(t *testing.T, p *standin.Platform) []string {
+// listedHosts names the hosts that the platform lists.
+func listedHosts(t *testing.T, p *standin.Platform) []string {
 	t.Helper()
 	answer := httptest.NewRecorder()
 	p.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, platform.HostsPath, http.NoBody))
--- a/pkg/standin/runner.go
+++ b/pkg/standin/runner.go
@@ -15,7 +15,7 @@
 // Runner stands in for one backend server of a service: 8 slots, a refusal when
 // they are full, and standing streams.
 type Runner struct {
-	switches
+	faultSwitches
 	name   string
 	slots  int
 	record *record
@@ -31,8 +31,8 @@
 	Echo string `json:"echo"`
 }
 
-// maxCall bounds the body of a call.
-const maxCall = 64 << 20
+// maxCallBytes bounds the body of a call.
+const maxCallBytes = 64 << 20
 
 // NewRunner returns a runner with so many slots.
 func NewRunner(name, recordPath string, slots int) (*Runner, error) {
@@ -51,8 +51,8 @@
 // ServeHTTP serves the runner's interface and the fault switches.
 func (r *Runner) ServeHTTP(w http.ResponseWriter, req *http.Request) { r.mux.ServeHTTP(w, req) }
 
-// take takes a slot, if there is one.
-func (r *Runner) take() bool {
+// acquireSlot takes a slot, if there is one.
+func (r *Runner) acquireSlot() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.busy >= r.slots {
@@ -62,13 +62,13 @@
 	return true
 }
 
-func (r *Runner) give() {
+func (r *Runner) releaseSlot() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.busy--
 }
 
-func (r *Runner) headers(w http.ResponseWriter) {
+func (r *Runner) setHeaders(w http.ResponseWriter) {
 	r.mu.Lock()
 	free := r.slots - r.busy
 	r.mu.Unlock()
@@ -79,7 +79,7 @@
 }
 
 func (r *Runner) serveCall(w http.ResponseWriter, req *http.Request) {
-	if !r.before(w, req) {
+	if !r.admit(w, req) {
 		return
 	}
 	f := r.get()
@@ -87,12 +87,12 @@
 		r.refuse(w, "leaving")
 		return
 	}
-	if !r.take() {
+	if !r.acquireSlot() {
 		r.refuse(w, "busy")
 		return
 	}
-	defer r.give()
-	body, err := io.ReadAll(io.LimitReader(req.Body, maxCall))
+	defer r.releaseSlot()
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxCallBytes))
 	if err != nil {
 		http.Error(w, "the body broke off", http.StatusBadRequest)
 		return
@@ -101,7 +101,7 @@
 }
 
 func (r *Runner) refuse(w http.ResponseWriter, why string) {
-	r.headers(w)
+	r.setHeaders(w)
 	w.Header().Set(runner.RefusedHeader, why)
 	http.Error(w, why, http.StatusServiceUnavailable)
 }
@@ -115,7 +115,7 @@
 	key := req.Header.Get(runner.KeyHeader)
 	r.record.add(Entry{At: time.Now(), What: "run", Host: r.name, Key: key, Detail: req.PathValue("kind")})
 	if f.FailAll {
-		r.headers(w)
+		r.setHeaders(w)
 		http.Error(w, "failed as told", http.StatusInternalServerError)
 		return
 	}
@@ -125,20 +125,20 @@
 	}
 	time.Sleep(span)
 	r.record.add(Entry{At: time.Now(), What: "ran", Host: r.name, Key: key, Detail: req.PathValue("kind")})
-	if r.loses([]string{"run"}) {
+	if r.losesAnswer([]string{"run"}) {
 		dropConnection(w)
 		return
 	}
-	r.headers(w)
+	r.setHeaders(w)
 	_ = json.NewEncoder(w).Encode(map[string]string{"echo": call.Echo, "runner": r.name})
 }
 
-// streamEvery is the time between two events of a stream. Event N of every
+// streamInterval is the time between two events of a stream. Event N of every
 // stream is the same on each runner, so a stream can go on elsewhere.
-const streamEvery = 20 * time.Millisecond
+const streamInterval = 20 * time.Millisecond
 
 func (r *Runner) serveStream(w http.ResponseWriter, req *http.Request) {
-	if !r.before(w, req) {
+	if !r.admit(w, req) {
 		return
 	}
 	if r.get().Leaving {
@@ -149,7 +149,7 @@
 	if last, err := strconv.Atoi(req.Header.Get("Last-Event-ID")); err == nil {
 		next = last + 1
 	}
-	r.headers(w)
+	r.setHeaders(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
 	for ; !r.get().Leaving; next++ {
@@ -162,7 +162,7 @@
 		select {
 		case <-req.Context().Done():
 			return
-		case <-time.After(streamEvery):
+		case <-time.After(streamInterval):
 		}
 	}
 }
--- a/pkg/standin/worker.go
+++ b/pkg/standin/worker.go
@@ -36,7 +36,7 @@
 
 // Worker stands in for a worker: it runs tasks under a lease.
 type Worker struct {
-	switches
+	faultSwitches
 	name     string
 	platform string
 	capacity ledger.Size
@@ -52,7 +52,7 @@
 	sequence    int64
 	leaseUntil  int64
 	runs        map[string]*run
-	newest      map[string]int64 // the newest attempt of each task ever seen
+	newestAttempt      map[string]int64 // the newest attempt of each task ever seen
 }
 
 // run is one attempt.
@@ -82,7 +82,7 @@
 		name: name, platform: platformAddress, capacity: capacity, services: services, noFences: noFences,
 		record: rec, mux: http.NewServeMux(),
 		incarnation: uuid.NewString(), boot: time.Now(),
-		runs: map[string]*run{}, newest: map[string]int64{},
+		runs: map[string]*run{}, newestAttempt: map[string]int64{},
 	}
 	w.mux.HandleFunc(worker.SyncPath, w.serveSync)
 	w.mux.HandleFunc(FaultPath, w.serveSet)
@@ -101,14 +101,14 @@
 
 func (w *Worker) serveSync(rw http.ResponseWriter, r *http.Request) {
 	req := &wire.SyncRequest{}
-	if !w.before(rw, r) || protohttp.Receive(r, req) != nil {
+	if !w.admit(rw, r) || protohttp.Receive(r, req) != nil {
 		return
 	}
 	if len(req.GetStarts()) > 0 {
-		w.hold()
+		w.holdCall()
 	}
 	reply := w.Sync(req)
-	if len(req.GetStarts()) > 0 && w.loses([]string{"start"}) || len(req.GetStops()) > 0 && w.loses([]string{"stop"}) {
+	if len(req.GetStarts()) > 0 && w.losesAnswer([]string{"start"}) || len(req.GetStops()) > 0 && w.losesAnswer([]string{"stop"}) {
 		dropConnection(rw)
 		return
 	}
@@ -119,13 +119,13 @@
 func (w *Worker) Sync(req *wire.SyncRequest) *wire.SyncReply {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lapse()
+	w.stopRunsIfLeaseExpired()
 	refused := w.refuses(req)
 	if refused {
 		w.record.add(Entry{At: time.Now(), What: "refuse", Host: w.name, Detail: fmt.Sprintf(
 			"epoch %d of %d, sequence %d of %d, lease until %d at %d", req.GetEpoch(), w.epoch, req.GetSequence(), w.sequence, req.GetLeaseUntilMark(), w.mark())})
 	} else {
-		w.obey(req)
+		w.apply(req)
 	}
 	return w.reply(refused)
 }
@@ -151,7 +151,7 @@
 	return !w.noFences.Lease && req.GetLeaseUntilMark() > 0 && req.GetLeaseUntilMark() < w.mark()
 }
 
-func (w *Worker) obey(req *wire.SyncRequest) {
+func (w *Worker) apply(req *wire.SyncRequest) {
 	w.leaseUntil = max(w.leaseUntil, req.GetLeaseUntilMark())
 	for _, s := range req.GetStops() {
 		w.stop(s)
@@ -194,24 +194,24 @@
 // ------------------------------------------------------------------- runs
 
 func (w *Worker) start(s *wire.Start) {
-	if w.newest[s.GetTaskId()] >= s.GetAttempt() && !w.noFences.Sequence {
+	if w.newestAttempt[s.GetTaskId()] >= s.GetAttempt() && !w.noFences.Sequence {
 		return
 	}
 	name := runName(s.GetTaskId(), s.GetAttempt())
 	if w.runs[name] != nil {
 		return
 	}
-	w.newest[s.GetTaskId()] = s.GetAttempt()
+	w.newestAttempt[s.GetTaskId()] = s.GetAttempt()
 	r := &run{start: proto.CloneOf(s), state: wire.RunState_RUN_STATE_RUNNING, lastWork: time.Now()}
 	if err := json.Unmarshal(s.GetBody(), &r.work); err != nil {
 		r.work = Work{RunMS: 1}
 	}
 	w.runs[name] = r
-	w.note("start", r, r.lastWork, "")
+	w.recordRun("start", r, r.lastWork, "")
 	go w.run(r)
 }
 
-func (w *Worker) note(what string, r *run, at time.Time, detail string) {
+func (w *Worker) recordRun(what string, r *run, at time.Time, detail string) {
 	size := ledger.FromWire(r.start.GetSize())
 	w.record.add(Entry{
 		At: at, What: what, Host: w.name, Task: r.start.GetTaskId(), Attempt: r.start.GetAttempt(),
@@ -230,18 +230,18 @@
 	for {
 		time.Sleep(workTick)
 		w.mu.Lock()
-		w.lapse()
+		w.stopRunsIfLeaseExpired()
 		if r.state != wire.RunState_RUN_STATE_RUNNING || r.stopping {
 			w.mu.Unlock()
 			return
 		}
-		w.work(r)
+		w.advance(r)
 		w.mu.Unlock()
 	}
 }
 
-// work does one tick.
-func (w *Worker) work(r *run) {
+// advance does one tick.
+func (w *Worker) advance(r *run) {
 	r.lastWork = time.Now()
 	step := workTick.Milliseconds()
 	if r.throttle > 0 {
@@ -261,12 +261,12 @@
 func (w *Worker) end(r *run, state wire.RunState, result string) {
 	r.state = state
 	r.result = result
-	w.note("end", r, r.lastWork, state.String())
+	w.recordRun("end", r, r.lastWork, state.String())
 }
 
 // stop ends an attempt, with a checkpoint in the object store if wanted.
 func (w *Worker) stop(s *wire.Stop) {
-	w.newest[s.GetTaskId()] = max(w.newest[s.GetTaskId()], s.GetAttempt())
+	w.newestAttempt[s.GetTaskId()] = max(w.newestAttempt[s.GetTaskId()], s.GetAttempt())
 	r := w.runs[runName(s.GetTaskId(), s.GetAttempt())]
 	if r == nil || r.state != wire.RunState_RUN_STATE_RUNNING || r.stopping {
 		return
@@ -295,8 +295,8 @@
 	}()
 }
 
-// lapse stops everything when the lease is over.
-func (w *Worker) lapse() {
+// stopRunsIfLeaseExpired stops everything when the lease is over.
+func (w *Worker) stopRunsIfLeaseExpired() {
 	if w.noFences.Lease || w.mark() <= w.leaseUntil {
 		return
 	}
@@ -311,14 +311,14 @@
 
 // ------------------------------------------------------------ checkpoints
 
-const storeTimeout = 2 * time.Second
+const objectStoreTimeout = 2 * time.Second
 
 func (w *Worker) save(name string, doneMS int64) bool {
 	body, err := json.Marshal(doneMS)
 	if err != nil {
 		return false
 	}
-	_, err = w.object(http.MethodPut, name, bytes.NewReader(body))
+	_, err = w.callObjectStore(http.MethodPut, name, bytes.NewReader(body))
 	return err == nil
 }
 
@@ -327,15 +327,15 @@
 	if name == "" {
 		return 0
 	}
-	body, err := w.object(http.MethodGet, name, http.NoBody)
+	body, err := w.callObjectStore(http.MethodGet, name, http.NoBody)
 	if err != nil || json.Unmarshal(body, &doneMS) != nil {
 		return 0
 	}
 	return doneMS
 }
 
-func (w *Worker) object(method, name string, body io.Reader) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
+func (w *Worker) callObjectStore(method, name string, body io.Reader) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), objectStoreTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.platform+"/objects/"+name, body)
 	if err != nil {
--- a/pkg/tryout/tryout.go
+++ b/pkg/tryout/tryout.go
@@ -30,12 +30,12 @@
 var Services = []string{"quotes"}
 
 const (
-	// limit is how long the whole tryout may take.
-	limit = 50 * time.Second
-	// lookEvery is how often it looks whether something has come about.
-	lookEvery = 50 * time.Millisecond
-	// events is how many events of the stream it waits for.
-	events = 3
+	// tryTimeout is how long the whole tryout may take.
+	tryTimeout = 50 * time.Second
+	// pollInterval is how often it looks whether something has come about.
+	pollInterval = 50 * time.Millisecond
+	// streamEventCount is how many events of the stream it waits for.
+	streamEventCount = 3
 )
 
 // Config returns the process settings of an embedded instance.
@@ -56,7 +56,7 @@
 
 // Run runs the tryout and prints what it sees.
 func Run(ctx context.Context, out io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	fmt.Fprintln(out, "Embedded stand-ins for the platform, 3 workers and 4 runners: nothing is kept.")
 	standins, err := embedded.Start(Hall, Services)
@@ -93,11 +93,11 @@
 		{"An operator creates the settings tree (examples/try.jsonc)", t.createSettings},
 		{"A caller sends quick requests", t.sendRequests},
 		{"A caller submits a batch job of three tasks and reads its result", t.runJob},
-		{"A caller watches a stream", t.watch},
+		{"A caller watches a stream", t.watchStream},
 		{"An operator edits the settings: a second version is in force", t.editSettings},
 		{"Bad input is refused, and nothing ran", t.badInput},
-		{"What happened to the job, and why", t.explain},
-		{"Who changed what", t.audit},
+		{"What happened to the job, and why", t.explainJob},
+		{"Who changed what", t.showAudit},
 	} {
 		fmt.Fprintf(t.out, "\n== %s\n", s.title)
 		if err := s.run(ctx); err != nil {
@@ -133,7 +133,7 @@
 }
 
 func (t *tryout) sendRequests(ctx context.Context) error {
-	err := t.until(ctx, func() (bool, error) {
+	err := t.waitFor(ctx, func() (bool, error) {
 		answer, err := t.call(ctx, http.MethodPost, t.callers+"/v1/requests/quotes/quick", "warm-up", []byte("{}"))
 		return err == nil && answer.code == http.StatusOK, err
 	})
@@ -157,7 +157,7 @@
 		return err
 	}
 	fmt.Fprintf(t.out, "%s %s", answer.status, answer.body)
-	return t.until(ctx, func() (bool, error) {
+	return t.waitFor(ctx, func() (bool, error) {
 		answer, err := t.call(ctx, http.MethodGet, t.callers+"/v1/jobs/offer-1", "", nil)
 		if err != nil || !bytes.Contains(answer.body, []byte(`"state":"done"`)) {
 			return false, err
@@ -167,7 +167,7 @@
 	})
 }
 
-func (t *tryout) watch(ctx context.Context) error {
+func (t *tryout) watchStream(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, t.callers+"/v1/streams/quotes/rates", http.NoBody)
@@ -180,7 +180,7 @@
 	}
 	defer resp.Body.Close()
 	scanner := bufio.NewScanner(resp.Body)
-	for seen := 0; seen < events && scanner.Scan(); {
+	for seen := 0; seen < streamEventCount && scanner.Scan(); {
 		if strings.HasPrefix(scanner.Text(), "data:") {
 			fmt.Fprintln(t.out, scanner.Text())
 			seen++
@@ -200,9 +200,9 @@
 	return nil
 }
 
-func (t *tryout) explain(ctx context.Context) error {
+func (t *tryout) explainJob(ctx context.Context) error {
 	var facts []operators.FactView
-	if err := t.read(ctx, "/v1/explain/offer-1", &facts); err != nil {
+	if err := t.getView(ctx, "/v1/explain/offer-1", &facts); err != nil {
 		return err
 	}
 	for _, f := range facts {
@@ -211,9 +211,9 @@
 	return nil
 }
 
-func (t *tryout) audit(ctx context.Context) error {
+func (t *tryout) showAudit(ctx context.Context) error {
 	var entries []operators.AuditView
-	if err := t.read(ctx, "/v1/audit", &entries); err != nil {
+	if err := t.getView(ctx, "/v1/audit", &entries); err != nil {
 		return err
 	}
 	for _, a := range entries {
@@ -253,7 +253,7 @@
 	return reply{resp.StatusCode, resp.Status, resp.Header.Get(gateway.OutcomeHeader), text}, nil
 }
 
-func (t *tryout) read(ctx context.Context, path string, into any) error {
+func (t *tryout) getView(ctx context.Context, path string, into any) error {
 	answer, err := t.call(ctx, http.MethodGet, t.operators+path, "", nil)
 	if err != nil {
 		return err
@@ -264,8 +264,8 @@
 	return nil
 }
 
-// until looks again and again until something has come about.
-func (t *tryout) until(ctx context.Context, done func() (bool, error)) error {
+// waitFor looks again and again until something has come about.
+func (t *tryout) waitFor(ctx context.Context, done func() (bool, error)) error {
 	for {
 		ok, err := done()
 		if ok || err != nil {
@@ -274,7 +274,7 @@
 		select {
 		case <-ctx.Done():
 			return fault.New(fault.Unavailable, "tryout", "it took too long", "").WithCause(ctx.Err())
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/tools/docs/main.go
+++ b/tools/docs/main.go
@@ -63,7 +63,7 @@
 	flag.Parse()
 	stale := false
 	for _, p := range pages {
-		text := p.make()
+		text := p.render()
 		if *write {
 			if err := os.WriteFile(p.path, text, 0o644); err != nil {
 				fmt.Fprintln(os.Stderr, "docs:", err)
@@ -82,7 +82,7 @@
 	}
 }
 
-func (p page) make() []byte {
+func (p page) render() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "# %s\n\n<!-- Made by \"make docs\" from the commands shown. -->\n\n%s\n", p.title, p.intro)
 	for _, c := range p.commands {
