--- a/cmd/emulate/main.go
+++ b/cmd/emulate/main.go
@@ -1,4 +1,4 @@
-// Command emulate records, plays and cuts down days of the emulator.
+// Command emulate records, replays and minimizes days of the emulator.
 package main
 
 import (
--- a/cmd/wrenferryd/main.go
+++ b/cmd/wrenferryd/main.go
@@ -1,4 +1,4 @@
-// Command wrenferryd is the one daemon of every entry host.
+// Command wrenferryd is the daemon that runs on every entry host.
 package main
 
 import (
--- a/pkg/cli/cli.go
+++ b/pkg/cli/cli.go
@@ -1,11 +1,11 @@
-// Package cli is the operators' command line, wrenferry.
+// Package cli implements the operators' command line, wrenferry.
 //
-// verbs.go holds one look-up table; it drives dispatch and help alike. Each verb
-// has a file of its own with one shape, top to bottom: its row, its flags, its
-// worker functions. To add a verb: a file, and its row's name in the table.
+// The table in verbs.go drives both dispatch and help. Each verb has a file with its
+// table row, its flags and its functions. To add a verb, add a file and list its row
+// in the table.
 //
-// Data flows one way: arguments -> one HTTP call to an entry host -> a view ->
-// a table for people, or JSON for programs.
+// A verb makes one HTTP call to an entry host and prints the returned view as a table
+// for people or as JSON for programs.
 package cli
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// The exit codes, which programs may rely on.
+// The exit codes. They are part of the public interface.
 const (
 	exitDone     = 0
 	exitFailure  = 1
@@ -31,7 +31,7 @@
 	exitUnknown  = 5
 )
 
-// exitCodes maps kinds of failure to exit codes.
+// exitCodes maps fault codes to exit codes.
 var exitCodes = map[fault.Code]int{
 	fault.BadInput:    exitBadInput,
 	fault.TooLarge:    exitBadInput,
@@ -42,12 +42,12 @@
 	fault.NotRun:      exitUnknown,
 }
 
-// addressVariable names entry hosts for the whole shell session.
+// addressVariable is the environment variable with the default for --address.
 const addressVariable = "WRENFERRY_ADDRESS"
 
 const defaultAddress = "127.0.0.1:8081"
 
-// session is one run of the command line.
+// session is one execution of a verb: its arguments, flags, streams and client.
 type session struct {
 	in     io.Reader
 	out    io.Writer
@@ -56,7 +56,8 @@
 	flags  flags
 }
 
-// flags are those of all verbs; each verb declares the ones that it takes.
+// flags holds the values of the flags of all verbs. Each verb declares the flags that it
+// accepts.
 type flags struct {
 	address string
 	actor   string
@@ -79,7 +80,7 @@
 	without string
 }
 
-// verb is one row of the look-up table.
+// verb is one row of the table of verbs.
 type verb struct {
 	path    string // "settings check"
 	args    string // as shown in the usage: "FILE"
@@ -92,7 +93,7 @@
 	run     func(ctx context.Context, s *session) error
 }
 
-// Main runs the command line and returns the exit code.
+// Main runs the command line with the given arguments and returns the exit code.
 func Main(args []string, in io.Reader, out, errs io.Writer) int {
 	root := newRoot(in, out)
 	root.SetArgs(args)
@@ -133,6 +134,7 @@
 	return root
 }
 
+// firstNonEmpty returns the first non-empty word, or "" if there is none.
 func firstNonEmpty(words ...string) string {
 	for _, w := range words {
 		if w != "" {
@@ -142,7 +144,7 @@
 	return ""
 }
 
-// addVerb hangs a verb under its group, which it makes if need be.
+// addVerb adds a verb to its group, and creates the group command if there is none yet.
 func addVerb(root *cobra.Command, groups map[string]*cobra.Command, v verb, f *flags, in io.Reader, out io.Writer) {
 	parent := root
 	name := v.path
@@ -173,7 +175,7 @@
 	parent.AddCommand(command)
 }
 
-// arguments checks the number of arguments and says how to mend it.
+// arguments returns a check of the number of arguments; its error shows the usage.
 func arguments(v verb) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) >= v.min && len(args) <= v.max {
@@ -184,12 +186,13 @@
 	}
 }
 
-// dryRunFlag declares --dry-run, for verbs that change something.
+// dryRunFlag declares --dry-run for verbs that change the state of a deployment.
 func dryRunFlag(set *pflag.FlagSet, f *flags) {
 	set.BoolVar(&f.dryRun, "dry-run", false, "say what would be done, and do nothing")
 }
 
-// reportDryRun says what a verb would do, if it is a dry run.
+// reportDryRun returns whether --dry-run is set, and if so prints the change that the verb
+// would make.
 func (s *session) reportDryRun(format string, args ...any) bool {
 	if s.flags.dryRun {
 		fmt.Fprintf(s.out, "would "+format+"; nothing was changed\n", args...)
--- a/pkg/cli/client.go
+++ b/pkg/cli/client.go
@@ -15,10 +15,10 @@
 	"github.com/wrenferry/wrenferry/pkg/request/gateway"
 )
 
-// callTimeout is how long one call to an entry host may take.
+// callTimeout is the time limit of one call, over all addresses tried.
 const callTimeout = 20 * time.Second
 
-// client calls the first entry host that answers.
+// client calls the entry hosts at addresses, in order, until one answers.
 type client struct {
 	addresses []string
 	actor     string
@@ -28,8 +28,8 @@
 	return &client{addresses: strings.Split(addresses, ","), actor: actor}
 }
 
-// call makes one call and reads the answer into out. The next address is tried
-// only when the one before surely didn't get the call.
+// call makes one call and decodes the JSON answer into out. It tries the next address
+// only if the call certainly did not reach the previous one.
 func (c *client) call(ctx context.Context, method, path string, header http.Header, body []byte, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// faultFromProblem turns a problem body back into the fault that it tells of.
+// faultFromProblem returns the fault that a problem+json body describes.
 func faultFromProblem(text []byte) error {
 	var p struct {
 		operators.Problem
@@ -87,13 +87,14 @@
 	return fault.New(fault.Code(firstNonEmpty(p.Code, p.Reason)), "", p.Detail, p.Remedy)
 }
 
-// get reads a view.
+// get returns the view at path.
 func get[T any](ctx context.Context, s *session, path string) (T, error) {
 	var out T
 	return out, s.client.call(ctx, http.MethodGet, path, nil, nil, &out)
 }
 
-// post asks for a change.
+// post requests a change and returns the resulting view. A non-empty key is sent as the
+// key header.
 func post[T any](ctx context.Context, s *session, path, key string, body []byte) (T, error) {
 	var out T
 	header := http.Header{}
--- a/pkg/cli/delays.go
+++ b/pkg/cli/delays.go
@@ -15,12 +15,12 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// Where the time of jobs went. Data flows one way: files -> lines -> one jobTimes a job
-// -> one row a queue -> a table. It needs no running process.
+// The verb delays computes from collected logs where the time of jobs went. It reads log
+// lines into one jobTimes per job and prints one row per queue. It needs no running process.
 //
-// A job's time is that of its critical tasks: of each step the one that ended last. It
-// waited until its first start, ran in its last run, and lost what lies between the two
-// to runs that failed, were stopped or lost.
+// The time of a job is that of its critical tasks. The critical task of a step is the one
+// that ended last. It waits until the start of its first run and runs in its last run. The
+// time between these two starts is lost to runs that failed, were stopped or were lost.
 
 var delaysVerb = verb{
 	path: "delays", args: "FILE...", min: 1, max: 1000,
@@ -30,7 +30,7 @@
 	run:     runDelays,
 }
 
-// jobTimes are the moments of one job that logs tell.
+// jobTimes holds the times of one job that are found in logs; zero times are unknown.
 type jobTimes struct {
 	queue                   string
 	queued, ended, recorded time.Time
@@ -43,7 +43,7 @@
 	began, ended time.Time
 }
 
-// QueueDelays is where the time of a queue's jobs went, in ms.
+// QueueDelays sums up the jobs of a queue. The parts of their time are means in ms.
 type QueueDelays struct {
 	Queue                            string
 	Jobs, Done, Failed               int
@@ -70,7 +70,8 @@
 	return show(s, delaysByQueue(all, lacks), "QUEUE JOBS DONE FAILED MEAN-MS P95-MS WAIT AGAIN RUN RECORD LACKED", delayLines)
 }
 
-// addLogLine takes in one line.
+// addLogLine adds one log line to the times of its job in all, and the resources that its
+// waiting tasks lacked to lacks (by job, then by resource).
 func addLogLine(all map[string]*jobTimes, lacks map[string]map[string]int, l logLine) {
 	if l.Job == "" {
 		return
@@ -105,6 +106,7 @@
 	}
 }
 
+// earlier returns the earlier of two times; a zero a counts as unknown.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
@@ -112,9 +114,11 @@
 	return a
 }
 
-// lackPattern finds what usable workers lacked, and how many, in a line's detail.
+// lackPattern matches "RESOURCE:N" in the detail of a log line: N usable workers lacked the
+// resource.
 var lackPattern = regexp.MustCompile(`([a-z][a-z ]*):(\d+)`)
 
+// countLackedResources adds up the lacked resources named in one line by its job.
 func countLackedResources(lacks map[string]map[string]int, l logLine) {
 	if lacks[l.Job] == nil {
 		lacks[l.Job] = map[string]int{}
@@ -126,10 +130,11 @@
 	}
 }
 
-// timeParts are the waits, lost time and run time of a job's critical tasks.
+// timeParts are the waiting, lost and run time of the critical tasks of a job.
 type timeParts struct{ wait, lost, run time.Duration }
 
-// criticalTimes adds up over a job's steps, in the order in which they began.
+// criticalTimes adds up the times of the critical tasks over the steps of a job, in the
+// order in which the steps began.
 func (j *jobTimes) criticalTimes() timeParts {
 	type step struct{ began, ended, first, last time.Time }
 	steps := map[string]*step{}
@@ -164,6 +169,7 @@
 	return p
 }
 
+// delaysByQueue returns one row per queue, sorted by the name of the queue.
 func delaysByQueue(all map[string]*jobTimes, lacks map[string]map[string]int) []QueueDelays {
 	byQueue := map[string][]string{}
 	for id, j := range all {
@@ -176,6 +182,8 @@
 	return list
 }
 
+// delaysOfQueue returns the row of one queue. Only jobs that were queued and ended without
+// failure, according to the logs, count for the times.
 func delaysOfQueue(queue string, ids []string, all map[string]*jobTimes, lacks map[string]map[string]int) QueueDelays {
 	d := QueueDelays{Queue: orDash(queue), Jobs: len(ids)}
 	var whole []time.Duration
@@ -218,7 +226,7 @@
 	return d
 }
 
-// mostLacked names what was lacked, the most frequent first, with its share.
+// mostLacked lists the lacked resources, the most frequent first, with their shares.
 func mostLacked(lacked map[string]int) string {
 	all := 0
 	for _, n := range lacked {
--- a/pkg/cli/fleet_status.go
+++ b/pkg/cli/fleet_status.go
@@ -20,13 +20,13 @@
 	run:     runFleetStatus,
 }
 
-// metricsCallTimeout bounds the question to one host.
+// metricsCallTimeout is the time limit of a call to the metrics address of one host.
 const metricsCallTimeout = 2 * time.Second
 
-// hostStatus is what one address answered.
+// hostStatus is the answer of the host at one metrics address.
 type hostStatus struct {
 	Address string
-	// Error is why there is no status.
+	// Error is the reason for a missing status.
 	Error  string        `json:",omitempty"`
 	Status *fleet.Status `json:",omitempty"`
 }
--- a/pkg/cli/fleet_status_test.go
+++ b/pkg/cli/fleet_status_test.go
@@ -17,7 +17,7 @@
 	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 )
 
-// statusHost answers as a host does that leads one cell.
+// statusHost serves the status of a host that leads one cell, and returns its address.
 func statusHost(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -60,7 +60,8 @@
 	must.Eq(t, 50, list[0].Status.Led["hall-a"].Running)
 }
 
-// suspectsHost answers as a host does that leads a cell with one suspect.
+// suspectsHost serves the suspects of a host that leads a cell with one implicated task. It
+// returns its address and the paths of the calls that cleared the evidence.
 func suspectsHost(t *testing.T) (address string, cleared *[]string) {
 	t.Helper()
 	cleared = &[]string{}
--- a/pkg/cli/fleet_suspects.go
+++ b/pkg/cli/fleet_suspects.go
@@ -30,7 +30,7 @@
 	run:     runFleetClear,
 }
 
-// suspectRow is one task of one cell.
+// suspectRow is a task with crash evidence and its cell.
 type suspectRow struct {
 	Cell string
 	cell.Suspect
@@ -42,7 +42,7 @@
 	for _, address := range s.args {
 		byCell := map[string][]cell.Suspect{}
 		if err := callMetricsAddress(ctx, http.MethodGet, address, "/suspects", &byCell); err != nil {
-			continue // the other hosts lead the other cells; none at all is said below
+			continue // other hosts lead other cells; the error below covers the case that none answers
 		}
 		answered++
 		for _, name := range slices.Sorted(maps.Keys(byCell)) {
@@ -67,7 +67,7 @@
 	return lines
 }
 
-// otherCause is what speaks for another cause than the task.
+// otherCause returns the reason to suspect another cause of the crash than the task, or "-".
 func otherCause(c poisontask.Crash) string {
 	switch {
 	case c.Run == 0:
@@ -95,7 +95,8 @@
 	return fault.New(fault.NotFound, task, "no host that answered holds anything against it", "see wrenferry fleet suspects")
 }
 
-// callMetricsAddress calls a host's metrics address, and reads the answer into a value, if one is wanted.
+// callMetricsAddress makes a call to the metrics address of a host and decodes the JSON
+// answer into the value into, unless that is nil.
 func callMetricsAddress(ctx context.Context, method, address, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, metricsCallTimeout)
 	defer cancel()
--- a/pkg/cli/job.go
+++ b/pkg/cli/job.go
@@ -10,7 +10,7 @@
 	"github.com/wrenferry/wrenferry/pkg/request/gateway"
 )
 
-// The verbs of jobs. Drain and stop are one worker function with two rows.
+// The verbs of jobs. Drain and stop share the function changeJob.
 
 const jobHead = "KEY STATE DONE TASKS HALL SERVICE KIND REASON RESULT"
 
@@ -93,6 +93,8 @@
 	return s.showJob(view)
 }
 
+// changeJob returns a function that posts the change name for a job; would is the text for
+// a dry run.
 func changeJob(name, would string) func(context.Context, *session) error {
 	return func(ctx context.Context, s *session) error {
 		if s.reportDryRun(would, s.args[0]) {
--- a/pkg/cli/lab.go
+++ b/pkg/cli/lab.go
@@ -12,11 +12,11 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// What the lab's verbs share: how a workload, its days and the mechanisms to leave out
-// are named.
+// Flags and arguments that the verbs of the lab share: the workload, the number of days
+// and the mechanisms to leave out.
 
-// defaultDays is how many days a verb of the lab plays unless told: some minutes' work on
-// eight processors at the size of the examples.
+// defaultDays is the default of --days. At the size of the examples, 16 days take some
+// minutes on eight processors.
 const defaultDays = 16
 
 func daysFlag(set *pflag.FlagSet, f *flags) {
@@ -28,7 +28,7 @@
 	set.StringVar(&f.without, "without", "", "mechanisms to leave out, with commas between; wrenferry lab mechanisms lists them")
 }
 
-// readWorkload reads the workload file that a verb is given.
+// readWorkload parses the workload file in the first argument and checks --days.
 func (s *session) readWorkload() (*lab.Workload, error) {
 	text, err := s.readFile(s.args[0])
 	if err != nil {
@@ -40,7 +40,8 @@
 	return lab.Parse(s.args[0], []byte(text))
 }
 
-// parseArm names a policy by the mechanisms that it leaves out.
+// parseArm returns the policy that leaves out the named mechanisms (separated by commas).
+// No names give the shipped policy.
 func parseArm(names string) (lab.Arm, error) {
 	a := lab.Arm{Name: "shipped"}
 	if names == "" {
--- a/pkg/cli/logs.go
+++ b/pkg/cli/logs.go
@@ -13,9 +13,9 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// logs tells the story of one job from the logs that were collected of many
-// hosts. Data flows one way: files -> lines that matter -> sorted -> a table.
-// It needs no running process.
+// The verb logs shows the history of one job from the collected logs of many hosts. It
+// selects the lines that concern the job, sorts them by time and prints a table. It needs
+// no running process.
 
 var logsVerb = verb{
 	path: "logs", args: "JOB FILE...", min: 2, max: 1000,
@@ -25,7 +25,7 @@
 	run:     runLogs,
 }
 
-// logLine is one line of a host's log.
+// logLine is one line of the log of a host.
 type logLine struct {
 	At     time.Time `json:"at"`
 	Event  string    `json:"event"`
@@ -44,16 +44,18 @@
 	Path   string    `json:"path,omitempty"`
 	Status int       `json:"status,omitempty"`
 	Lines  int64     `json:"lines,omitempty"`
-	// Reason is why a lasting task waits; it fits so often here and in other cells.
+	// Reason is why a lasting task waits. FitsHere and FitsElsewhere count how often the
+	// task fits into this cell and into other cells.
 	Reason        string `json:"reason,omitempty"`
 	FitsHere      int64  `json:"fits_here,omitempty"`
 	FitsElsewhere int64  `json:"fits_elsewhere,omitempty"`
 }
 
-// cellEventPrefix are about a cell as a whole: they matter to each of its jobs.
+// cellEventPrefix is the prefix of events about a cell as a whole. They concern each of
+// its jobs.
 const cellEventPrefix = "cell-"
 
-// droppedEvent says that lines are missing.
+// droppedEvent is the event of a host that had to drop log lines.
 const droppedEvent = "log-lines-dropped"
 
 func runLogs(_ context.Context, s *session) error {
@@ -72,8 +74,8 @@
 	return show(s, story, "TIME HOST EVENT RUN WORKER WHAT", jobLogLines)
 }
 
-// readLog reads the lines of one file that are JSON; what stands before a
-// line's object (a collector's prefix) is passed over.
+// readLog returns the JSON lines of one file, or of standard input for "-". It skips text
+// before the JSON object of a line, such as the prefix of a log collector.
 func (s *session) readLog(path string) ([]logLine, error) {
 	in := s.in
 	if path != "-" {
@@ -104,7 +106,9 @@
 	return list, nil
 }
 
-// linesAboutJob picks the lines that matter to a job, in the order of time.
+// linesAboutJob returns the lines that concern a job, sorted by time: its own lines, and
+// between the first and the last of these the lines about its cells, about the workers of
+// its runs and about dropped lines.
 func linesAboutJob(job string, all []logLine) []logLine {
 	cells, workers := map[string]bool{}, map[string]bool{}
 	var own, story []logLine
@@ -147,12 +151,13 @@
 	return lines
 }
 
-// shortTask is a task's name without its job.
+// shortTask returns the name of a task without the job.
 func shortTask(l logLine) string {
 	_, rest, _ := strings.Cut(l.Task, ".")
 	return rest
 }
 
+// text returns the facts of a line as one cell of the table.
 func (l logLine) text() string {
 	var words []string
 	add := func(say bool, format string, args ...any) {
--- a/pkg/cli/output.go
+++ b/pkg/cli/output.go
@@ -9,10 +9,11 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// columnGap is the space between two columns.
+// columnGap is the number of spaces between two columns.
 const columnGap = 2
 
-// show prints a view: as JSON whole, or as a table of the given cells.
+// show prints a view as JSON, or as a table with the column names in head (separated by
+// spaces) and the cells that lines returns.
 func show[T any](s *session, view T, head string, lines func(T) [][]any) error {
 	if s.flags.output == "json" {
 		return s.showJSON(view)
@@ -43,5 +44,5 @@
 	return nil
 }
 
-// orDash shows an empty cell.
+// orDash returns the text, or "-" for an empty cell.
 func orDash(text string) string { return firstNonEmpty(text, "-") }
--- a/pkg/cli/service.go
+++ b/pkg/cli/service.go
@@ -8,8 +8,7 @@
 	"github.com/wrenferry/wrenferry/pkg/request/gateway"
 )
 
-// The verbs of services. Start, drain and stop are one worker function with
-// three rows.
+// The verbs of services. Start, drain and stop share the function changeService.
 
 var serviceList = verb{
 	path:    "service list",
@@ -57,6 +56,8 @@
 	})
 }
 
+// changeService returns a function that posts the change name for a service; would is the
+// text for a dry run.
 func changeService(name, would string) func(context.Context, *session) error {
 	return func(ctx context.Context, s *session) error {
 		if s.reportDryRun(would, s.args[0]) {
--- a/pkg/cli/settings_check.go
+++ b/pkg/cli/settings_check.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// readFile reads a file, or standard input for "-".
+// readFile returns the text of a file, or of standard input for "-".
 func (s *session) readFile(path string) (string, error) {
 	var text []byte
 	var err error
--- a/pkg/cli/settings_diff.go
+++ b/pkg/cli/settings_diff.go
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// textToCompare is the file or the version to compare to.
+// textToCompare returns the name and text of the file or version to compare to.
 func (s *session) textToCompare(ctx context.Context) (name, text string, err error) {
 	if len(s.args) > 0 {
 		text, err = s.readFile(s.args[0])
--- a/pkg/cli/settings_show.go
+++ b/pkg/cli/settings_show.go
@@ -56,7 +56,7 @@
 	})
 }
 
-// settingsVersion reads one version; 0 is the one in force.
+// settingsVersion returns one version of the settings; 0 is the version in force.
 func (s *session) settingsVersion(ctx context.Context, version int64) (operators.SettingsView, error) {
 	path := "/v1/settings"
 	if version != 0 {
--- a/pkg/cli/verbs.go
+++ b/pkg/cli/verbs.go
@@ -1,6 +1,6 @@
 package cli
 
-// groupHelp is what the help says of each group of verbs.
+// groupHelp is the short help of each group of verbs.
 var groupHelp = map[string]string{
 	"settings": "The tree of settings: check, show, compare, edit",
 	"service":  "Start, drain, stop and list services",
@@ -9,7 +9,7 @@
 	"job":      "Start, drain, stop, show and list jobs",
 }
 
-// verbs is the look-up table, in the order in which help shows it.
+// verbs is the table of verbs, in the order in which help lists them.
 var verbs = []verb{
 	statusVerb,
 	hostsVerb,
--- a/pkg/configfile/configfile.go
+++ b/pkg/configfile/configfile.go
@@ -1,8 +1,8 @@
-// Package configfile reads a process's settings file, JSON with comments, by a
-// table of fields. The same table drives the check, the help and the docs.
+// Package configfile parses the settings file of a process (JSON with comments)
+// by a table of fields. Validation, help and docs use the same table.
 //
-// A file is read whole or not at all: every problem in it is reported, each
-// with its place, its value and what could stand there.
+// A file with any problem is rejected. The error lists every problem with its
+// position, its value and an example of a valid value.
 package configfile
 
 import (
@@ -17,24 +17,26 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// Field is one row of the table of a file's settings.
+// Field describes one setting of a file.
 type Field[T any] struct {
 	Name     string
 	Example  string
 	Required bool
 	Help     string
-	Set      func(c *T, literal []byte) error
-	// Rows, in place of Set, reads a list of objects and returns its problems.
+	// Set parses the JSON value literal and stores it in c.
+	Set func(c *T, literal []byte) error
+	// Rows is used instead of Set for a list of objects. It returns the problems found.
 	Rows func(c *T, r *sourceFile, v hujson.Value) []string
 }
 
-// sourceFile is a file that is being read.
+// sourceFile is the file being parsed; source is its text.
 type sourceFile struct {
 	file   string
 	source []byte
 }
 
-// Parse reads a settings file into c.
+// Parse parses the settings file named file into c. Its error is a BadInput fault
+// that lists all problems.
 func Parse[T any](file string, source []byte, c *T, fields []Field[T]) error {
 	syntax, err := hujson.Parse(source)
 	if err != nil {
@@ -47,7 +49,7 @@
 	return nil
 }
 
-// readObject reads one object by its table of fields, and returns what is wrong with it.
+// readObject parses one object by its table of fields and returns the problems found.
 func readObject[T any](r *sourceFile, v hujson.Value, c *T, fields []Field[T]) []string {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
@@ -69,6 +71,7 @@
 	return problems
 }
 
+// readMember parses one member of an object into c and returns the problems found.
 func readMember[T any](r *sourceFile, c *T, fields []Field[T], name string, m *hujson.ObjectMember) []string {
 	value := m.Value.Clone()
 	value.Standardize()
@@ -89,8 +92,8 @@
 	return []string{fmt.Sprintf("%sunknown setting %q; there are %s", r.position(m.Value), name, strings.Join(known, ", "))}
 }
 
-// Rows reads a list of objects, each by the same table of fields, into the list that at
-// names.
+// Rows returns a parser for a list of objects, each described by fields. at returns the
+// address of the list to append to.
 func Rows[T, E any](fields []Field[E], at func(*T) *[]E) func(*T, *sourceFile, hujson.Value) []string {
 	return func(c *T, r *sourceFile, v hujson.Value) []string {
 		list, ok := v.Value.(*hujson.Array)
@@ -107,6 +110,7 @@
 	}
 }
 
+// position returns the prefix "FILE:LINE:COLUMN: " for the place of v.
 func (r *sourceFile) position(v hujson.Value) string {
 	return position(r.file, r.source, v.StartOffset)
 }
@@ -116,12 +120,13 @@
 	return fmt.Sprintf("%s:%d:%d: ", file, strings.Count(before, "\n")+1, offset-strings.LastIndex(before, "\n"))
 }
 
-// Value reads any JSON value into the field that at names.
+// Value returns a parser that decodes a JSON value into the field at the address
+// returned by at.
 func Value[T, V any](at func(*T) *V) func(*T, []byte) error {
 	return func(c *T, b []byte) error { return json.Unmarshal(b, at(c)) }
 }
 
-// Address reads an IP number with a port.
+// Address returns a parser for an IP address with a port; host names are refused.
 func Address[T any](at func(*T) *string) func(*T, []byte) error {
 	return func(c *T, b []byte) error {
 		if err := json.Unmarshal(b, at(c)); err != nil {
@@ -138,7 +143,7 @@
 	}
 }
 
-// Span reads a duration like "1.5s".
+// Span returns a parser for a duration such as "1.5s".
 func Span[T any](at func(*T) *time.Duration) func(*T, []byte) error {
 	return func(c *T, b []byte) error {
 		var s string
@@ -151,7 +156,7 @@
 	}
 }
 
-// Count reads a number that lies between two bounds.
+// Count returns a parser for a number from least to most, both included.
 func Count[T any](least, most float64, at func(*T) *float64) func(*T, []byte) error {
 	return func(c *T, b []byte) error {
 		if err := json.Unmarshal(b, at(c)); err != nil {
--- a/pkg/container/expiring.go
+++ b/pkg/container/expiring.go
@@ -1,4 +1,4 @@
-// Package container holds the generic containers that wrenferry shares.
+// Package container provides generic containers.
 package container
 
 import (
@@ -6,31 +6,30 @@
 	"time"
 )
 
-// Expiring is a map whose entries end after a time of their own, bounded in
-// number: when it is full the oldest entry goes. It remembers until when it has
-// dropped entries that were still good, for users who must know what they may
-// have forgotten. Time is an argument, so it works without a clock of its own.
-// It is not safe for concurrent use.
+// Expiring is a map with a limited number of entries, each with its own expiry
+// time. A full map evicts its oldest entry. LostUntil tells callers which live
+// entries may have been evicted. Methods take the current time as an argument
+// and read no clock. Expiring is not safe for concurrent use.
 type Expiring[K comparable, V any] struct {
 	limit     int
 	entries   map[K]*list.Element
-	order     *list.List // by insertion
-	lostUntil time.Time
+	order     *list.List // by insertion, oldest first
+	lostUntil time.Time  // see LostUntil
 }
 
 type expiringEntry[K comparable, V any] struct {
-	key   K
-	value V
-	putAt   time.Time
+	key       K
+	value     V
+	putAt     time.Time
 	expiresAt time.Time
 }
 
-// NewExpiring returns an empty map for so many entries.
+// NewExpiring returns an empty map that holds at most limit entries.
 func NewExpiring[K comparable, V any](limit int) *Expiring[K, V] {
 	return &Expiring[K, V]{limit: limit, entries: map[K]*list.Element{}, order: list.New()}
 }
 
-// Get returns an entry that has not ended.
+// Get returns the value of key and true, or false if there is no unexpired entry.
 func (m *Expiring[K, V]) Get(now time.Time, key K) (V, bool) {
 	if element, ok := m.entries[key]; ok {
 		e := element.Value.(*expiringEntry[K, V])
@@ -43,7 +42,7 @@
 	return zero, false
 }
 
-// Put sets an entry, good for so long.
+// Put sets an entry that expires span after now. It counts as the newest entry.
 func (m *Expiring[K, V]) Put(now time.Time, key K, value V, span time.Duration) {
 	if element, ok := m.entries[key]; ok {
 		m.remove(element)
@@ -52,15 +51,15 @@
 	m.entries[key] = m.order.PushBack(&expiringEntry[K, V]{key: key, value: value, putAt: now, expiresAt: now.Add(span)})
 }
 
-// LostUntil is the time of the newest entry that was dropped for want of room;
-// it is zero if none was.
+// LostUntil returns the Put time of the newest unexpired entry evicted to make
+// room, or the zero time if none was evicted. No unexpired
+// entry put after that time was evicted.
 func (m *Expiring[K, V]) LostUntil() time.Time { return m.lostUntil }
 
-// Len returns the number of entries, ended ones that were not yet swept
-// included.
+// Len returns the number of entries, including expired ones not yet removed.
 func (m *Expiring[K, V]) Len() int { return len(m.entries) }
 
-// sweep drops the oldest entries that have ended, and makes room for one more.
+// sweep removes expired entries from the oldest end and makes room for one more entry.
 func (m *Expiring[K, V]) sweep(now time.Time) {
 	for element := m.order.Front(); element != nil; element = m.order.Front() {
 		e := element.Value.(*expiringEntry[K, V])
--- a/pkg/embedded/embedded.go
+++ b/pkg/embedded/embedded.go
@@ -1,6 +1,6 @@
-// Package embedded runs the stand-ins inside a daemon's own process, for trying
-// wrenferry out on one machine. Nothing is kept: everything is gone when the
-// process ends.
+// Package embedded runs the stand-ins inside the daemon's own process, to try
+// wrenferry out on one machine. All state is in memory and lost when the process
+// ends.
 package embedded
 
 import (
@@ -20,22 +20,22 @@
 	workers     = 3
 	runners     = 4
 	runnerSlots = 8
-	hostListLag     = 200 * time.Millisecond
+	hostListLag = 200 * time.Millisecond
 )
 
 // workerSize is the size of an embedded worker: 32 cores and 125 GB.
 var workerSize = ledger.Size{Millicores: 32000, MemoryMB: 125000, Accelerators: 1}
 
-// Standins is a platform, some workers and some runners, in this process.
+// Standins is a platform, workers and runners in this process.
 type Standins struct {
-	// Platform is the address of the platform.
+	// Platform is the HOST:PORT address of the platform.
 	Platform string
 	hosts    []*wire.Host
 	platform *standin.Platform
 }
 
-// Start starts the stand-ins for one hall. The runners serve the given
-// services.
+// Start starts the stand-ins of one hall. Each of the given services gets the same
+// number of runners.
 func Start(hallName string, services []string) (*Standins, error) {
 	s := &Standins{platform: standin.NewPlatform(hostListLag)}
 	var err error
@@ -80,8 +80,8 @@
 	return err
 }
 
-// Serve serves a handler on a free port of the loopback address, for as long as
-// the process lives.
+// Serve serves a handler on a free loopback port until the process ends, and returns
+// the HOST:PORT address.
 func Serve(handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/pkg/eventlog/eventlog.go
+++ b/pkg/eventlog/eventlog.go
@@ -1,9 +1,9 @@
-// Package eventlog writes the process's log: one JSON object a line, to
-// standard output, without ever holding up who logs.
+// Package eventlog writes the log of a process as one JSON object per line.
+// Logging never blocks the caller.
 //
-// Lines go through logrus into a bounded buffer that one goroutine empties. A
-// line that finds the buffer full, or the second's budget spent, is dropped and
-// counted; the count is a line of its own as soon as there is room.
+// logrus formats the lines into a bounded buffer, which one goroutine empties.
+// A line is dropped and counted if the buffer is full or the budget of lines for
+// the current second is used up. The event log-lines-dropped reports the count.
 package eventlog
 
 import (
@@ -16,25 +16,25 @@
 )
 
 const (
-	// bufferLines bounds what waits to be written: about 1 MB.
+	// bufferLines limits the lines that wait to be written, about 1 MB.
 	bufferLines = 4096
-	// linesPerSecond is the budget. A leader on a busy day writes about 200.
+	// linesPerSecond is the budget of log lines. A busy leader writes about 200.
 	linesPerSecond = 2000
-	// flushInterval is how long lines may wait, so that many share one write.
+	// flushInterval is how long a line may wait, so that many lines share one write.
 	flushInterval = 200 * time.Millisecond
-	// flushBytes is about how much is written at once: a pipe takes so much
-	// whole (PIPE_BUF), so that no line is torn.
+	// flushBytes is the target size of one write. A pipe writes this much
+	// atomically (PIPE_BUF), so no line is torn.
 	flushBytes = 4 << 10
 )
 
-// Log is the process's log. It is safe for many goroutines.
+// Log is the log of a process. It is safe for concurrent use.
 type Log struct {
-	logger  *logrus.Logger
-	lines   chan []byte
-	out     io.Writer
-	dropped atomic.Int64
-	total   atomic.Int64
-	budget  atomic.Int64
+	logger    *logrus.Logger
+	lines     chan []byte
+	out       io.Writer
+	dropped   atomic.Int64
+	total     atomic.Int64
+	budget    atomic.Int64
 	writeLock chan struct{}
 }
 
@@ -52,16 +52,16 @@
 	return l
 }
 
-// With returns an entry with fields that all its lines carry.
+// With returns an entry that adds the given fields to each of its lines.
 func (l *Log) With(fields logrus.Fields) *logrus.Entry { return l.logger.WithFields(fields) }
 
-// SetLevel sets from which level on lines are written.
+// SetLevel sets the lowest severity that is logged.
 func (l *Log) SetLevel(level logrus.Level) { l.logger.SetLevel(level) }
 
-// Dropped is how many lines were dropped so far.
+// Dropped returns the number of lines dropped since the process started.
 func (l *Log) Dropped() int64 { return l.total.Load() }
 
-// queue is what logrus writes to.
+// queue is the writer that logrus uses; it puts lines into the buffer.
 type queue struct{ log *Log }
 
 func (q queue) Write(line []byte) (int, error) {
@@ -82,10 +82,10 @@
 	l.total.Add(1)
 }
 
-// String names the part for the supervisor.
+// String returns the name of the log writer for the supervisor.
 func (l *Log) String() string { return "log writer" }
 
-// Serve writes lines until the context ends.
+// Serve writes buffered lines until the context ends.
 func (l *Log) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
@@ -108,7 +108,7 @@
 	}
 }
 
-// Flush writes what waits.
+// Flush writes all buffered lines.
 func (l *Log) Flush() {
 	l.writeLock <- struct{}{}
 	defer func() { <-l.writeLock }()
@@ -128,7 +128,8 @@
 	}
 }
 
-// write writes whole lines; a log that can't be written has nobody to be told.
+// write writes whole lines. It ignores errors, since there is no other place to
+// report that the log can't be written.
 func (l *Log) write(batch []byte) {
 	if len(batch) > 0 {
 		_, _ = l.out.Write(batch)
--- a/pkg/fault/fault.go
+++ b/pkg/fault/fault.go
@@ -1,9 +1,8 @@
-// Package fault holds the one error type of wrenferry.
+// Package fault defines the error type of wrenferry.
 //
-// Every failure that leaves a package says three things: what kind of failure
-// it is (a Code, which programs act on), which object it concerns, and what a
-// person can do about it. Underneath, eris keeps the chain of causes, so that
-// a log line can show where a failure began.
+// Each error returned by a package states the kind of failure (a Code, which
+// programs act on), the object concerned, and a remedy for the operator. eris
+// keeps the chain of causes, so that a log line can show the original error.
 package fault
 
 import (
@@ -13,31 +12,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// Code is the kind of a failure. Codes are part of the interface: they stand
-// in problem+json bodies, in metrics, and decide the command line's exit code.
+// Code is the kind of a failure. Codes are part of the public interface: they
+// appear in problem+json bodies and metrics and decide the exit code of the CLI.
 type Code string
 
 // The kinds of failure.
 const (
-	// BadInput: the request can never succeed as it stands.
+	// BadInput: the request is invalid, and repeating it unchanged fails again.
 	BadInput Code = "bad-input"
-	// NotFound: nothing has that name.
+	// NotFound: no object has the given name.
 	NotFound Code = "not-found"
-	// Conflict: somebody else changed the object first.
+	// Conflict: the object was changed concurrently.
 	Conflict Code = "conflict"
-	// TooLarge: a body or a header is over its limit.
+	// TooLarge: a body or a header exceeds its limit.
 	TooLarge Code = "too-large"
-	// NotRun: refused before anything ran; asking again is safe.
+	// NotRun: refused before any work ran; a retry is safe.
 	NotRun Code = "not-run"
 	// Unknown: the work may or may not have run.
 	Unknown Code = "unknown"
-	// Unavailable: something that is needed does not answer.
+	// Unavailable: a dependency does not answer.
 	Unavailable Code = "unavailable"
-	// Internal: a defect of wrenferry.
+	// Internal: a bug in wrenferry.
 	Internal Code = "internal"
 )
 
-// Fault is a failure with its kind, its object and a remedy.
+// Fault is an error with its kind, the object concerned and a remedy.
 type Fault struct {
 	Code    Code
 	Object  string
@@ -46,19 +45,19 @@
 	cause   error
 }
 
-// New makes a fault. The remedy may be empty where none is known.
+// New returns a fault. The remedy is empty if none is known.
 func New(code Code, object, problem, remedy string) *Fault {
 	return &Fault{Code: code, Object: object, Problem: problem, Remedy: remedy}
 }
 
-// WithCause returns a copy of the fault that remembers what led to it.
+// WithCause returns a copy of the fault that wraps err as its cause.
 func (f *Fault) WithCause(err error) *Fault {
 	c := *f
 	c.cause = eris.Wrap(err, f.Problem)
 	return &c
 }
 
-// Error gives one line: the object, the problem, the cause, the remedy.
+// Error returns one line with the object, the problem, the cause and the remedy.
 func (f *Fault) Error() string {
 	line := f.Problem
 	if f.Object != "" {
@@ -76,7 +75,7 @@
 // Unwrap returns the cause, for errors.Is and errors.As.
 func (f *Fault) Unwrap() error { return f.cause }
 
-// CodeOf returns the kind of any error; one without a kind is Internal.
+// CodeOf returns the code of the Fault in err's chain, or Internal if there is none.
 func CodeOf(err error) Code {
 	var f *Fault
 	if errors.As(err, &f) {
@@ -85,7 +84,7 @@
 	return Internal
 }
 
-// Status returns the HTTP status that stands for a code.
+// Status returns the HTTP status for a code.
 func Status(code Code) int {
 	switch code {
 	case BadInput:
--- a/pkg/serve/fleet.go
+++ b/pkg/serve/fleet.go
@@ -21,15 +21,17 @@
 )
 
 const (
-	// gcPercent lets the heap grow to this much above what lives, in percent.
-	// Processor time is dearer than memory on small hosts, up to the limit.
+	// gcPercent is the heap growth over the live heap, in percent, that starts a
+	// garbage collection. On small hosts processor time is scarcer than memory
+	// until the memory limit is reached.
 	gcPercent = 400
-	// memoryLimitShare is the share of a process's memory that the runtime keeps
-	// within; the rest is for what it does not count.
+	// memoryLimitShare is the share of the process's memory that the Go runtime
+	// may use; the rest is for memory that the runtime does not count.
 	memoryLimitShare = 0.6
 )
 
-// newFleetCommand runs an entry host on the users' platform.
+// newFleetCommand returns the command that runs an entry host on the platform's
+// table service.
 func newFleetCommand(out io.Writer) *cobra.Command {
 	var config string
 	cmd := &cobra.Command{
@@ -45,6 +47,7 @@
 	return cmd
 }
 
+// fleetLongHelp returns the help text that lists the settings of the process.
 func fleetLongHelp() string {
 	var b strings.Builder
 	b.WriteString("Settings of the process (JSON with comments):\n")
@@ -58,6 +61,7 @@
 	return b.String()
 }
 
+// runFleet runs an entry host until SIGTERM or SIGINT. SIGHUP reloads its settings file.
 func runFleet(ctx context.Context, file string, out io.Writer) error {
 	source, err := readSettings(file, "wrenferryd fleet --help shows what stands in one")
 	if err != nil {
@@ -91,11 +95,12 @@
 	})
 }
 
+// limitMemory sets the memory limit of the Go runtime from the settings.
 func limitMemory(config fleet.Config) {
 	debug.SetMemoryLimit(int64(config.MemoryMB * memoryLimitShare * (1 << 20)))
 }
 
-// OnPlatform joins a host to the platform's adapters.
+// OnPlatform returns the adapters that connect an entry host to the platform.
 func OnPlatform(config fleet.Config) fleet.Outside {
 	return fleet.Outside{
 		Table: platform.NewTable(config.Table), Caller: platform.NewWorkers(), Advisor: platform.NewAdvisor(config.Advice), Source: platform.Source{}, Dial: platform.Dial,
--- a/pkg/serve/fleettry.go
+++ b/pkg/serve/fleettry.go
@@ -18,15 +18,15 @@
 	"github.com/wrenferry/wrenferry/platform/platformtest"
 )
 
-// "wrenferryd fleet try" runs entry hosts on an embedded table service and runners, uses
-// them as callers do, stops the leader of a cell, and tells what became of each job.
+// "wrenferryd fleet try" runs entry hosts on an embedded table service and runners, submits
+// jobs as callers do, stops the leader of a cell, and prints the outcome of each job.
 
 const (
-	// tryTimeout is how long the whole try-out may take.
+	// tryTimeout is the time limit of the whole try-out.
 	tryTimeout = 40 * time.Second
-	// tryPollInterval is how often it looks whether something has come about.
+	// tryPollInterval is the time between two checks of an awaited condition.
 	tryPollInterval = 30 * time.Millisecond
-	// tryTaskDuration is how long a task takes.
+	// tryTaskDuration is the run time of each task.
 	tryTaskDuration = 150 * time.Millisecond
 )
 
@@ -44,14 +44,15 @@
 	}
 }
 
-// fleetTry is one run of the try-out.
+// fleetTry is one run of the try-out with its deployment and entry hosts.
 type fleetTry struct {
 	out        io.Writer
 	deployment *platformtest.Deployment
 	hosts      []*runningHost
 }
 
-// runningHost is a host that runs, and how to stop it as planned.
+// runningHost is a running entry host. stop begins its planned stop; ended receives
+// the result of its Run.
 type runningHost struct {
 	*fleet.Host
 	stop  context.CancelFunc
@@ -87,6 +88,7 @@
 	return nil
 }
 
+// start starts an entry host on free local addresses.
 func (t *fleetTry) start(name, hall string, halls []string) error {
 	addresses, err := platformtest.FreeAddresses(4)
 	if err != nil {
@@ -111,6 +113,7 @@
 	return nil
 }
 
+// stopAll stops all hosts and waits until they have ended.
 func (t *fleetTry) stopAll() {
 	for _, h := range t.hosts {
 		h.stop()
@@ -120,7 +123,8 @@
 	}
 }
 
-// waitFor waits for something to come about.
+// waitFor polls ok until it returns true. It returns an Unavailable fault about what
+// if the context ends first.
 func (t *fleetTry) waitFor(ctx context.Context, what string, ok func() bool) error {
 	for !ok() {
 		select {
@@ -132,6 +136,7 @@
 	return nil
 }
 
+// awaitReady waits until all hosts are ready and both cells have a leader.
 func (t *fleetTry) awaitReady(ctx context.Context) error {
 	err := t.waitFor(ctx, "all hosts ready, all cells led", func() bool {
 		for _, h := range t.hosts {
@@ -151,7 +156,7 @@
 	return nil
 }
 
-// leader is the host that leads a cell, with its jobs loaded.
+// leader returns the host that leads the cell and has loaded its jobs, or nil.
 func (t *fleetTry) leader(cell string) *runningHost {
 	for _, h := range t.hosts {
 		if h.Control.View().Cells[cell].Mine && h.Control.Load(context.Background(), cell, false).GetLeading() {
@@ -161,6 +166,7 @@
 	return nil
 }
 
+// runJob submits the same job at two hosts and waits for its completion at a third.
 func (t *fleetTry) runJob(ctx context.Context) error {
 	const id = "00000000000000a1"
 	for _, h := range t.hosts[:2] {
@@ -180,7 +186,8 @@
 	return nil
 }
 
-// awaitCompleted waits for a job's end, and tells how often its tasks were started.
+// awaitCompleted waits until the host reports the job as completed. It fails if a task of
+// the job was started more than once.
 func (t *fleetTry) awaitCompleted(ctx context.Context, at *runningHost, id string) error {
 	err := t.waitFor(ctx, "job "+id+" completed", func() bool {
 		_, body, err := platformtest.Call(ctx, at.Config.Callers, http.MethodGet, id, "")
@@ -203,6 +210,8 @@
 	return nil
 }
 
+// stopLeader stops the leader of hall-a while a job runs, and waits for a successor and
+// for the completion of the job.
 func (t *fleetTry) stopLeader(ctx context.Context) error {
 	const id = "00000000000000a2"
 	old := t.leader("hall-a")
@@ -221,6 +230,7 @@
 	return t.awaitCompleted(ctx, t.hosts[2], id)
 }
 
+// callUnknownJobs checks the status codes for an unknown job id and a malformed one.
 func (t *fleetTry) callUnknownJobs(ctx context.Context) error {
 	for _, c := range []struct {
 		job    string
--- a/pkg/serve/fleettry_test.go
+++ b/pkg/serve/fleettry_test.go
@@ -9,8 +9,8 @@
 	"github.com/wrenferry/wrenferry/pkg/serve"
 )
 
-// The main job on the embedded stand-in of the platform, a planned stop of a leader
-// included.
+// Jobs complete on the embedded stand-in of the platform, also while a leader is stopped
+// as planned.
 func TestFleetTryCompletesItsJobs(t *testing.T) {
 	t.Parallel()
 	var out, errs bytes.Buffer
--- a/pkg/serve/serve.go
+++ b/pkg/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve is the command line of the daemon, wrenferryd.
+// Package serve implements the command line of the daemon, wrenferryd.
 package serve
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/wrenferry/wrenferry/pkg/tryout"
 )
 
-// Main runs the command line and returns the exit code.
+// Main runs the command line with the given arguments and returns the exit code.
 func Main(args []string, out, errs io.Writer) int {
 	root := command(out, errs)
 	root.SetArgs(args)
@@ -45,7 +45,7 @@
 	return exitFailure
 }
 
-// flags are what the command line sets.
+// flags holds the values of the command-line flags.
 type flags struct {
 	config   string
 	embedded bool
@@ -77,6 +77,7 @@
 	return root
 }
 
+// longHelp returns the help text that lists the settings, signals and exit codes.
 func longHelp() string {
 	var b strings.Builder
 	b.WriteString("wrenferryd is the one daemon of every entry host. It serves callers, operators\nand its peers, and may lead its hall.\n\nSettings of the process (JSON with comments):\n")
@@ -146,7 +147,8 @@
 	return daemon.ParseConfig(f.config, source)
 }
 
-// readSettings reads a process's settings file.
+// readSettings reads the settings file of a process. remedy is the advice given if no
+// file was named.
 func readSettings(file, remedy string) ([]byte, error) {
 	if file == "" {
 		return nil, fault.New(fault.BadInput, "--config", "no settings file was named", remedy)
@@ -160,7 +162,7 @@
 
 // ----------------------------------------------------------------- fences
 
-// fence is one row of the table of fences that a test may take out.
+// fence is a safety mechanism that a test may disable with --unsafe-without.
 type fence struct {
 	name string
 	set  func(*daemon.Unsafe)
@@ -187,6 +189,8 @@
 	return names
 }
 
+// parseFences returns the settings that disable the named fences. An unknown name is a
+// BadInput fault.
 func parseFences(names []string) (daemon.Unsafe, error) {
 	var u daemon.Unsafe
 	for _, name := range names {
--- a/pkg/standin/faults.go
+++ b/pkg/standin/faults.go
@@ -1,10 +1,10 @@
-// Package standin holds small stand-ins for what is outside of wrenferry: the
-// platform (table, objects, list of hosts), workers, and runners of services.
+// Package standin provides stand-ins for the systems around wrenferry: the platform
+// (table, object store, host list), workers, and runners of services.
 //
-// They exist for tests and for "make try". Each is an http.Handler with fault
-// switches that a test sets over HTTP (POST /fault, JSON). Each keeps a record
-// of its own of what really happened there, and the checks of the tests read
-// that record and not the product's word. Nothing is kept across a restart.
+// They serve tests and "make try". Each is an http.Handler whose faults a test sets
+// over HTTP (POST /fault, JSON). Workers and runners record the events that really
+// happened; tests check this record and not the statements of wrenferry. No state
+// in memory survives a restart.
 package standin
 
 import (
@@ -18,39 +18,40 @@
 	"github.com/wrenferry/wrenferry/pkg/connection/protohttp"
 )
 
-// FaultPath is where a test sets the fault switches, and RecordPath is where it
-// reads the record.
+// FaultPath is the path at which a test sets the faults, and RecordPath the path at
+// which it reads the record.
 const (
 	FaultPath  = "/fault"
 	RecordPath = "/record"
 )
 
-// Faults are the switches. A new setting replaces the old one whole.
+// Faults are the faults to inject. A new value replaces all fields of the old one.
 type Faults struct {
-	// DelayMS delays every answer.
+	// DelayMS delays every call, in milliseconds.
 	DelayMS int64 `json:"delayMs"`
-	// Outage drops every call without taking it in.
+	// Outage drops every call before it is processed.
 	Outage bool `json:"outage"`
-	// Cut drops calls from processes whose names begin so.
+	// Cut drops calls from processes whose names have one of these prefixes.
 	Cut []string `json:"cut"`
-	// LoseAnswers drops the answers of so many calls that match LoseKey, after
-	// they took effect.
+	// LoseAnswers is the number of calls whose answers are dropped after they took
+	// effect. Only calls with a key that has the prefix LoseKey count.
 	LoseAnswers int    `json:"loseAnswers"`
 	LoseKey     string `json:"loseKey"`
-	// HoldMS holds so many calls that carry starts on their way in.
+	// HoldMS delays the next HoldCalls calls that carry starts, in milliseconds,
+	// before they are processed.
 	HoldMS    int64 `json:"holdMs"`
 	HoldCalls int   `json:"holdCalls"`
-	// FailAll makes a worker or runner fail everything that it starts.
+	// FailAll makes a worker fail all its runs and a runner all its calls.
 	FailAll bool `json:"failAll"`
 	// SlowFactor multiplies a runner's service time.
 	SlowFactor float64 `json:"slowFactor"`
-	// Leaving makes a runner say that it is leaving.
+	// Leaving makes a runner announce that it is leaving and refuse calls and streams.
 	Leaving bool `json:"leaving"`
-	// Samples are the latencies of services that a worker reports.
+	// Samples are the tail latencies by service that a worker reports, in milliseconds.
 	Samples map[string]int64 `json:"samples"`
 }
 
-// faultSwitches holds the faults in force.
+// faultSwitches holds the faults in force. It is safe for concurrent use.
 type faultSwitches struct {
 	mu     sync.Mutex
 	faults Faults
@@ -68,7 +69,7 @@
 	s.faults = f
 }
 
-// serveSet takes a new setting of the switches.
+// serveSet replaces the faults in force by those in the request body.
 func (s *faultSwitches) serveSet(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
@@ -78,8 +79,8 @@
 	s.set(f)
 }
 
-// admit applies the faults that act on the way in. It says whether the call
-// is to go on.
+// admit applies the delay and drops the call during an outage or a cut. It reports
+// whether the call is to be processed.
 func (s *faultSwitches) admit(w http.ResponseWriter, r *http.Request) bool {
 	f := s.get()
 	time.Sleep(time.Duration(f.DelayMS) * time.Millisecond)
@@ -99,7 +100,7 @@
 	return false
 }
 
-// holdCall holds a call on its way in, if it is one of those to be held.
+// holdCall delays a call if calls are left to be held.
 func (s *faultSwitches) holdCall() {
 	s.mu.Lock()
 	span := time.Duration(0)
@@ -111,7 +112,7 @@
 	time.Sleep(span)
 }
 
-// losesAnswer says whether the answer to a call on these keys is to be lost.
+// losesAnswer reports whether the answer to a call with these keys is to be dropped.
 func (s *faultSwitches) losesAnswer(keys []string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +128,7 @@
 	return false
 }
 
-// dropConnection ends the connection without an answer.
+// dropConnection closes the connection without an answer.
 func dropConnection(w http.ResponseWriter) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
@@ -140,7 +141,7 @@
 
 // ----------------------------------------------------------------- record
 
-// Entry is one line of a record: what really happened, and when.
+// Entry is one line of a record: an event on a worker or runner and its time.
 type Entry struct {
 	At         time.Time `json:"at"`
 	What       string    `json:"what"`
@@ -155,15 +156,16 @@
 	Devices    int64     `json:"devices,omitempty"`
 }
 
-// record appends entries to a file, so that they outlive a killed process, and
-// keeps them in memory.
+// record keeps entries in a file, so that they survive a killed process, or in memory
+// if there is no file.
 type record struct {
 	mu      sync.Mutex
 	file    *os.File
 	entries []Entry
 }
 
-// newRecord opens a record; with an empty path it is in memory only.
+// newRecord opens a record file for appending. With an empty path the record is in
+// memory only.
 func newRecord(path string) (*record, error) {
 	if path == "" {
 		return &record{}, nil
--- a/pkg/standin/platform.go
+++ b/pkg/standin/platform.go
@@ -12,8 +12,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Platform stands in for the platform: a transactional table in memory, an
-// object store, and a list of hosts that lags.
+// Platform is a stand-in for the platform: a transactional table in memory, an
+// object store, and a host list that shows changes after a lag.
 type Platform struct {
 	faultSwitches
 	mux *http.ServeMux
@@ -24,16 +24,16 @@
 	revision int64
 	objects  map[string][]byte
 	listed   []*wire.Host
-	pending  []pendingHosts // in the order in which they were set
+	pending  []pendingHosts // in the order of SetHosts calls
 	listLag  time.Duration
 	commits  int
 	reads    int
 }
 
-// SetHostsPath is where hosts are set, in the list's own format.
+// SetHostsPath is the path at which a test sets the hosts, as a wire.HostList.
 const SetHostsPath = "/hosts/set"
 
-// NewPlatform returns a platform whose list of hosts lags by so much.
+// NewPlatform returns a platform whose host list shows changes after listLag.
 func NewPlatform(listLag time.Duration) *Platform {
 	p := &Platform{
 		mux:     http.NewServeMux(),
@@ -51,7 +51,7 @@
 	return p
 }
 
-// ServeHTTP serves the platform's interface and the fault switches.
+// ServeHTTP serves the platform's interface, the host setter and the faults.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.mux.ServeHTTP(w, r) }
 
 // ------------------------------------------------------------------ table
@@ -70,6 +70,7 @@
 	_ = protohttp.Answer(w, reply)
 }
 
+// changedKeys returns the keys that a transaction puts or deletes.
 func changedKeys(req *wire.CommitRequest) []string {
 	var keys []string
 	for _, row := range req.GetPuts() {
@@ -78,6 +79,8 @@
 	return append(keys, req.GetDeletes()...)
 }
 
+// commit applies a transaction, or returns the keys whose conditions failed and changes
+// nothing.
 func (p *Platform) commit(req *wire.CommitRequest) *wire.CommitReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,6 +127,8 @@
 	_ = protohttp.Answer(w, p.read(req))
 }
 
+// read returns the rows of the requested keys, then those with the prefix, after the key
+// "after" and up to the limit.
 func (p *Platform) read(req *wire.ReadRequest) *wire.ReadReply {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,7 +155,7 @@
 	return reply
 }
 
-// Counts returns how many transactions and readings there have been.
+// Counts returns the number of transactions and of reads so far.
 func (p *Platform) Counts() (commits, reads int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,13 +164,13 @@
 
 // ------------------------------------------------------------------ hosts
 
-// pendingHosts is a list of hosts that is told from a given time on.
+// pendingHosts is a host list that is shown from visibleAt on.
 type pendingHosts struct {
-	hosts []*wire.Host
-	visibleAt  time.Time
+	hosts     []*wire.Host
+	visibleAt time.Time
 }
 
-// SetHosts changes the hosts; the list shows it after its lag.
+// SetHosts replaces the hosts. The host list shows them after its lag.
 func (p *Platform) SetHosts(hosts []*wire.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,8 +179,8 @@
 	p.pending = append(p.pending, pendingHosts{hosts: hosts, visibleAt: now.Add(p.listLag)})
 }
 
-// publishDueHosts lists the newest hosts whose lag is over. The time decides that, and no timer, which may run late or
-// after another's.
+// publishDueHosts makes the newest hosts whose lag has passed the visible list. It compares
+// times and uses no timers, since a timer may fire late or after a later one.
 func (p *Platform) publishDueHosts(now time.Time) {
 	for len(p.pending) > 0 && !now.Before(p.pending[0].visibleAt) {
 		p.listed, p.pending = p.pending[0].hosts, p.pending[1:]
--- a/pkg/standin/platform_test.go
+++ b/pkg/standin/platform_test.go
@@ -15,9 +15,9 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Found beside a load of 28 on 8 processors (TestBadInput: "it never came about: servers
-// are known"): lists that were set within the lag came to be told in another order, and
-// the last one told, without the servers, stayed.
+// Guards against host lists published out of order: with a timer per list, lists set within
+// the lag could be published in another order, and an earlier list without the servers
+// stayed. Under load this made TestBadInput fail with "it never came about: servers are known".
 func TestHostListEndsWithTheLastListSet(t *testing.T) {
 	t.Parallel()
 	p := standin.NewPlatform(time.Millisecond)
@@ -37,7 +37,8 @@
 	}
 }
 
-// The list follows the time and waits for no timer: one without a lag is right when it is read at once.
+// The list is decided by the time and not by a timer: without a lag, a read directly after
+// SetHosts returns the new list.
 func TestHostListWithoutLagShowsNewHostsAtOnce(t *testing.T) {
 	t.Parallel()
 	p := standin.NewPlatform(0)
@@ -48,7 +49,7 @@
 	}
 }
 
-// Until its lag is over the list is as it was, also where several are set meanwhile.
+// The list is unchanged until the lag has passed, also if several lists are set meanwhile.
 func TestHostListIsUnchangedUntilTheLagHasPassed(t *testing.T) {
 	t.Parallel()
 	p := standin.NewPlatform(time.Hour)
@@ -58,7 +59,7 @@
 	}
 }
 
-// listedHosts names the hosts that the platform lists.
+// listedHosts returns the names of the hosts in the platform's host list.
 func listedHosts(t *testing.T, p *standin.Platform) []string {
 	t.Helper()
 	answer := httptest.NewRecorder()
--- a/pkg/standin/runner.go
+++ b/pkg/standin/runner.go
@@ -12,8 +12,8 @@
 	"github.com/wrenferry/wrenferry/pkg/connection/runner"
 )
 
-// Runner stands in for one backend server of a service: 8 slots, a refusal when
-// they are full, and standing streams.
+// Runner is a stand-in for one backend server of a service. It refuses calls when all
+// its slots (8 in the embedded instance) are busy, and serves streams.
 type Runner struct {
 	faultSwitches
 	name   string
@@ -25,16 +25,17 @@
 	busy int
 }
 
-// Call is the JSON body that tells the stand-in what to do.
+// Call is the JSON body of a call: the work takes MS milliseconds and answers Echo.
 type Call struct {
 	MS   int64  `json:"ms"`
 	Echo string `json:"echo"`
 }
 
-// maxCallBytes bounds the body of a call.
+// maxCallBytes limits the body of a call.
 const maxCallBytes = 64 << 20
 
-// NewRunner returns a runner with so many slots.
+// NewRunner returns a runner with the given number of slots. It appends its record to the
+// file recordPath, or keeps it in memory if the path is empty.
 func NewRunner(name, recordPath string, slots int) (*Runner, error) {
 	rec, err := newRecord(recordPath)
 	if err != nil {
@@ -48,10 +49,10 @@
 	return r, nil
 }
 
-// ServeHTTP serves the runner's interface and the fault switches.
+// ServeHTTP serves the runner's interface, the faults and the record.
 func (r *Runner) ServeHTTP(w http.ResponseWriter, req *http.Request) { r.mux.ServeHTTP(w, req) }
 
-// acquireSlot takes a slot, if there is one.
+// acquireSlot occupies a slot and returns true, or returns false if all are busy.
 func (r *Runner) acquireSlot() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,6 +69,7 @@
 	r.busy--
 }
 
+// setHeaders reports the free slots, and that the runner is leaving, in the answer.
 func (r *Runner) setHeaders(w http.ResponseWriter) {
 	r.mu.Lock()
 	free := r.slots - r.busy
@@ -106,7 +108,8 @@
 	http.Error(w, why, http.StatusServiceUnavailable)
 }
 
-// run does the work. It goes on when the caller has left, as real work does.
+// run does the work of a call. It continues after the caller has disconnected, as a real
+// backend server does.
 func (r *Runner) run(w http.ResponseWriter, req *http.Request, f Faults, body []byte) {
 	var call Call
 	if len(body) > 0 && json.Unmarshal(body, &call) != nil {
@@ -133,8 +136,8 @@
 	_ = json.NewEncoder(w).Encode(map[string]string{"echo": call.Echo, "runner": r.name})
 }
 
-// streamInterval is the time between two events of a stream. Event N of every
-// stream is the same on each runner, so a stream can go on elsewhere.
+// streamInterval is the time between two events of a stream. Event N of a stream is the
+// same on each runner, so another runner can resume the stream.
 const streamInterval = 20 * time.Millisecond
 
 func (r *Runner) serveStream(w http.ResponseWriter, req *http.Request) {
--- a/pkg/standin/worker.go
+++ b/pkg/standin/worker.go
@@ -19,14 +19,15 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Work is what the stand-in's tasks are told to do, as the JSON body of a job.
+// Work is the JSON body of a job: how long each task runs, whether it fails, and whether
+// it stops without a checkpoint.
 type Work struct {
 	RunMS        int64 `json:"runMs"`
 	Fail         bool  `json:"fail"`
 	NoCheckpoint bool  `json:"noCheckpoint"`
 }
 
-// NoFences takes out the fences that a worker holds, to show they are needed.
+// NoFences disables single fences of a worker, so that tests can show that each is needed.
 type NoFences struct {
 	Epoch       bool
 	Incarnation bool
@@ -34,7 +35,7 @@
 	Lease       bool
 }
 
-// Worker stands in for a worker: it runs tasks under a lease.
+// Worker is a stand-in for a worker: it runs tasks under a lease.
 type Worker struct {
 	faultSwitches
 	name     string
@@ -45,17 +46,17 @@
 	record   *record
 	mux      *http.ServeMux
 
-	mu          sync.Mutex
-	incarnation string
-	boot        time.Time
-	epoch       int64
-	sequence    int64
-	leaseUntil  int64
-	runs        map[string]*run
-	newestAttempt      map[string]int64 // the newest attempt of each task ever seen
+	mu            sync.Mutex
+	incarnation   string
+	boot          time.Time
+	epoch         int64
+	sequence      int64
+	leaseUntil    int64
+	runs          map[string]*run
+	newestAttempt map[string]int64 // highest attempt of each task started or stopped here
 }
 
-// run is one attempt.
+// run is one attempt of a task on the worker.
 type run struct {
 	start    *wire.Start
 	work     Work
@@ -68,11 +69,11 @@
 	stopping bool
 }
 
-// workTick is how finely a task's work is cut.
+// workTick is the step in which a run progresses and checks its lease.
 const workTick = 10 * time.Millisecond
 
-// NewWorker returns a worker that stores checkpoints at the platform's address
-// and appends its record to a file.
+// NewWorker returns a worker that stores checkpoints in the object store of the platform.
+// It appends its record to the file recordPath, or keeps it in memory if the path is empty.
 func NewWorker(name, platformAddress, recordPath string, capacity, services ledger.Size, noFences NoFences) (*Worker, error) {
 	rec, err := newRecord(recordPath)
 	if err != nil {
@@ -91,10 +92,10 @@
 	return w, nil
 }
 
-// ServeHTTP serves the worker's interface and the fault switches.
+// ServeHTTP serves the worker's interface, the faults and the record.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) { w.mux.ServeHTTP(rw, r) }
 
-// mark reads the worker's own clock.
+// mark returns the worker's own clock: milliseconds since its boot.
 func (w *Worker) mark() int64 { return time.Since(w.boot).Milliseconds() }
 
 // --------------------------------------------------------------- messages
@@ -115,7 +116,8 @@
 	_ = protohttp.Answer(rw, reply)
 }
 
-// Sync takes one message in and answers it.
+// Sync processes one message of a leader and returns the reply with all runs. A message
+// refused by a fence changes nothing but the known epoch and sequence.
 func (w *Worker) Sync(req *wire.SyncRequest) *wire.SyncReply {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -130,7 +132,8 @@
 	return w.reply(refused)
 }
 
-// refuses holds the worker's fences: epoch, sequence, incarnation, lease.
+// refuses reports whether one of the fences rejects the message: epoch, sequence,
+// incarnation or lease. It records a newer epoch or sequence.
 func (w *Worker) refuses(req *wire.SyncRequest) bool {
 	if !w.noFences.Epoch {
 		if req.GetEpoch() < w.epoch {
@@ -151,6 +154,8 @@
 	return !w.noFences.Lease && req.GetLeaseUntilMark() > 0 && req.GetLeaseUntilMark() < w.mark()
 }
 
+// apply carries out an accepted message: lease, stops, throttles, starts, and the ended
+// runs that the leader has recorded.
 func (w *Worker) apply(req *wire.SyncRequest) {
 	w.leaseUntil = max(w.leaseUntil, req.GetLeaseUntilMark())
 	for _, s := range req.GetStops() {
@@ -193,6 +198,7 @@
 
 // ------------------------------------------------------------------- runs
 
+// start starts an attempt, unless the worker knows this or a later attempt of the task.
 func (w *Worker) start(s *wire.Start) {
 	if w.newestAttempt[s.GetTaskId()] >= s.GetAttempt() && !w.noFences.Sequence {
 		return
@@ -220,8 +226,8 @@
 	})
 }
 
-// run does the work tick by tick. Before each tick the lease is looked at, so
-// that a worker which was frozen does nothing after it wakes.
+// run executes an attempt tick by tick. It checks the lease before each tick, so that a
+// worker that was frozen past its lease does no work after it wakes.
 func (w *Worker) run(r *run) {
 	done := w.restore(r.start.GetCheckpoint())
 	w.mu.Lock()
@@ -240,7 +246,7 @@
 	}
 }
 
-// advance does one tick.
+// advance does one tick of work, slowed down by the throttle, and ends a completed run.
 func (w *Worker) advance(r *run) {
 	r.lastWork = time.Now()
 	step := workTick.Milliseconds()
@@ -264,7 +270,7 @@
 	w.recordRun("end", r, r.lastWork, state.String())
 }
 
-// stop ends an attempt, with a checkpoint in the object store if wanted.
+// stop stops an attempt as asked by the leader, with a checkpoint if requested.
 func (w *Worker) stop(s *wire.Stop) {
 	w.newestAttempt[s.GetTaskId()] = max(w.newestAttempt[s.GetTaskId()], s.GetAttempt())
 	r := w.runs[runName(s.GetTaskId(), s.GetAttempt())]
@@ -274,8 +280,7 @@
 	w.halt(r, s.GetCheckpoint())
 }
 
-// halt stops work at once; the attempt counts as stopped when its checkpoint is
-// safe.
+// halt stops the work at once. The run ends as stopped after its checkpoint is saved.
 func (w *Worker) halt(r *run, checkpoint bool) {
 	r.stopping = true
 	r.lastWork = time.Now()
@@ -295,7 +300,7 @@
 	}()
 }
 
-// stopRunsIfLeaseExpired stops everything when the lease is over.
+// stopRunsIfLeaseExpired stops all runs, with checkpoints, once the lease has expired.
 func (w *Worker) stopRunsIfLeaseExpired() {
 	if w.noFences.Lease || w.mark() <= w.leaseUntil {
 		return
@@ -304,7 +309,7 @@
 		if r.state == wire.RunState_RUN_STATE_RUNNING && !r.stopping {
 			last := r.lastWork
 			w.halt(r, true)
-			r.lastWork = last // it did nothing since then
+			r.lastWork = last // the run has done no work since
 		}
 	}
 }
@@ -313,6 +318,7 @@
 
 const objectStoreTimeout = 2 * time.Second
 
+// save stores a checkpoint, the milliseconds of work done, and reports success.
 func (w *Worker) save(name string, doneMS int64) bool {
 	body, err := json.Marshal(doneMS)
 	if err != nil {
@@ -322,6 +328,8 @@
 	return err == nil
 }
 
+// restore returns the work done according to a checkpoint, in milliseconds, or 0 if it
+// can't be read.
 func (w *Worker) restore(name string) int64 {
 	var doneMS int64
 	if name == "" {
--- a/pkg/tryout/tryout.go
+++ b/pkg/tryout/tryout.go
@@ -1,5 +1,5 @@
-// Package tryout uses an embedded instance the way callers and operators do,
-// and tells what happened and why. It is "wrenferryd try".
+// Package tryout implements "wrenferryd try": it starts an embedded instance,
+// calls it as callers and operators do, and prints the results.
 package tryout
 
 import (
@@ -23,22 +23,23 @@
 	"github.com/wrenferry/wrenferry/pkg/request/gateway"
 )
 
-// Hall is the one hall of the embedded instance.
+// Hall is the name of the only hall of the embedded instance.
 const Hall = "hall-1"
 
-// Services are those of examples/try.jsonc.
+// Services are the services in examples/try.jsonc.
 var Services = []string{"quotes"}
 
 const (
-	// tryTimeout is how long the whole tryout may take.
+	// tryTimeout is the time limit of the whole try-out.
 	tryTimeout = 50 * time.Second
-	// pollInterval is how often it looks whether something has come about.
+	// pollInterval is the time between two checks of an awaited condition.
 	pollInterval = 50 * time.Millisecond
-	// streamEventCount is how many events of the stream it waits for.
+	// streamEventCount is the number of events that are read from the stream.
 	streamEventCount = 3
 )
 
-// Config returns the process settings of an embedded instance.
+// Config returns the process settings of an embedded instance. callers and operators are
+// the addresses to listen on.
 func Config(s *embedded.Standins, callers, operators string) daemon.Config {
 	return daemon.Config{
 		Name: "entry-1", Hall: Hall, Halls: []string{Hall}, EntryHosts: 1,
@@ -47,14 +48,14 @@
 	}
 }
 
-// tryout is one run.
+// tryout is one run; callers and operators are base URLs.
 type tryout struct {
 	out       io.Writer
 	callers   string
 	operators string
 }
 
-// Run runs the tryout and prints what it sees.
+// Run runs the try-out and prints its results to out.
 func Run(ctx context.Context, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
@@ -82,7 +83,7 @@
 	return err
 }
 
-// step is one thing that the tryout shows.
+// step is one titled action of the try-out.
 type step struct {
 	title string
 	run   func(context.Context) error
@@ -224,7 +225,7 @@
 
 // ------------------------------------------------------------------ calls
 
-// reply is an answer as the tryout prints it.
+// reply is an HTTP response as the try-out prints it.
 type reply struct {
 	code    int
 	status  string
@@ -232,6 +233,7 @@
 	body    []byte
 }
 
+// call sends one request as the actor "tryout". A non-empty key is sent as the key header.
 func (t *tryout) call(ctx context.Context, method, url, key string, body []byte) (reply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -253,6 +255,7 @@
 	return reply{resp.StatusCode, resp.Status, resp.Header.Get(gateway.OutcomeHeader), text}, nil
 }
 
+// getView decodes the operators' view at path into the value into.
 func (t *tryout) getView(ctx context.Context, path string, into any) error {
 	answer, err := t.call(ctx, http.MethodGet, t.operators+path, "", nil)
 	if err != nil {
@@ -264,7 +267,8 @@
 	return nil
 }
 
-// waitFor looks again and again until something has come about.
+// waitFor polls done until it returns true or an error. It returns an Unavailable fault
+// if the context ends first.
 func (t *tryout) waitFor(ctx context.Context, done func() (bool, error)) error {
 	for {
 		ok, err := done()
--- a/test/tree/comments_test.go
+++ b/test/tree/comments_test.go
@@ -15,7 +15,6 @@
 	"pkg/emulator/touch_test.go":             2,
 	"pkg/process/poisontask/poisontask.go":   1,
 	"pkg/process/cell/isolated_runs_test.go": 1,
-	"pkg/standin/platform_test.go":           1,
 }
 
 func TestNoCommentTellsOfResults(t *testing.T) {
--- a/tools/docs/main.go
+++ b/tools/docs/main.go
@@ -1,6 +1,6 @@
-// Command docs makes the pages that come from the programs themselves: the
-// settings, from the table that checks them, and the command line, from its own
-// help. Without -write it only says whether the pages are current.
+// Command docs generates the pages that consist of output of the programs: settings,
+// commands and events. Without -write it reports pages that are not up to date and
+// exits with 1 if there are any.
 package main
 
 import (
@@ -11,7 +11,7 @@
 	"os/exec"
 )
 
-// page is one page and the commands whose output it holds.
+// page is a generated page and the commands whose output it contains.
 type page struct {
 	path     string
 	title    string
@@ -82,6 +82,7 @@
 	}
 }
 
+// render runs the commands of the page and returns its text.
 func (p page) render() []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "# %s\n\n<!-- Made by \"make docs\" from the commands shown. -->\n\n%s\n", p.title, p.intro)
