--- a/pkg/cli/delays.go
+++ b/pkg/cli/delays.go
@@ -54,25 +54,25 @@
 
 func runDelays(_ context.Context, s *session) error {
 	all := map[string]*jobTimes{}
-	lacks := map[string]map[string]int{}
+	lackedByJob := map[string]map[string]int{}
 	for _, file := range s.args {
 		lines, err := s.readLog(file)
 		if err != nil {
 			return err
 		}
 		for _, l := range lines {
-			addLogLine(all, lacks, l)
+			addLogLine(all, lackedByJob, l)
 		}
 	}
 	if len(all) == 0 {
 		return fault.New(fault.NotFound, strings.Join(s.args, " "), "no line of these logs is about a job", "collect the logs of all hosts")
 	}
-	return show(s, delaysByQueue(all, lacks), "QUEUE JOBS DONE FAILED MEAN-MS P95-MS WAIT AGAIN RUN RECORD LACKED", delayLines)
+	return show(s, delaysByQueue(all, lackedByJob), "QUEUE JOBS DONE FAILED MEAN-MS P95-MS WAIT AGAIN RUN RECORD LACKED", delayLines)
 }
 
 // addLogLine adds one log line to the times of its job in all, and the resources that its
-// waiting tasks lacked to lacks (by job, then by resource).
-func addLogLine(all map[string]*jobTimes, lacks map[string]map[string]int, l logLine) {
+// waiting tasks lacked to lackedByJob (by job, then by resource).
+func addLogLine(all map[string]*jobTimes, lackedByJob map[string]map[string]int, l logLine) {
 	if l.Job == "" {
 		return
 	}
@@ -101,7 +101,7 @@
 			}
 		}
 	case cell.NoteWaits:
-		countLackedResources(lacks, l)
+		countLackedResources(lackedByJob, l)
 	default:
 	}
 }
@@ -119,13 +119,13 @@
 var lackPattern = regexp.MustCompile(`([a-z][a-z ]*):(\d+)`)
 
 // countLackedResources adds up the lacked resources named in one line by its job.
-func countLackedResources(lacks map[string]map[string]int, l logLine) {
-	if lacks[l.Job] == nil {
-		lacks[l.Job] = map[string]int{}
+func countLackedResources(lackedByJob map[string]map[string]int, l logLine) {
+	if lackedByJob[l.Job] == nil {
+		lackedByJob[l.Job] = map[string]int{}
 	}
 	for _, m := range lackPattern.FindAllStringSubmatch(l.Detail, -1) {
 		if n, err := strconv.Atoi(m[2]); err == nil {
-			lacks[l.Job][strings.TrimSpace(m[1])] += n
+			lackedByJob[l.Job][strings.TrimSpace(m[1])] += n
 		}
 	}
 }
@@ -170,30 +170,30 @@
 }
 
 // delaysByQueue returns one row per queue, sorted by the name of the queue.
-func delaysByQueue(all map[string]*jobTimes, lacks map[string]map[string]int) []QueueDelays {
+func delaysByQueue(all map[string]*jobTimes, lackedByJob map[string]map[string]int) []QueueDelays {
 	byQueue := map[string][]string{}
 	for id, j := range all {
 		byQueue[j.queue] = append(byQueue[j.queue], id)
 	}
 	var list []QueueDelays
 	for _, queue := range slices.Sorted(maps.Keys(byQueue)) {
-		list = append(list, delaysOfQueue(queue, byQueue[queue], all, lacks))
+		list = append(list, delaysOfQueue(queue, byQueue[queue], all, lackedByJob))
 	}
 	return list
 }
 
 // delaysOfQueue returns the row of one queue. Only jobs that were queued and ended without
 // failure, according to the logs, count for the times.
-func delaysOfQueue(queue string, ids []string, all map[string]*jobTimes, lacks map[string]map[string]int) QueueDelays {
+func delaysOfQueue(queue string, ids []string, all map[string]*jobTimes, lackedByJob map[string]map[string]int) QueueDelays {
 	d := QueueDelays{Queue: orDash(queue), Jobs: len(ids)}
-	var whole []time.Duration
+	var durations []time.Duration
 	sum := timeParts{}
 	record, recorded := time.Duration(0), 0
 	lacked := map[string]int{}
 	for _, id := range ids {
 		j := all[id]
-		for what, n := range lacks[id] {
-			lacked[what] += n
+		for resource, n := range lackedByJob[id] {
+			lacked[resource] += n
 		}
 		if j.failed {
 			d.Failed++
@@ -202,7 +202,7 @@
 			continue
 		}
 		d.Done++
-		whole = append(whole, j.ended.Sub(j.queued))
+		durations = append(durations, j.ended.Sub(j.queued))
 		p := j.criticalTimes()
 		sum.wait, sum.lost, sum.run = sum.wait+p.wait, sum.lost+p.lost, sum.run+p.run
 		if !j.recorded.IsZero() {
@@ -214,13 +214,13 @@
 	if d.Done == 0 {
 		return d
 	}
-	slices.Sort(whole)
+	slices.Sort(durations)
 	total := time.Duration(0)
-	for _, w := range whole {
+	for _, w := range durations {
 		total += w
 	}
 	mean := func(sum time.Duration) int64 { return (sum / time.Duration(d.Done)).Milliseconds() }
-	d.MeanMs, d.P95Ms = mean(total), whole[len(whole)*95/100].Milliseconds()
+	d.MeanMs, d.P95Ms = mean(total), durations[len(durations)*95/100].Milliseconds()
 	d.WaitMs, d.AgainMs, d.RunMs = mean(sum.wait), mean(sum.lost), mean(sum.run)
 	d.RecordMs = (record / time.Duration(max(1, recorded))).Milliseconds()
 	return d
--- a/pkg/serve/fleet.go
+++ b/pkg/serve/fleet.go
@@ -75,9 +75,9 @@
 	if err != nil {
 		return err
 	}
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGHUP)
-	defer signal.Stop(asked)
+	reloadRequests := make(chan os.Signal, 1)
+	signal.Notify(reloadRequests, syscall.SIGHUP)
+	defer signal.Stop(reloadRequests)
 	debug.SetGCPercent(gcPercent)
 	limitMemory(config)
 	host, err := fleet.New(config, OnPlatform(config), eventlog.New(out, level))
@@ -87,7 +87,7 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return host.Run(ctx, &fleet.Reload{
-		File: file, Source: source, Config: config, Asked: asked, Log: host.Log,
+		File: file, Source: source, Config: config, Asked: reloadRequests, Log: host.Log,
 		Apply: func(c fleet.Config) {
 			limitMemory(c)
 			host.Reconfigure(c)
--- a/pkg/serve/fleettry.go
+++ b/pkg/serve/fleettry.go
@@ -129,7 +129,7 @@
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			return fault.New(fault.Unavailable, what, "did not come about in time", "")
+			return fault.New(fault.Unavailable, what, "not reached before the time limit", "")
 		case <-time.After(tryPollInterval):
 		}
 	}
@@ -180,7 +180,7 @@
 func (t *fleetTry) submit(ctx context.Context, h *runningHost, id string) error {
 	status, _, err := platformtest.Call(ctx, h.Config.Callers, http.MethodPost, id, platformtest.TwoSteps)
 	if err != nil || status != http.StatusOK {
-		return fault.New(fault.Unavailable, id, fmt.Sprintf("handing it in at %s was answered %d", h.Config.Name, status), "").WithCause(err)
+		return fault.New(fault.Unavailable, id, fmt.Sprintf("submission at %s returned status %d", h.Config.Name, status), "").WithCause(err)
 	}
 	fmt.Fprintf(t.out, "%s takes job %s: %d\n", h.Config.Name, id, status)
 	return nil
@@ -238,7 +238,7 @@
 	}{{"00000000000000ff", http.StatusGone}, {"no-id", http.StatusNotFound}} {
 		status, _, err := platformtest.Call(ctx, t.hosts[2].Config.Callers, http.MethodGet, c.job, "")
 		if err != nil || status != c.status {
-			return fault.New(fault.Internal, c.job, fmt.Sprintf("was answered %d, not %d", status, c.status), "").WithCause(err)
+			return fault.New(fault.Internal, c.job, fmt.Sprintf("returned status %d; want %d", status, c.status), "").WithCause(err)
 		}
 		fmt.Fprintf(t.out, "%s: %d\n", c.job, status)
 	}
--- a/pkg/standin/runner.go
+++ b/pkg/standin/runner.go
@@ -96,7 +96,7 @@
 	defer r.releaseSlot()
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxCallBytes))
 	if err != nil {
-		http.Error(w, "the body broke off", http.StatusBadRequest)
+		http.Error(w, "the body ended early", http.StatusBadRequest)
 		return
 	}
 	r.run(w, req, f, body)
--- a/pkg/tryout/tryout.go
+++ b/pkg/tryout/tryout.go
@@ -177,7 +177,7 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return fault.New(fault.Unavailable, "tryout", "the stream did not open", "").WithCause(err)
+		return fault.New(fault.Unavailable, "tryout", "the stream could not be opened", "").WithCause(err)
 	}
 	defer resp.Body.Close()
 	scanner := bufio.NewScanner(resp.Body)
@@ -277,7 +277,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.New(fault.Unavailable, "tryout", "it took too long", "").WithCause(ctx.Err())
+			return fault.New(fault.Unavailable, "tryout", "the awaited state was not reached before the time limit", "").WithCause(ctx.Err())
 		case <-time.After(pollInterval):
 		}
 	}
