--- a/pkg/cli/delays.go
+++ b/pkg/cli/delays.go
@@ -15,12 +15,12 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// Where the time of jobs went. Data flows one way: files -> lines -> one jobTimes a job
-// -> one row a queue -> a table. It needs no running process.
+// The verb delays computes from collected logs where the time of jobs went. It reads log
+// lines into one jobTimes per job and prints one row per queue. It needs no running process.
 //
-// A job's time is that of its critical tasks: of each step the one that ended last. It
-// waited until its first start, ran in its last run, and lost what lies between the two
-// to runs that failed, were stopped or lost.
+// The time of a job is that of its critical tasks. The critical task of a step is the one
+// that ended last. It waits until the start of its first run and runs in its last run. The
+// time between these two starts is lost to runs that failed, were stopped or were lost.
 
 var delaysVerb = verb{
 	path: "delays", args: "FILE...", min: 1, max: 1000,
@@ -30,7 +30,7 @@
 	run:     runDelays,
 }
 
-// jobTimes are the moments of one job that logs tell.
+// jobTimes holds the times of one job that are found in logs; zero times are unknown.
 type jobTimes struct {
 	queue                   string
 	queued, ended, recorded time.Time
@@ -43,7 +43,7 @@
 	began, ended time.Time
 }
 
-// QueueDelays is where the time of a queue's jobs went, in ms.
+// QueueDelays sums up the jobs of a queue. The parts of their time are means in ms.
 type QueueDelays struct {
 	Queue                            string
 	Jobs, Done, Failed               int
@@ -54,24 +54,25 @@
 
 func runDelays(_ context.Context, s *session) error {
 	all := map[string]*jobTimes{}
-	lacks := map[string]map[string]int{}
+	lackedByJob := map[string]map[string]int{}
 	for _, file := range s.args {
 		lines, err := s.readLog(file)
 		if err != nil {
 			return err
 		}
 		for _, l := range lines {
-			takeTimes(all, lacks, l)
+			addLogLine(all, lackedByJob, l)
 		}
 	}
 	if len(all) == 0 {
 		return fault.New(fault.NotFound, strings.Join(s.args, " "), "no line of these logs is about a job", "collect the logs of all hosts")
 	}
-	return show(s, delaysOf(all, lacks), "QUEUE JOBS DONE FAILED MEAN-MS P95-MS WAIT AGAIN RUN RECORD LACKED", delayLines)
+	return show(s, delaysByQueue(all, lackedByJob), "QUEUE JOBS DONE FAILED MEAN-MS P95-MS WAIT AGAIN RUN RECORD LACKED", delayLines)
 }
 
-// takeTimes takes in one line.
-func takeTimes(all map[string]*jobTimes, lacks map[string]map[string]int, l logLine) {
+// addLogLine adds one log line to the times of its job in all, and the resources that its
+// waiting tasks lacked to lackedByJob (by job, then by resource).
+func addLogLine(all map[string]*jobTimes, lackedByJob map[string]map[string]int, l logLine) {
 	if l.Job == "" {
 		return
 	}
@@ -100,11 +101,12 @@
 			}
 		}
 	case cell.NoteWaits:
-		countLacks(lacks, l)
+		countLackedResources(lackedByJob, l)
 	default:
 	}
 }
 
+// earlier returns the earlier of two times; a zero a counts as unknown.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
@@ -112,25 +114,28 @@
 	return a
 }
 
-// lackForm finds what usable workers lacked, and how many, in a line's detail.
-var lackForm = regexp.MustCompile(`([a-z][a-z ]*):(\d+)`)
+// lackPattern matches "RESOURCE:N" in the detail of a log line: N usable workers lacked the
+// resource.
+var lackPattern = regexp.MustCompile(`([a-z][a-z ]*):(\d+)`)
 
-func countLacks(lacks map[string]map[string]int, l logLine) {
-	if lacks[l.Job] == nil {
-		lacks[l.Job] = map[string]int{}
+// countLackedResources adds up the lacked resources named in one line by its job.
+func countLackedResources(lackedByJob map[string]map[string]int, l logLine) {
+	if lackedByJob[l.Job] == nil {
+		lackedByJob[l.Job] = map[string]int{}
 	}
-	for _, m := range lackForm.FindAllStringSubmatch(l.Detail, -1) {
+	for _, m := range lackPattern.FindAllStringSubmatch(l.Detail, -1) {
 		if n, err := strconv.Atoi(m[2]); err == nil {
-			lacks[l.Job][strings.TrimSpace(m[1])] += n
+			lackedByJob[l.Job][strings.TrimSpace(m[1])] += n
 		}
 	}
 }
 
-// timeParts are the waits, lost time and run time of a job's critical tasks.
-type timeParts struct{ wait, again, run time.Duration }
+// timeParts are the waiting, lost and run time of the critical tasks of a job.
+type timeParts struct{ wait, lost, run time.Duration }
 
-// critical adds up over a job's steps, in the order in which they began.
-func (j *jobTimes) critical() timeParts {
+// criticalTimes adds up the times of the critical tasks over the steps of a job, in the
+// order in which the steps began.
+func (j *jobTimes) criticalTimes() timeParts {
 	type step struct{ began, ended, first, last time.Time }
 	steps := map[string]*step{}
 	for task, runs := range j.runs {
@@ -155,7 +160,7 @@
 			continue
 		}
 		p.wait += max(0, st.first.Sub(ready))
-		p.again += st.last.Sub(st.first)
+		p.lost += st.last.Sub(st.first)
 		p.run += st.ended.Sub(st.last)
 		if st.ended.After(ready) {
 			ready = st.ended
@@ -164,28 +169,31 @@
 	return p
 }
 
-func delaysOf(all map[string]*jobTimes, lacks map[string]map[string]int) []QueueDelays {
+// delaysByQueue returns one row per queue, sorted by the name of the queue.
+func delaysByQueue(all map[string]*jobTimes, lackedByJob map[string]map[string]int) []QueueDelays {
 	byQueue := map[string][]string{}
 	for id, j := range all {
 		byQueue[j.queue] = append(byQueue[j.queue], id)
 	}
 	var list []QueueDelays
 	for _, queue := range slices.Sorted(maps.Keys(byQueue)) {
-		list = append(list, queueDelays(queue, byQueue[queue], all, lacks))
+		list = append(list, delaysOfQueue(queue, byQueue[queue], all, lackedByJob))
 	}
 	return list
 }
 
-func queueDelays(queue string, ids []string, all map[string]*jobTimes, lacks map[string]map[string]int) QueueDelays {
-	d := QueueDelays{Queue: dash(queue), Jobs: len(ids)}
-	var whole []time.Duration
+// delaysOfQueue returns the row of one queue. Only jobs that were queued and ended without
+// failure, according to the logs, count for the times.
+func delaysOfQueue(queue string, ids []string, all map[string]*jobTimes, lackedByJob map[string]map[string]int) QueueDelays {
+	d := QueueDelays{Queue: orDash(queue), Jobs: len(ids)}
+	var durations []time.Duration
 	sum := timeParts{}
 	record, recorded := time.Duration(0), 0
 	lacked := map[string]int{}
 	for _, id := range ids {
 		j := all[id]
-		for what, n := range lacks[id] {
-			lacked[what] += n
+		for resource, n := range lackedByJob[id] {
+			lacked[resource] += n
 		}
 		if j.failed {
 			d.Failed++
@@ -194,9 +202,9 @@
 			continue
 		}
 		d.Done++
-		whole = append(whole, j.ended.Sub(j.queued))
-		p := j.critical()
-		sum.wait, sum.again, sum.run = sum.wait+p.wait, sum.again+p.again, sum.run+p.run
+		durations = append(durations, j.ended.Sub(j.queued))
+		p := j.criticalTimes()
+		sum.wait, sum.lost, sum.run = sum.wait+p.wait, sum.lost+p.lost, sum.run+p.run
 		if !j.recorded.IsZero() {
 			record += j.recorded.Sub(j.ended)
 			recorded++
@@ -206,19 +214,19 @@
 	if d.Done == 0 {
 		return d
 	}
-	slices.Sort(whole)
+	slices.Sort(durations)
 	total := time.Duration(0)
-	for _, w := range whole {
+	for _, w := range durations {
 		total += w
 	}
 	mean := func(sum time.Duration) int64 { return (sum / time.Duration(d.Done)).Milliseconds() }
-	d.MeanMs, d.P95Ms = mean(total), whole[len(whole)*95/100].Milliseconds()
-	d.WaitMs, d.AgainMs, d.RunMs = mean(sum.wait), mean(sum.again), mean(sum.run)
+	d.MeanMs, d.P95Ms = mean(total), durations[len(durations)*95/100].Milliseconds()
+	d.WaitMs, d.AgainMs, d.RunMs = mean(sum.wait), mean(sum.lost), mean(sum.run)
 	d.RecordMs = (record / time.Duration(max(1, recorded))).Milliseconds()
 	return d
 }
 
-// mostLacked names what was lacked, the most frequent first, with its share.
+// mostLacked lists the lacked resources, the most frequent first, with their shares.
 func mostLacked(lacked map[string]int) string {
 	all := 0
 	for _, n := range lacked {
@@ -241,7 +249,7 @@
 func delayLines(list []QueueDelays) [][]any {
 	lines := make([][]any, 0, len(list))
 	for _, d := range list {
-		lines = append(lines, []any{d.Queue, d.Jobs, d.Done, d.Failed, d.MeanMs, d.P95Ms, d.WaitMs, d.AgainMs, d.RunMs, d.RecordMs, dash(d.Lacked)})
+		lines = append(lines, []any{d.Queue, d.Jobs, d.Done, d.Failed, d.MeanMs, d.P95Ms, d.WaitMs, d.AgainMs, d.RunMs, d.RecordMs, orDash(d.Lacked)})
 	}
 	return lines
 }
--- a/pkg/cli/fleet_status_test.go
+++ b/pkg/cli/fleet_status_test.go
@@ -17,7 +17,7 @@
 	"github.com/wrenferry/wrenferry/pkg/process/poisontask"
 )
 
-// statusHost answers as a host does that leads one cell.
+// statusHost serves the status of a host that leads one cell, and returns its address.
 func statusHost(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -34,7 +34,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestAFleetsStatusIsShownForEachHost(t *testing.T) {
+func TestFleetStatusShowsEachHost(t *testing.T) {
 	t.Parallel()
 	var out, errs bytes.Buffer
 	code := cli.Main([]string{"fleet", "status", statusHost(t), "127.0.0.1:1"}, nil, &out, &errs)
@@ -44,14 +44,14 @@
 	must.StrContains(t, out.String(), "no answer")
 }
 
-func TestAFleetOfWhichNobodyAnswersIsAnError(t *testing.T) {
+func TestFleetStatusFailsIfNoHostAnswers(t *testing.T) {
 	t.Parallel()
 	var out, errs bytes.Buffer
 	must.Eq(t, 5, cli.Main([]string{"fleet", "status", "127.0.0.1:1"}, nil, &out, &errs))
 	must.StrContains(t, errs.String(), "no host answered")
 }
 
-func TestAFleetsStatusForPrograms(t *testing.T) {
+func TestFleetStatusPrintsJSON(t *testing.T) {
 	t.Parallel()
 	var out, errs bytes.Buffer
 	must.Eq(t, 0, cli.Main([]string{"fleet", "status", statusHost(t), "-o", "json"}, nil, &out, &errs))
@@ -60,7 +60,8 @@
 	must.Eq(t, 50, list[0].Status.Led["hall-a"].Running)
 }
 
-// suspectsHost answers as a host does that leads a cell with one suspect.
+// suspectsHost serves the suspects of a host that leads a cell with one implicated task. It
+// returns its address and the paths of the calls that cleared the evidence.
 func suspectsHost(t *testing.T) (address string, cleared *[]string) {
 	t.Helper()
 	cleared = &[]string{}
@@ -82,7 +83,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), cleared
 }
 
-func TestSuspectsAreListedWithWhatIsHeldAgainstThem(t *testing.T) {
+func TestFleetSuspectsListsCrashesByTask(t *testing.T) {
 	t.Parallel()
 	address, _ := suspectsHost(t)
 	var out, errs bytes.Buffer
@@ -93,7 +94,7 @@
 	must.Eq(t, 5, cli.Main([]string{"fleet", "suspects", "127.0.0.1:1"}, nil, &out, &errs))
 }
 
-func TestASuspicionIsTakenBackWhereItIsHeld(t *testing.T) {
+func TestFleetClearReachesTheLeaderThatHoldsEvidence(t *testing.T) {
 	t.Parallel()
 	address, cleared := suspectsHost(t)
 	var out, errs bytes.Buffer
--- a/pkg/cli/fleet_suspects.go
+++ b/pkg/cli/fleet_suspects.go
@@ -30,7 +30,7 @@
 	run:     runFleetClear,
 }
 
-// suspectRow is one task of one cell.
+// suspectRow is a task with crash evidence and its cell.
 type suspectRow struct {
 	Cell string
 	cell.Suspect
@@ -41,8 +41,8 @@
 	answered := 0
 	for _, address := range s.args {
 		byCell := map[string][]cell.Suspect{}
-		if err := askHost(ctx, http.MethodGet, address, "/suspects", &byCell); err != nil {
-			continue // the other hosts lead the other cells; none at all is said below
+		if err := callMetricsAddress(ctx, http.MethodGet, address, "/suspects", &byCell); err != nil {
+			continue // other hosts lead other cells; the error below covers the case that none answers
 		}
 		answered++
 		for _, name := range slices.Sorted(maps.Keys(byCell)) {
@@ -61,13 +61,13 @@
 	var lines [][]any
 	for _, row := range list {
 		for _, c := range row.Crashes {
-			lines = append(lines, []any{row.Cell, row.Task, row.Level, dash(c.Worker), c.Run, c.Age.Round(time.Millisecond), c.Company, otherCause(c)})
+			lines = append(lines, []any{row.Cell, row.Task, row.Level, orDash(c.Worker), c.Run, c.Age.Round(time.Millisecond), c.Company, otherCause(c)})
 		}
 	}
 	return lines
 }
 
-// otherCause is what speaks for another cause than the task.
+// otherCause returns the reason to suspect another cause of the crash than the task, or "-".
 func otherCause(c poisontask.Crash) string {
 	switch {
 	case c.Run == 0:
@@ -87,7 +87,7 @@
 func runFleetClear(ctx context.Context, s *session) error {
 	task := s.args[0]
 	for _, address := range s.args[1:] {
-		if askHost(ctx, http.MethodDelete, address, "/suspects/"+task, nil) == nil {
+		if callMetricsAddress(ctx, http.MethodDelete, address, "/suspects/"+task, nil) == nil {
 			_, err := fmt.Fprintf(s.out, "%s is no longer suspected (by %s)\n", task, address)
 			return err
 		}
@@ -95,9 +95,10 @@
 	return fault.New(fault.NotFound, task, "no host that answered holds anything against it", "see wrenferry fleet suspects")
 }
 
-// askHost calls a host's metrics address, and reads the answer into a value, if one is wanted.
-func askHost(ctx context.Context, method, address, path string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+// callMetricsAddress makes a call to the metrics address of a host and decodes the JSON
+// answer into the value into, unless that is nil.
+func callMetricsAddress(ctx context.Context, method, address, path string, into any) error {
+	ctx, cancel := context.WithTimeout(ctx, metricsCallTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, http.NoBody)
 	if err != nil {
--- a/pkg/cli/lab.go
+++ b/pkg/cli/lab.go
@@ -12,24 +12,24 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// What the lab's verbs share: how a workload, its days and the mechanisms to leave out
-// are named.
+// Flags and arguments that the verbs of the lab share: the workload, the number of days
+// and the mechanisms to leave out.
 
-// usualDays is how many days a verb of the lab plays unless told: some minutes' work on
-// eight processors at the size of the examples.
-const usualDays = 16
+// defaultDays is the default of --days. At the size of the examples, 16 days take some
+// minutes on eight processors.
+const defaultDays = 16
 
-func labFlags(set *pflag.FlagSet, f *flags) {
-	set.IntVar(&f.days, "days", usualDays, "how many days to play, with the seeds 1, 2, ...")
+func daysFlag(set *pflag.FlagSet, f *flags) {
+	set.IntVar(&f.days, "days", defaultDays, "how many days to play, with the seeds 1, 2, ...")
 }
 
-func withoutFlag(set *pflag.FlagSet, f *flags) {
-	labFlags(set, f)
+func daysAndWithoutFlags(set *pflag.FlagSet, f *flags) {
+	daysFlag(set, f)
 	set.StringVar(&f.without, "without", "", "mechanisms to leave out, with commas between; wrenferry lab mechanisms lists them")
 }
 
-// workload reads the workload file that a verb is given.
-func (s *session) workload() (*lab.Workload, error) {
+// readWorkload parses the workload file in the first argument and checks --days.
+func (s *session) readWorkload() (*lab.Workload, error) {
 	text, err := s.readFile(s.args[0])
 	if err != nil {
 		return nil, err
@@ -40,8 +40,9 @@
 	return lab.Parse(s.args[0], []byte(text))
 }
 
-// arm names a policy by the mechanisms that it leaves out.
-func arm(names string) (lab.Arm, error) {
+// parseArm returns the policy that leaves out the named mechanisms (separated by commas).
+// No names give the shipped policy.
+func parseArm(names string) (lab.Arm, error) {
 	a := lab.Arm{Name: "shipped"}
 	if names == "" {
 		return a, nil
--- a/pkg/cli/logs.go
+++ b/pkg/cli/logs.go
@@ -13,9 +13,9 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// logs tells the story of one job from the logs that were collected of many
-// hosts. Data flows one way: files -> lines that matter -> sorted -> a table.
-// It needs no running process.
+// The verb logs shows the history of one job from the collected logs of many hosts. It
+// selects the lines that concern the job, sorts them by time and prints a table. It needs
+// no running process.
 
 var logsVerb = verb{
 	path: "logs", args: "JOB FILE...", min: 2, max: 1000,
@@ -25,7 +25,7 @@
 	run:     runLogs,
 }
 
-// logLine is one line of a host's log.
+// logLine is one line of the log of a host.
 type logLine struct {
 	At     time.Time `json:"at"`
 	Event  string    `json:"event"`
@@ -44,16 +44,18 @@
 	Path   string    `json:"path,omitempty"`
 	Status int       `json:"status,omitempty"`
 	Lines  int64     `json:"lines,omitempty"`
-	// Reason is why a lasting task waits; it fits so often here and in other cells.
+	// Reason is why a lasting task waits. FitsHere and FitsElsewhere count how often the
+	// task fits into this cell and into other cells.
 	Reason        string `json:"reason,omitempty"`
 	FitsHere      int64  `json:"fits_here,omitempty"`
 	FitsElsewhere int64  `json:"fits_elsewhere,omitempty"`
 }
 
-// cellEvents are about a cell as a whole: they matter to each of its jobs.
-const cellEvents = "cell-"
+// cellEventPrefix is the prefix of events about a cell as a whole. They concern each of
+// its jobs.
+const cellEventPrefix = "cell-"
 
-// droppedEvent says that lines are missing.
+// droppedEvent is the event of a host that had to drop log lines.
 const droppedEvent = "log-lines-dropped"
 
 func runLogs(_ context.Context, s *session) error {
@@ -65,15 +67,15 @@
 		}
 		all = append(all, lines...)
 	}
-	story := storyOf(s.args[0], all)
+	story := linesAboutJob(s.args[0], all)
 	if len(story) == 0 {
 		return fault.New(fault.NotFound, s.args[0], "no line of these logs is about the job", "collect the logs of all hosts, from before it was sent")
 	}
-	return show(s, story, "TIME HOST EVENT RUN WORKER WHAT", storyLines)
+	return show(s, story, "TIME HOST EVENT RUN WORKER WHAT", jobLogLines)
 }
 
-// readLog reads the lines of one file that are JSON; what stands before a
-// line's object (a collector's prefix) is passed over.
+// readLog returns the JSON lines of one file, or of standard input for "-". It skips text
+// before the JSON object of a line, such as the prefix of a log collector.
 func (s *session) readLog(path string) ([]logLine, error) {
 	in := s.in
 	if path != "-" {
@@ -104,8 +106,10 @@
 	return list, nil
 }
 
-// storyOf picks the lines that matter to a job, in the order of time.
-func storyOf(job string, all []logLine) []logLine {
+// linesAboutJob returns the lines that concern a job, sorted by time: its own lines, and
+// between the first and the last of these the lines about its cells, about the workers of
+// its runs and about dropped lines.
+func linesAboutJob(job string, all []logLine) []logLine {
 	cells, workers := map[string]bool{}, map[string]bool{}
 	var own, story []logLine
 	for _, l := range all {
@@ -125,7 +129,7 @@
 	first, last := own[0].At, own[len(own)-1].At
 	for _, l := range all {
 		about := l.Job == "" && l.Task == "" && l.Path == "" &&
-			((strings.HasPrefix(l.Event, cellEvents) && cells[l.Cell]) || workers[l.Worker] || l.Event == droppedEvent)
+			((strings.HasPrefix(l.Event, cellEventPrefix) && cells[l.Cell]) || workers[l.Worker] || l.Event == droppedEvent)
 		if about && !l.At.Before(first) && !l.At.After(last) {
 			story = append(story, l)
 		}
@@ -135,25 +139,26 @@
 	return story
 }
 
-func storyLines(story []logLine) [][]any {
+func jobLogLines(story []logLine) [][]any {
 	lines := make([][]any, 0, len(story))
 	for _, l := range story {
 		run := "-"
 		if l.Run != 0 {
 			run = fmt.Sprintf("%s#%d", shortTask(l), l.Run)
 		}
-		lines = append(lines, []any{l.At.UTC().Format("15:04:05.000"), l.Host, l.Event, run, dash(l.Worker), l.what()})
+		lines = append(lines, []any{l.At.UTC().Format("15:04:05.000"), l.Host, l.Event, run, orDash(l.Worker), l.text()})
 	}
 	return lines
 }
 
-// shortTask is a task's name without its job.
+// shortTask returns the name of a task without the job.
 func shortTask(l logLine) string {
 	_, rest, _ := strings.Cut(l.Task, ".")
 	return rest
 }
 
-func (l logLine) what() string {
+// text returns the facts of a line as one cell of the table.
+func (l logLine) text() string {
 	var words []string
 	add := func(say bool, format string, args ...any) {
 		if say {
@@ -171,5 +176,5 @@
 	if l.Ms != nil {
 		add(true, "(took %d ms)", *l.Ms)
 	}
-	return dash(strings.Join(words, " "))
+	return orDash(strings.Join(words, " "))
 }
--- a/pkg/serve/fleet.go
+++ b/pkg/serve/fleet.go
@@ -21,21 +21,23 @@
 )
 
 const (
-	// gcPercent lets the heap grow to this much above what lives, in percent.
-	// Processor time is dearer than memory on small hosts, up to the limit.
+	// gcPercent is the heap growth over the live heap, in percent, that starts a
+	// garbage collection. On small hosts processor time is scarcer than memory
+	// until the memory limit is reached.
 	gcPercent = 400
-	// memoryShare is the share of a process's memory that the runtime keeps
-	// within; the rest is for what it does not count.
-	memoryShare = 0.6
+	// memoryLimitShare is the share of the process's memory that the Go runtime
+	// may use; the rest is for memory that the runtime does not count.
+	memoryLimitShare = 0.6
 )
 
-// newFleetCommand runs an entry host on the users' platform.
+// newFleetCommand returns the command that runs an entry host on the platform's
+// table service.
 func newFleetCommand(out io.Writer) *cobra.Command {
 	var config string
 	cmd := &cobra.Command{
 		Use:     "fleet",
 		Short:   "Run an entry host that schedules jobs on the platform's table service",
-		Long:    fleetLong(),
+		Long:    fleetLongHelp(),
 		Example: "  wrenferryd fleet --config /etc/wrenferry/settings.yaml",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return runFleet(cmd.Context(), config, out) },
@@ -45,7 +47,8 @@
 	return cmd
 }
 
-func fleetLong() string {
+// fleetLongHelp returns the help text that lists the settings of the process.
+func fleetLongHelp() string {
 	var b strings.Builder
 	b.WriteString("Settings of the process (JSON with comments):\n")
 	for _, f := range fleet.Fields {
@@ -58,6 +61,7 @@
 	return b.String()
 }
 
+// runFleet runs an entry host until SIGTERM or SIGINT. SIGHUP reloads its settings file.
 func runFleet(ctx context.Context, file string, out io.Writer) error {
 	source, err := readSettings(file, "wrenferryd fleet --help shows what stands in one")
 	if err != nil {
@@ -71,9 +75,9 @@
 	if err != nil {
 		return err
 	}
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGHUP)
-	defer signal.Stop(asked)
+	reloadRequests := make(chan os.Signal, 1)
+	signal.Notify(reloadRequests, syscall.SIGHUP)
+	defer signal.Stop(reloadRequests)
 	debug.SetGCPercent(gcPercent)
 	limitMemory(config)
 	host, err := fleet.New(config, OnPlatform(config), eventlog.New(out, level))
@@ -83,7 +87,7 @@
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return host.Run(ctx, &fleet.Reload{
-		File: file, Source: source, Config: config, Asked: asked, Log: host.Log,
+		File: file, Source: source, Config: config, Asked: reloadRequests, Log: host.Log,
 		Apply: func(c fleet.Config) {
 			limitMemory(c)
 			host.Reconfigure(c)
@@ -91,11 +95,12 @@
 	})
 }
 
+// limitMemory sets the memory limit of the Go runtime from the settings.
 func limitMemory(config fleet.Config) {
-	debug.SetMemoryLimit(int64(config.MemoryMB * memoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(config.MemoryMB * memoryLimitShare * (1 << 20)))
 }
 
-// OnPlatform joins a host to the platform's adapters.
+// OnPlatform returns the adapters that connect an entry host to the platform.
 func OnPlatform(config fleet.Config) fleet.Outside {
 	return fleet.Outside{
 		Table: platform.NewTable(config.Table), Caller: platform.NewWorkers(), Advisor: platform.NewAdvisor(config.Advice), Source: platform.Source{}, Dial: platform.Dial,
--- a/pkg/serve/fleettry.go
+++ b/pkg/serve/fleettry.go
@@ -18,16 +18,16 @@
 	"github.com/wrenferry/wrenferry/platform/platformtest"
 )
 
-// "wrenferryd fleet try" runs entry hosts on an embedded table service and runners, uses
-// them as callers do, stops the leader of a cell, and tells what became of each job.
+// "wrenferryd fleet try" runs entry hosts on an embedded table service and runners, submits
+// jobs as callers do, stops the leader of a cell, and prints the outcome of each job.
 
 const (
-	// tryLimit is how long the whole try-out may take.
-	tryLimit = 40 * time.Second
-	// tryLookEvery is how often it looks whether something has come about.
-	tryLookEvery = 30 * time.Millisecond
-	// tryTask is how long a task takes.
-	tryTask = 150 * time.Millisecond
+	// tryTimeout is the time limit of the whole try-out.
+	tryTimeout = 40 * time.Second
+	// tryPollInterval is the time between two checks of an awaited condition.
+	tryPollInterval = 30 * time.Millisecond
+	// tryTaskDuration is the run time of each task.
+	tryTaskDuration = 150 * time.Millisecond
 )
 
 func newFleetTryCommand(out io.Writer) *cobra.Command {
@@ -37,22 +37,23 @@
 		Example: "  wrenferryd fleet try",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			ctx, cancel := context.WithTimeout(cmd.Context(), tryLimit)
+			ctx, cancel := context.WithTimeout(cmd.Context(), tryTimeout)
 			defer cancel()
 			return tryFleet(ctx, out)
 		},
 	}
 }
 
-// fleetTry is one run of the try-out.
+// fleetTry is one run of the try-out with its deployment and entry hosts.
 type fleetTry struct {
 	out        io.Writer
 	deployment *platformtest.Deployment
-	hosts      []*triedHost
+	hosts      []*runningHost
 }
 
-// triedHost is a host that runs, and how to stop it as planned.
-type triedHost struct {
+// runningHost is a running entry host. stop begins its planned stop; ended receives
+// the result of its Run.
+type runningHost struct {
 	*fleet.Host
 	stop  context.CancelFunc
 	ended chan error
@@ -60,7 +61,7 @@
 
 func tryFleet(ctx context.Context, out io.Writer) error {
 	halls := []string{"hall-a", "hall-b"}
-	t := &fleetTry{out: out, deployment: platformtest.NewDeployment(halls, 2, tryTask)}
+	t := &fleetTry{out: out, deployment: platformtest.NewDeployment(halls, 2, tryTaskDuration)}
 	defer t.deployment.Close()
 	defer t.stopAll()
 	fmt.Fprintln(out, "An embedded table service and four runners in two halls: nothing is kept.")
@@ -73,10 +74,10 @@
 		title string
 		run   func(context.Context) error
 	}{
-		{"Three entry hosts are ready, and each hall's cell is led", t.ready},
+		{"Three entry hosts are ready, and each hall's cell is led", t.awaitReady},
 		{"A caller hands a job of two steps in, twice, at two hosts: it stays one job", t.runJob},
 		{"The leader of hall-a is stopped while a job runs: another host goes on with it", t.stopLeader},
-		{"A job that nobody handed in, and a path that is no queue", t.unknown},
+		{"A job that nobody handed in, and a path that is no queue", t.callUnknownJobs},
 	} {
 		fmt.Fprintf(out, "\n== %s\n", step.title)
 		if err := step.run(ctx); err != nil {
@@ -87,6 +88,7 @@
 	return nil
 }
 
+// start starts an entry host on free local addresses.
 func (t *fleetTry) start(name, hall string, halls []string) error {
 	addresses, err := platformtest.FreeAddresses(4)
 	if err != nil {
@@ -105,12 +107,13 @@
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	tried := &triedHost{Host: h, stop: stop, ended: make(chan error, 1)}
+	tried := &runningHost{Host: h, stop: stop, ended: make(chan error, 1)}
 	go func() { tried.ended <- h.Run(ctx) }()
 	t.hosts = append(t.hosts, tried)
 	return nil
 }
 
+// stopAll stops all hosts and waits until they have ended.
 func (t *fleetTry) stopAll() {
 	for _, h := range t.hosts {
 		h.stop()
@@ -120,20 +123,22 @@
 	}
 }
 
-// until waits for something to come about.
-func (t *fleetTry) until(ctx context.Context, what string, ok func() bool) error {
+// waitFor polls ok until it returns true. It returns an Unavailable fault about what
+// if the context ends first.
+func (t *fleetTry) waitFor(ctx context.Context, what string, ok func() bool) error {
 	for !ok() {
 		select {
 		case <-ctx.Done():
-			return fault.New(fault.Unavailable, what, "did not come about in time", "")
-		case <-time.After(tryLookEvery):
+			return fault.New(fault.Unavailable, what, "not reached before the time limit", "")
+		case <-time.After(tryPollInterval):
 		}
 	}
 	return nil
 }
 
-func (t *fleetTry) ready(ctx context.Context) error {
-	err := t.until(ctx, "all hosts ready, all cells led", func() bool {
+// awaitReady waits until all hosts are ready and both cells have a leader.
+func (t *fleetTry) awaitReady(ctx context.Context) error {
+	err := t.waitFor(ctx, "all hosts ready, all cells led", func() bool {
 		for _, h := range t.hosts {
 			if ok, _ := h.Ready(clock.Now()); !ok {
 				return false
@@ -151,8 +156,8 @@
 	return nil
 }
 
-// leader is the host that leads a cell, with its jobs loaded.
-func (t *fleetTry) leader(cell string) *triedHost {
+// leader returns the host that leads the cell and has loaded its jobs, or nil.
+func (t *fleetTry) leader(cell string) *runningHost {
 	for _, h := range t.hosts {
 		if h.Control.View().Cells[cell].Mine && h.Control.Load(context.Background(), cell, false).GetLeading() {
 			return h
@@ -161,6 +166,7 @@
 	return nil
 }
 
+// runJob submits the same job at two hosts and waits for its completion at a third.
 func (t *fleetTry) runJob(ctx context.Context) error {
 	const id = "00000000000000a1"
 	for _, h := range t.hosts[:2] {
@@ -168,21 +174,22 @@
 			return err
 		}
 	}
-	return t.completes(ctx, t.hosts[2], id)
+	return t.awaitCompleted(ctx, t.hosts[2], id)
 }
 
-func (t *fleetTry) submit(ctx context.Context, h *triedHost, id string) error {
+func (t *fleetTry) submit(ctx context.Context, h *runningHost, id string) error {
 	status, _, err := platformtest.Call(ctx, h.Config.Callers, http.MethodPost, id, platformtest.TwoSteps)
 	if err != nil || status != http.StatusOK {
-		return fault.New(fault.Unavailable, id, fmt.Sprintf("handing it in at %s was answered %d", h.Config.Name, status), "").WithCause(err)
+		return fault.New(fault.Unavailable, id, fmt.Sprintf("submission at %s returned status %d", h.Config.Name, status), "").WithCause(err)
 	}
 	fmt.Fprintf(t.out, "%s takes job %s: %d\n", h.Config.Name, id, status)
 	return nil
 }
 
-// completes waits for a job's end, and tells how often its tasks were started.
-func (t *fleetTry) completes(ctx context.Context, at *triedHost, id string) error {
-	err := t.until(ctx, "job "+id+" completed", func() bool {
+// awaitCompleted waits until the host reports the job as completed. It fails if a task of
+// the job was started more than once.
+func (t *fleetTry) awaitCompleted(ctx context.Context, at *runningHost, id string) error {
+	err := t.waitFor(ctx, "job "+id+" completed", func() bool {
 		_, body, err := platformtest.Call(ctx, at.Config.Callers, http.MethodGet, id, "")
 		return err == nil && strings.Contains(body, "completed")
 	})
@@ -203,6 +210,8 @@
 	return nil
 }
 
+// stopLeader stops the leader of hall-a while a job runs, and waits for a successor and
+// for the completion of the job.
 func (t *fleetTry) stopLeader(ctx context.Context) error {
 	const id = "00000000000000a2"
 	old := t.leader("hall-a")
@@ -210,7 +219,7 @@
 		return err
 	}
 	old.stop()
-	err := t.until(ctx, "another leader of hall-a", func() bool {
+	err := t.waitFor(ctx, "another leader of hall-a", func() bool {
 		next := t.leader("hall-a")
 		return next != nil && next != old
 	})
@@ -218,17 +227,18 @@
 		return err
 	}
 	fmt.Fprintf(t.out, "%s stops; hall-a is led by %s\n", old.Config.Name, t.leader("hall-a").Config.Name)
-	return t.completes(ctx, t.hosts[2], id)
+	return t.awaitCompleted(ctx, t.hosts[2], id)
 }
 
-func (t *fleetTry) unknown(ctx context.Context) error {
+// callUnknownJobs checks the status codes for an unknown job id and a malformed one.
+func (t *fleetTry) callUnknownJobs(ctx context.Context) error {
 	for _, c := range []struct {
 		job    string
 		status int
 	}{{"00000000000000ff", http.StatusGone}, {"no-id", http.StatusNotFound}} {
 		status, _, err := platformtest.Call(ctx, t.hosts[2].Config.Callers, http.MethodGet, c.job, "")
 		if err != nil || status != c.status {
-			return fault.New(fault.Internal, c.job, fmt.Sprintf("was answered %d, not %d", status, c.status), "").WithCause(err)
+			return fault.New(fault.Internal, c.job, fmt.Sprintf("returned status %d; want %d", status, c.status), "").WithCause(err)
 		}
 		fmt.Fprintf(t.out, "%s: %d\n", c.job, status)
 	}
--- a/pkg/standin/platform_test.go
+++ b/pkg/standin/platform_test.go
@@ -15,10 +15,10 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Found beside a load of 28 on 8 processors (TestBadInput: "it never came about: servers
-// are known"): lists that were set within the lag came to be told in another order, and
-// the last one told, without the servers, stayed.
-func TestTheListOfHostsEndsWithTheLastThatWasSet(t *testing.T) {
+// Guards against host lists published out of order: with a timer per list, lists set within
+// the lag could be published in another order, and an earlier list without the servers
+// stayed. Under load this made TestBadInput fail with "it never came about: servers are known".
+func TestHostListEndsWithTheLastListSet(t *testing.T) {
 	t.Parallel()
 	p := standin.NewPlatform(time.Millisecond)
 	for round := range 40 {
@@ -37,29 +37,30 @@
 	}
 }
 
-// The list follows the time and waits for no timer: one without a lag is right when it is read at once.
-func TestTheListOfHostsLagsByNoMoreThanItsLag(t *testing.T) {
+// The list is decided by the time and not by a timer: without a lag, a read directly after
+// SetHosts returns the new list.
+func TestHostListWithoutLagShowsNewHostsAtOnce(t *testing.T) {
 	t.Parallel()
 	p := standin.NewPlatform(0)
 	for round := range 200 {
 		name := fmt.Sprintf("host-%d", round)
 		p.SetHosts([]*wire.Host{{Name: name}})
-		must.Eq(t, []string{name}, toldHosts(t, p), must.Sprintf("round %d", round))
+		must.Eq(t, []string{name}, listedHosts(t, p), must.Sprintf("round %d", round))
 	}
 }
 
-// Until its lag is over the list is as it was, also where several are set meanwhile.
-func TestTheListOfHostsIsAsItWasUntilItsLagIsOver(t *testing.T) {
+// The list is unchanged until the lag has passed, also if several lists are set meanwhile.
+func TestHostListIsUnchangedUntilTheLagHasPassed(t *testing.T) {
 	t.Parallel()
 	p := standin.NewPlatform(time.Hour)
 	for range 3 {
 		p.SetHosts([]*wire.Host{{Name: "early"}})
-		must.SliceEmpty(t, toldHosts(t, p))
+		must.SliceEmpty(t, listedHosts(t, p))
 	}
 }
 
-// toldHosts names the hosts that the platform lists.
-func toldHosts(t *testing.T, p *standin.Platform) []string {
+// listedHosts returns the names of the hosts in the platform's host list.
+func listedHosts(t *testing.T, p *standin.Platform) []string {
 	t.Helper()
 	answer := httptest.NewRecorder()
 	p.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, platform.HostsPath, http.NoBody))
--- a/pkg/standin/runner.go
+++ b/pkg/standin/runner.go
@@ -12,10 +12,10 @@
 	"github.com/wrenferry/wrenferry/pkg/connection/runner"
 )
 
-// Runner stands in for one backend server of a service: 8 slots, a refusal when
-// they are full, and standing streams.
+// Runner is a stand-in for one backend server of a service. It refuses calls when all
+// its slots (8 in the embedded instance) are busy, and serves streams.
 type Runner struct {
-	switches
+	faultSwitches
 	name   string
 	slots  int
 	record *record
@@ -25,16 +25,17 @@
 	busy int
 }
 
-// Call is the JSON body that tells the stand-in what to do.
+// Call is the JSON body of a call: the work takes MS milliseconds and answers Echo.
 type Call struct {
 	MS   int64  `json:"ms"`
 	Echo string `json:"echo"`
 }
 
-// maxCall bounds the body of a call.
-const maxCall = 64 << 20
+// maxCallBytes limits the body of a call.
+const maxCallBytes = 64 << 20
 
-// NewRunner returns a runner with so many slots.
+// NewRunner returns a runner with the given number of slots. It appends its record to the
+// file recordPath, or keeps it in memory if the path is empty.
 func NewRunner(name, recordPath string, slots int) (*Runner, error) {
 	rec, err := newRecord(recordPath)
 	if err != nil {
@@ -48,11 +49,11 @@
 	return r, nil
 }
 
-// ServeHTTP serves the runner's interface and the fault switches.
+// ServeHTTP serves the runner's interface, the faults and the record.
 func (r *Runner) ServeHTTP(w http.ResponseWriter, req *http.Request) { r.mux.ServeHTTP(w, req) }
 
-// take takes a slot, if there is one.
-func (r *Runner) take() bool {
+// acquireSlot occupies a slot and returns true, or returns false if all are busy.
+func (r *Runner) acquireSlot() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.busy >= r.slots {
@@ -62,13 +63,14 @@
 	return true
 }
 
-func (r *Runner) give() {
+func (r *Runner) releaseSlot() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.busy--
 }
 
-func (r *Runner) headers(w http.ResponseWriter) {
+// setHeaders reports the free slots, and that the runner is leaving, in the answer.
+func (r *Runner) setHeaders(w http.ResponseWriter) {
 	r.mu.Lock()
 	free := r.slots - r.busy
 	r.mu.Unlock()
@@ -79,7 +81,7 @@
 }
 
 func (r *Runner) serveCall(w http.ResponseWriter, req *http.Request) {
-	if !r.before(w, req) {
+	if !r.admit(w, req) {
 		return
 	}
 	f := r.get()
@@ -87,26 +89,27 @@
 		r.refuse(w, "leaving")
 		return
 	}
-	if !r.take() {
+	if !r.acquireSlot() {
 		r.refuse(w, "busy")
 		return
 	}
-	defer r.give()
-	body, err := io.ReadAll(io.LimitReader(req.Body, maxCall))
+	defer r.releaseSlot()
+	body, err := io.ReadAll(io.LimitReader(req.Body, maxCallBytes))
 	if err != nil {
-		http.Error(w, "the body broke off", http.StatusBadRequest)
+		http.Error(w, "the body ended early", http.StatusBadRequest)
 		return
 	}
 	r.run(w, req, f, body)
 }
 
 func (r *Runner) refuse(w http.ResponseWriter, why string) {
-	r.headers(w)
+	r.setHeaders(w)
 	w.Header().Set(runner.RefusedHeader, why)
 	http.Error(w, why, http.StatusServiceUnavailable)
 }
 
-// run does the work. It goes on when the caller has left, as real work does.
+// run does the work of a call. It continues after the caller has disconnected, as a real
+// backend server does.
 func (r *Runner) run(w http.ResponseWriter, req *http.Request, f Faults, body []byte) {
 	var call Call
 	if len(body) > 0 && json.Unmarshal(body, &call) != nil {
@@ -115,7 +118,7 @@
 	key := req.Header.Get(runner.KeyHeader)
 	r.record.add(Entry{At: time.Now(), What: "run", Host: r.name, Key: key, Detail: req.PathValue("kind")})
 	if f.FailAll {
-		r.headers(w)
+		r.setHeaders(w)
 		http.Error(w, "failed as told", http.StatusInternalServerError)
 		return
 	}
@@ -125,20 +128,20 @@
 	}
 	time.Sleep(span)
 	r.record.add(Entry{At: time.Now(), What: "ran", Host: r.name, Key: key, Detail: req.PathValue("kind")})
-	if r.loses([]string{"run"}) {
+	if r.losesAnswer([]string{"run"}) {
 		dropConnection(w)
 		return
 	}
-	r.headers(w)
+	r.setHeaders(w)
 	_ = json.NewEncoder(w).Encode(map[string]string{"echo": call.Echo, "runner": r.name})
 }
 
-// streamEvery is the time between two events of a stream. Event N of every
-// stream is the same on each runner, so a stream can go on elsewhere.
-const streamEvery = 20 * time.Millisecond
+// streamInterval is the time between two events of a stream. Event N of a stream is the
+// same on each runner, so another runner can resume the stream.
+const streamInterval = 20 * time.Millisecond
 
 func (r *Runner) serveStream(w http.ResponseWriter, req *http.Request) {
-	if !r.before(w, req) {
+	if !r.admit(w, req) {
 		return
 	}
 	if r.get().Leaving {
@@ -149,7 +152,7 @@
 	if last, err := strconv.Atoi(req.Header.Get("Last-Event-ID")); err == nil {
 		next = last + 1
 	}
-	r.headers(w)
+	r.setHeaders(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(w)
 	for ; !r.get().Leaving; next++ {
@@ -162,7 +165,7 @@
 		select {
 		case <-req.Context().Done():
 			return
-		case <-time.After(streamEvery):
+		case <-time.After(streamInterval):
 		}
 	}
 }
--- a/pkg/standin/worker.go
+++ b/pkg/standin/worker.go
@@ -19,14 +19,15 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Work is what the stand-in's tasks are told to do, as the JSON body of a job.
+// Work is the JSON body of a job: how long each task runs, whether it fails, and whether
+// it stops without a checkpoint.
 type Work struct {
 	RunMS        int64 `json:"runMs"`
 	Fail         bool  `json:"fail"`
 	NoCheckpoint bool  `json:"noCheckpoint"`
 }
 
-// NoFences takes out the fences that a worker holds, to show they are needed.
+// NoFences disables single fences of a worker, so that tests can show that each is needed.
 type NoFences struct {
 	Epoch       bool
 	Incarnation bool
@@ -34,9 +35,9 @@
 	Lease       bool
 }
 
-// Worker stands in for a worker: it runs tasks under a lease.
+// Worker is a stand-in for a worker: it runs tasks under a lease.
 type Worker struct {
-	switches
+	faultSwitches
 	name     string
 	platform string
 	capacity ledger.Size
@@ -45,17 +46,17 @@
 	record   *record
 	mux      *http.ServeMux
 
-	mu          sync.Mutex
-	incarnation string
-	boot        time.Time
-	epoch       int64
-	sequence    int64
-	leaseUntil  int64
-	runs        map[string]*run
-	newest      map[string]int64 // the newest attempt of each task ever seen
+	mu            sync.Mutex
+	incarnation   string
+	boot          time.Time
+	epoch         int64
+	sequence      int64
+	leaseUntil    int64
+	runs          map[string]*run
+	newestAttempt map[string]int64 // highest attempt of each task started or stopped here
 }
 
-// run is one attempt.
+// run is one attempt of a task on the worker.
 type run struct {
 	start    *wire.Start
 	work     Work
@@ -68,11 +69,11 @@
 	stopping bool
 }
 
-// workTick is how finely a task's work is cut.
+// workTick is the step in which a run progresses and checks its lease.
 const workTick = 10 * time.Millisecond
 
-// NewWorker returns a worker that stores checkpoints at the platform's address
-// and appends its record to a file.
+// NewWorker returns a worker that stores checkpoints in the object store of the platform.
+// It appends its record to the file recordPath, or keeps it in memory if the path is empty.
 func NewWorker(name, platformAddress, recordPath string, capacity, services ledger.Size, noFences NoFences) (*Worker, error) {
 	rec, err := newRecord(recordPath)
 	if err != nil {
@@ -82,7 +83,7 @@
 		name: name, platform: platformAddress, capacity: capacity, services: services, noFences: noFences,
 		record: rec, mux: http.NewServeMux(),
 		incarnation: uuid.NewString(), boot: time.Now(),
-		runs: map[string]*run{}, newest: map[string]int64{},
+		runs: map[string]*run{}, newestAttempt: map[string]int64{},
 	}
 	w.mux.HandleFunc(worker.SyncPath, w.serveSync)
 	w.mux.HandleFunc(FaultPath, w.serveSet)
@@ -91,46 +92,48 @@
 	return w, nil
 }
 
-// ServeHTTP serves the worker's interface and the fault switches.
+// ServeHTTP serves the worker's interface, the faults and the record.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) { w.mux.ServeHTTP(rw, r) }
 
-// mark reads the worker's own clock.
+// mark returns the worker's own clock: milliseconds since its boot.
 func (w *Worker) mark() int64 { return time.Since(w.boot).Milliseconds() }
 
 // --------------------------------------------------------------- messages
 
 func (w *Worker) serveSync(rw http.ResponseWriter, r *http.Request) {
 	req := &wire.SyncRequest{}
-	if !w.before(rw, r) || protohttp.Receive(r, req) != nil {
+	if !w.admit(rw, r) || protohttp.Receive(r, req) != nil {
 		return
 	}
 	if len(req.GetStarts()) > 0 {
-		w.hold()
+		w.holdCall()
 	}
 	reply := w.Sync(req)
-	if len(req.GetStarts()) > 0 && w.loses([]string{"start"}) || len(req.GetStops()) > 0 && w.loses([]string{"stop"}) {
+	if len(req.GetStarts()) > 0 && w.losesAnswer([]string{"start"}) || len(req.GetStops()) > 0 && w.losesAnswer([]string{"stop"}) {
 		dropConnection(rw)
 		return
 	}
 	_ = protohttp.Answer(rw, reply)
 }
 
-// Sync takes one message in and answers it.
+// Sync processes one message of a leader and returns the reply with all runs. A message
+// refused by a fence changes nothing but the known epoch and sequence.
 func (w *Worker) Sync(req *wire.SyncRequest) *wire.SyncReply {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lapse()
+	w.stopRunsIfLeaseExpired()
 	refused := w.refuses(req)
 	if refused {
 		w.record.add(Entry{At: time.Now(), What: "refuse", Host: w.name, Detail: fmt.Sprintf(
 			"epoch %d of %d, sequence %d of %d, lease until %d at %d", req.GetEpoch(), w.epoch, req.GetSequence(), w.sequence, req.GetLeaseUntilMark(), w.mark())})
 	} else {
-		w.obey(req)
+		w.apply(req)
 	}
 	return w.reply(refused)
 }
 
-// refuses holds the worker's fences: epoch, sequence, incarnation, lease.
+// refuses reports whether one of the fences rejects the message: epoch, sequence,
+// incarnation or lease. It records a newer epoch or sequence.
 func (w *Worker) refuses(req *wire.SyncRequest) bool {
 	if !w.noFences.Epoch {
 		if req.GetEpoch() < w.epoch {
@@ -151,7 +154,9 @@
 	return !w.noFences.Lease && req.GetLeaseUntilMark() > 0 && req.GetLeaseUntilMark() < w.mark()
 }
 
-func (w *Worker) obey(req *wire.SyncRequest) {
+// apply carries out an accepted message: lease, stops, throttles, starts, and the ended
+// runs that the leader has recorded.
+func (w *Worker) apply(req *wire.SyncRequest) {
 	w.leaseUntil = max(w.leaseUntil, req.GetLeaseUntilMark())
 	for _, s := range req.GetStops() {
 		w.stop(s)
@@ -193,25 +198,26 @@
 
 // ------------------------------------------------------------------- runs
 
+// start starts an attempt, unless the worker knows this or a later attempt of the task.
 func (w *Worker) start(s *wire.Start) {
-	if w.newest[s.GetTaskId()] >= s.GetAttempt() && !w.noFences.Sequence {
+	if w.newestAttempt[s.GetTaskId()] >= s.GetAttempt() && !w.noFences.Sequence {
 		return
 	}
 	name := runName(s.GetTaskId(), s.GetAttempt())
 	if w.runs[name] != nil {
 		return
 	}
-	w.newest[s.GetTaskId()] = s.GetAttempt()
+	w.newestAttempt[s.GetTaskId()] = s.GetAttempt()
 	r := &run{start: proto.CloneOf(s), state: wire.RunState_RUN_STATE_RUNNING, lastWork: time.Now()}
 	if err := json.Unmarshal(s.GetBody(), &r.work); err != nil {
 		r.work = Work{RunMS: 1}
 	}
 	w.runs[name] = r
-	w.note("start", r, r.lastWork, "")
+	w.recordRun("start", r, r.lastWork, "")
 	go w.run(r)
 }
 
-func (w *Worker) note(what string, r *run, at time.Time, detail string) {
+func (w *Worker) recordRun(what string, r *run, at time.Time, detail string) {
 	size := ledger.FromWire(r.start.GetSize())
 	w.record.add(Entry{
 		At: at, What: what, Host: w.name, Task: r.start.GetTaskId(), Attempt: r.start.GetAttempt(),
@@ -220,8 +226,8 @@
 	})
 }
 
-// run does the work tick by tick. Before each tick the lease is looked at, so
-// that a worker which was frozen does nothing after it wakes.
+// run executes an attempt tick by tick. It checks the lease before each tick, so that a
+// worker that was frozen past its lease does no work after it wakes.
 func (w *Worker) run(r *run) {
 	done := w.restore(r.start.GetCheckpoint())
 	w.mu.Lock()
@@ -230,18 +236,18 @@
 	for {
 		time.Sleep(workTick)
 		w.mu.Lock()
-		w.lapse()
+		w.stopRunsIfLeaseExpired()
 		if r.state != wire.RunState_RUN_STATE_RUNNING || r.stopping {
 			w.mu.Unlock()
 			return
 		}
-		w.work(r)
+		w.advance(r)
 		w.mu.Unlock()
 	}
 }
 
-// work does one tick.
-func (w *Worker) work(r *run) {
+// advance does one tick of work, slowed down by the throttle, and ends a completed run.
+func (w *Worker) advance(r *run) {
 	r.lastWork = time.Now()
 	step := workTick.Milliseconds()
 	if r.throttle > 0 {
@@ -261,12 +267,12 @@
 func (w *Worker) end(r *run, state wire.RunState, result string) {
 	r.state = state
 	r.result = result
-	w.note("end", r, r.lastWork, state.String())
+	w.recordRun("end", r, r.lastWork, state.String())
 }
 
-// stop ends an attempt, with a checkpoint in the object store if wanted.
+// stop stops an attempt as asked by the leader, with a checkpoint if requested.
 func (w *Worker) stop(s *wire.Stop) {
-	w.newest[s.GetTaskId()] = max(w.newest[s.GetTaskId()], s.GetAttempt())
+	w.newestAttempt[s.GetTaskId()] = max(w.newestAttempt[s.GetTaskId()], s.GetAttempt())
 	r := w.runs[runName(s.GetTaskId(), s.GetAttempt())]
 	if r == nil || r.state != wire.RunState_RUN_STATE_RUNNING || r.stopping {
 		return
@@ -274,8 +280,7 @@
 	w.halt(r, s.GetCheckpoint())
 }
 
-// halt stops work at once; the attempt counts as stopped when its checkpoint is
-// safe.
+// halt stops the work at once. The run ends as stopped after its checkpoint is saved.
 func (w *Worker) halt(r *run, checkpoint bool) {
 	r.stopping = true
 	r.lastWork = time.Now()
@@ -295,8 +300,8 @@
 	}()
 }
 
-// lapse stops everything when the lease is over.
-func (w *Worker) lapse() {
+// stopRunsIfLeaseExpired stops all runs, with checkpoints, once the lease has expired.
+func (w *Worker) stopRunsIfLeaseExpired() {
 	if w.noFences.Lease || w.mark() <= w.leaseUntil {
 		return
 	}
@@ -304,38 +309,41 @@
 		if r.state == wire.RunState_RUN_STATE_RUNNING && !r.stopping {
 			last := r.lastWork
 			w.halt(r, true)
-			r.lastWork = last // it did nothing since then
+			r.lastWork = last // the run has done no work since
 		}
 	}
 }
 
 // ------------------------------------------------------------ checkpoints
 
-const storeTimeout = 2 * time.Second
+const objectStoreTimeout = 2 * time.Second
 
+// save stores a checkpoint, the milliseconds of work done, and reports success.
 func (w *Worker) save(name string, doneMS int64) bool {
 	body, err := json.Marshal(doneMS)
 	if err != nil {
 		return false
 	}
-	_, err = w.object(http.MethodPut, name, bytes.NewReader(body))
+	_, err = w.callObjectStore(http.MethodPut, name, bytes.NewReader(body))
 	return err == nil
 }
 
+// restore returns the work done according to a checkpoint, in milliseconds, or 0 if it
+// can't be read.
 func (w *Worker) restore(name string) int64 {
 	var doneMS int64
 	if name == "" {
 		return 0
 	}
-	body, err := w.object(http.MethodGet, name, http.NoBody)
+	body, err := w.callObjectStore(http.MethodGet, name, http.NoBody)
 	if err != nil || json.Unmarshal(body, &doneMS) != nil {
 		return 0
 	}
 	return doneMS
 }
 
-func (w *Worker) object(method, name string, body io.Reader) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
+func (w *Worker) callObjectStore(method, name string, body io.Reader) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), objectStoreTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.platform+"/objects/"+name, body)
 	if err != nil {
--- a/pkg/tryout/tryout.go
+++ b/pkg/tryout/tryout.go
@@ -1,5 +1,5 @@
-// Package tryout uses an embedded instance the way callers and operators do,
-// and tells what happened and why. It is "wrenferryd try".
+// Package tryout implements "wrenferryd try": it starts an embedded instance,
+// calls it as callers and operators do, and prints the results.
 package tryout
 
 import (
@@ -23,22 +23,23 @@
 	"github.com/wrenferry/wrenferry/pkg/request/gateway"
 )
 
-// Hall is the one hall of the embedded instance.
+// Hall is the name of the only hall of the embedded instance.
 const Hall = "hall-1"
 
-// Services are those of examples/try.jsonc.
+// Services are the services in examples/try.jsonc.
 var Services = []string{"quotes"}
 
 const (
-	// limit is how long the whole tryout may take.
-	limit = 50 * time.Second
-	// lookEvery is how often it looks whether something has come about.
-	lookEvery = 50 * time.Millisecond
-	// events is how many events of the stream it waits for.
-	events = 3
+	// tryTimeout is the time limit of the whole try-out.
+	tryTimeout = 50 * time.Second
+	// pollInterval is the time between two checks of an awaited condition.
+	pollInterval = 50 * time.Millisecond
+	// streamEventCount is the number of events that are read from the stream.
+	streamEventCount = 3
 )
 
-// Config returns the process settings of an embedded instance.
+// Config returns the process settings of an embedded instance. callers and operators are
+// the addresses to listen on.
 func Config(s *embedded.Standins, callers, operators string) daemon.Config {
 	return daemon.Config{
 		Name: "entry-1", Hall: Hall, Halls: []string{Hall}, EntryHosts: 1,
@@ -47,16 +48,16 @@
 	}
 }
 
-// tryout is one run.
+// tryout is one run; callers and operators are base URLs.
 type tryout struct {
 	out       io.Writer
 	callers   string
 	operators string
 }
 
-// Run runs the tryout and prints what it sees.
+// Run runs the try-out and prints its results to out.
 func Run(ctx context.Context, out io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, tryTimeout)
 	defer cancel()
 	fmt.Fprintln(out, "Embedded stand-ins for the platform, 3 workers and 4 runners: nothing is kept.")
 	standins, err := embedded.Start(Hall, Services)
@@ -82,7 +83,7 @@
 	return err
 }
 
-// step is one thing that the tryout shows.
+// step is one titled action of the try-out.
 type step struct {
 	title string
 	run   func(context.Context) error
@@ -93,11 +94,11 @@
 		{"An operator creates the settings tree (examples/try.jsonc)", t.createSettings},
 		{"A caller sends quick requests", t.sendRequests},
 		{"A caller submits a batch job of three tasks and reads its result", t.runJob},
-		{"A caller watches a stream", t.watch},
+		{"A caller watches a stream", t.watchStream},
 		{"An operator edits the settings: a second version is in force", t.editSettings},
 		{"Bad input is refused, and nothing ran", t.badInput},
-		{"What happened to the job, and why", t.explain},
-		{"Who changed what", t.audit},
+		{"What happened to the job, and why", t.explainJob},
+		{"Who changed what", t.showAudit},
 	} {
 		fmt.Fprintf(t.out, "\n== %s\n", s.title)
 		if err := s.run(ctx); err != nil {
@@ -133,7 +134,7 @@
 }
 
 func (t *tryout) sendRequests(ctx context.Context) error {
-	err := t.until(ctx, func() (bool, error) {
+	err := t.waitFor(ctx, func() (bool, error) {
 		answer, err := t.call(ctx, http.MethodPost, t.callers+"/v1/requests/quotes/quick", "warm-up", []byte("{}"))
 		return err == nil && answer.code == http.StatusOK, err
 	})
@@ -157,7 +158,7 @@
 		return err
 	}
 	fmt.Fprintf(t.out, "%s %s", answer.status, answer.body)
-	return t.until(ctx, func() (bool, error) {
+	return t.waitFor(ctx, func() (bool, error) {
 		answer, err := t.call(ctx, http.MethodGet, t.callers+"/v1/jobs/offer-1", "", nil)
 		if err != nil || !bytes.Contains(answer.body, []byte(`"state":"done"`)) {
 			return false, err
@@ -167,7 +168,7 @@
 	})
 }
 
-func (t *tryout) watch(ctx context.Context) error {
+func (t *tryout) watchStream(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, t.callers+"/v1/streams/quotes/rates", http.NoBody)
@@ -176,11 +177,11 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return fault.New(fault.Unavailable, "tryout", "the stream did not open", "").WithCause(err)
+		return fault.New(fault.Unavailable, "tryout", "the stream could not be opened", "").WithCause(err)
 	}
 	defer resp.Body.Close()
 	scanner := bufio.NewScanner(resp.Body)
-	for seen := 0; seen < events && scanner.Scan(); {
+	for seen := 0; seen < streamEventCount && scanner.Scan(); {
 		if strings.HasPrefix(scanner.Text(), "data:") {
 			fmt.Fprintln(t.out, scanner.Text())
 			seen++
@@ -200,9 +201,9 @@
 	return nil
 }
 
-func (t *tryout) explain(ctx context.Context) error {
+func (t *tryout) explainJob(ctx context.Context) error {
 	var facts []operators.FactView
-	if err := t.read(ctx, "/v1/explain/offer-1", &facts); err != nil {
+	if err := t.getView(ctx, "/v1/explain/offer-1", &facts); err != nil {
 		return err
 	}
 	for _, f := range facts {
@@ -211,9 +212,9 @@
 	return nil
 }
 
-func (t *tryout) audit(ctx context.Context) error {
+func (t *tryout) showAudit(ctx context.Context) error {
 	var entries []operators.AuditView
-	if err := t.read(ctx, "/v1/audit", &entries); err != nil {
+	if err := t.getView(ctx, "/v1/audit", &entries); err != nil {
 		return err
 	}
 	for _, a := range entries {
@@ -224,7 +225,7 @@
 
 // ------------------------------------------------------------------ calls
 
-// reply is an answer as the tryout prints it.
+// reply is an HTTP response as the try-out prints it.
 type reply struct {
 	code    int
 	status  string
@@ -232,6 +233,7 @@
 	body    []byte
 }
 
+// call sends one request as the actor "tryout". A non-empty key is sent as the key header.
 func (t *tryout) call(ctx context.Context, method, url, key string, body []byte) (reply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -253,7 +255,8 @@
 	return reply{resp.StatusCode, resp.Status, resp.Header.Get(gateway.OutcomeHeader), text}, nil
 }
 
-func (t *tryout) read(ctx context.Context, path string, into any) error {
+// getView decodes the operators' view at path into the value into.
+func (t *tryout) getView(ctx context.Context, path string, into any) error {
 	answer, err := t.call(ctx, http.MethodGet, t.operators+path, "", nil)
 	if err != nil {
 		return err
@@ -264,8 +267,9 @@
 	return nil
 }
 
-// until looks again and again until something has come about.
-func (t *tryout) until(ctx context.Context, done func() (bool, error)) error {
+// waitFor polls done until it returns true or an error. It returns an Unavailable fault
+// if the context ends first.
+func (t *tryout) waitFor(ctx context.Context, done func() (bool, error)) error {
 	for {
 		ok, err := done()
 		if ok || err != nil {
@@ -273,8 +277,8 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.New(fault.Unavailable, "tryout", "it took too long", "").WithCause(ctx.Err())
-		case <-time.After(lookEvery):
+			return fault.New(fault.Unavailable, "tryout", "the awaited state was not reached before the time limit", "").WithCause(ctx.Err())
+		case <-time.After(pollInterval):
 		}
 	}
 }
