--- a/pkg/lab/compare.go
+++ b/pkg/lab/compare.go
@@ -15,8 +15,8 @@
 // between days does not count, and the difference has an interval that is true 95 times
 // of 100.
 
-// confidence is how often an interval holds the true difference.
-const confidence = 0.95
+// confidenceLevel is how often an interval holds the true difference.
+const confidenceLevel = 0.95
 
 // Arm is a policy: the shipped one without some mechanisms.
 type Arm struct {
@@ -65,12 +65,12 @@
 		if first == nil {
 			first = days
 		}
-		list = append(list, difference(a, days, first))
+		list = append(list, pairedDifference(a, days, first))
 	}
 	return list
 }
 
-func difference(a Arm, days, first []*Day) Difference {
+func pairedDifference(a Arm, days, first []*Day) Difference {
 	d := Difference{Arm: a, Worth: MeanWorth(days)}
 	gains := make([]float64, len(days))
 	for i := range days {
@@ -87,7 +87,7 @@
 	mean, sd := stat.MeanStdDev(gains, nil)
 	d.Mean, d.Below, d.Above = mean, mean, mean
 	if len(gains) > 1 {
-		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(gains) - 1)}.Quantile(0.5 + confidence/2)
+		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(gains) - 1)}.Quantile(0.5 + confidenceLevel/2)
 		half := t * sd / math.Sqrt(float64(len(gains)))
 		d.Below, d.Above = mean-half, mean+half
 	}
--- a/pkg/lab/lab_test.go
+++ b/pkg/lab/lab_test.go
@@ -44,7 +44,7 @@
 }
 
 // What callers want on a day does not depend on the policy that is played.
-func TestPoliciesAreOwedTheSame(t *testing.T) {
+func TestOwedWorthDoesNotDependOnThePolicy(t *testing.T) {
 	t.Parallel()
 	w := workload(t)
 	shipped, other := lab.Play(w, 3, 0), lab.Play(w, 3, cell.WeighedPlaces|cell.CutFillers)
@@ -53,7 +53,7 @@
 
 // A policy that makes fillers run anywhere keeps serving tasks over their targets: the
 // model of how tasks disturb each other is there and is felt.
-func TestFillersThatAreNotWeighedDoHarm(t *testing.T) {
+func TestIgnoringInterferenceLowersWorth(t *testing.T) {
 	t.Parallel()
 	w := workload(t)
 	differences := lab.Compare(w, 16, lab.Arm{Name: "shipped"}, lab.Arm{Name: "anywhere", Without: cell.WeighedPlaces | cell.CutFillers})
@@ -61,7 +61,7 @@
 	must.Less(t, 0, differences[1].Above, must.Sprint("clear on 16 days"))
 }
 
-func TestAWorkloadIsReadWholeOrNotAtAll(t *testing.T) {
+func TestInvalidWorkloadsAreRejected(t *testing.T) {
 	t.Parallel()
 	_, err := lab.Parse("bad.jsonc", []byte(`{
   "name": "bad", "halls": 0, "hosts": 2, "workers": 8, "millicores": 32000, "memoryMB": 128000,
@@ -81,7 +81,7 @@
 	must.ErrorContains(t, err, `kind "b", which is not there`)
 }
 
-func TestTheExamplesCanBeRead(t *testing.T) {
+func TestExampleWorkloadsParse(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("../../examples/lab/*.jsonc")
 	must.NoError(t, err)
@@ -96,7 +96,7 @@
 
 // A change of what a day comes to is a change of policy, or of the lab: it is to be meant.
 // (To take a new figure in: run the test, and write it here with the reason in the commit.)
-func TestTheStoredDayComesToTheStoredFigures(t *testing.T) {
+func TestPlayedDayMatchesRecordedFigures(t *testing.T) {
 	t.Parallel()
 	d := lab.Play(workload(t), 10, 0)
 	got := fmt.Sprintf("worth %.4f, earned %.4f of %.4f, late %d, never %d, over %.2f s", d.Worth, d.All.Earned, d.All.Owed, d.Late, d.Never, d.OverSeconds)
@@ -104,7 +104,7 @@
 }
 
 // No sum of floats and no message to another cell depends on the order of a map.
-func TestAFullDayIsTheSameEachTime(t *testing.T) {
+func TestFullDayIsDeterministic(t *testing.T) {
 	t.Parallel()
 	source, err := os.ReadFile("../../examples/lab/full.jsonc")
 	must.NoError(t, err)
--- a/pkg/lab/workload.go
+++ b/pkg/lab/workload.go
@@ -23,7 +23,7 @@
 	Fleet Fleet
 	// Traffic is how long jobs come, Finish how long the day goes on after that.
 	Traffic, Finish time.Duration
-	Press           Press
+	Interference    Interference
 	Weights         Weights
 	Faults          float64
 	Kinds           []Kind
@@ -33,61 +33,61 @@
 // Fleet is the workers of a workload: their count, what one has, by how much some are
 // larger, and how many stand in a rack.
 type Fleet struct {
-	Workers, Millicores, MemoryMB, Rack float64
-	Sizes                               []float64
+	Workers, Millicores, MemoryMB, WorkersPerRack float64
+	SizeFactors                                   []float64
 }
 
-// Press says how fillers disturb serving tasks: the share of pairs of images that press,
+// Interference says how fillers disturb serving tasks: the share of pairs of images that press,
 // and how much busier a filler of each sort makes a serving task by its use of a whole
 // worker.
-type Press struct {
+type Interference struct {
 	ServingImages, FillerImages float64
-	Heavy, Hard, Mild           float64
-	// Unloaded is the tail of a serving task that has nothing to do.
-	Unloaded time.Duration
+	StrongShare, Strong, Weak   float64
+	// UnloadedTail is the tail of a serving task that has nothing to do.
+	UnloadedTail time.Duration
 }
 
 // Weights are the parts of a day's worth: the whole day, its two worst windows, the
 // worst kind of job and the worst hall.
-type Weights struct{ Day, Windows, Kind, Hall float64 }
+type Weights struct{ Day, WorstWindows, WorstKind, WorstHall float64 }
 
 // Kind is a kind of job.
 type Kind struct {
 	Name string
 	// PerSecond is how many come a second over all halls, AtStart how many stand before
 	// the first second.
-	PerSecond, AtStart float64
-	// Steps and Width are means; a step waits for the one before.
-	Steps, Width, WidthMost float64
-	// Seconds is a task's mean run time, Millicores and MemoryMB what it asks for.
-	Seconds, Millicores, MemoryMB float64
-	// EstimateOff is by how much declared run times are off, as the deviation of their
+	PerSecond, InitialJobs float64
+	// MeanSteps and Width are means; a step waits for the one before.
+	MeanSteps, MeanWidth, MaxWidth float64
+	// MeanSeconds is a task's mean run time, Millicores and MemoryMB what it asks for.
+	MeanSeconds, Millicores, MemoryMB float64
+	// EstimateSigma is by how much declared run times are off, as the deviation of their
 	// logarithms: 0.7 is a factor of two, to either side.
-	EstimateOff float64
-	Worth       float64
+	EstimateSigma float64
+	Worth         float64
 	// Stretch times the chain of work plus Slack is the objective.
 	Stretch  float64
 	Slack    time.Duration
 	Priority float64
-	// Failures is the share of runs that fail, Attempts how many a task has.
-	Failures, Attempts float64
-	Filler, Lasting    bool
-	// Saves is the share of jobs whose tasks keep what they have done.
-	Saves float64
-	// Apart is the share of jobs of which a worker takes few tasks.
-	Apart float64
-	// Stay is how long a lasting job stays, Target what its tail is to stay under; its
+	// FailingShare is the share of runs that fail, Attempts how many a task has.
+	FailingShare, MaxAttempts float64
+	Filler, Lasting           bool
+	// CheckpointingShare is the share of jobs whose tasks keep what they have done.
+	CheckpointingShare float64
+	// SpreadShare is the share of jobs of which a worker takes few tasks.
+	SpreadShare float64
+	// MeanLifetime is how long a lasting job stays, Target what its tail is to stay under; its
 	// users' load is Base, and swings by Swing in Period.
-	Stay, Target, Period time.Duration
-	Base, Swing          float64
-	Cancels              float64
+	MeanLifetime, TailTarget, LoadPeriod time.Duration
+	BaseLoad, LoadSwing                  float64
+	CancelledShare                       float64
 }
 
 // Burst is a time when more jobs of a kind come.
 type Burst struct {
-	Kind    string
-	At, For time.Duration
-	Times   float64
+	Kind       string
+	At, For    time.Duration
+	RateFactor float64
 }
 
 // check looks at values that must agree with each other.
@@ -99,10 +99,10 @@
 		if k.Lasting && k.Filler {
 			problems = append(problems, fmt.Sprintf("%s: kind %q is both lasting and filler; take one of them out", file, k.Name))
 		}
-		if k.Lasting && (k.Target <= 0 || k.Period <= 0 || k.Stay <= 0) {
+		if k.Lasting && (k.TailTarget <= 0 || k.LoadPeriod <= 0 || k.MeanLifetime <= 0) {
 			problems = append(problems, fmt.Sprintf("%s: kind %q lasts; give it target, period and stay", file, k.Name))
 		}
-		if !k.Lasting && k.Seconds <= 0 {
+		if !k.Lasting && k.MeanSeconds <= 0 {
 			problems = append(problems, fmt.Sprintf("%s: kind %q has no run time; give it seconds", file, k.Name))
 		}
 		if k.Millicores > w.Fleet.Millicores {
--- a/pkg/lab/worth.go
+++ b/pkg/lab/worth.go
@@ -19,14 +19,14 @@
 const (
 	// lateShare is the part that a late job earns, lateUntil times its objective when even
 	// that ends.
-	lateShare, lateUntil = 0.15, 3.0
-	// baseShare of a job's worth does not depend on its work, and largest bounds the rest.
-	baseShare, largest = 0.3, 4.0
-	// othersCount is how often time over target counts that neighbours cause.
-	othersCount = 4.0
-	// answerTakes is the time from a last state in the table to its caller, which no
+	lateShare, lateLimit = 0.15, 3.0
+	// fixedShare of a job's worth does not depend on its work, and largest bounds the rest.
+	fixedShare, maxRelativeWork = 0.3, 4.0
+	// interferencePenalty is how often time over target counts that neighbours cause.
+	interferencePenalty = 4.0
+	// answerLatency is the time from a last state in the table to its caller, which no
 	// policy can spare.
-	answerTakes = 50 * time.Millisecond
+	answerLatency = 50 * time.Millisecond
 )
 
 // Sum is what was owed and earned.
@@ -66,21 +66,21 @@
 // Play plays the day of a seed without the given mechanisms.
 func Play(w *Workload, seed uint64, without cell.Mechanism) *Day {
 	load := Draw(w, seed)
-	end := lead + startAhead + w.Traffic + w.Finish
+	end := electionTime + arrivalsDelay + w.Traffic + w.Finish
 	plan := emulator.Plan{
-		Seed: seed, Hosts: int(w.Hosts), Traffic: w.Traffic, Trouble: lead + startAhead + w.Traffic, End: end,
+		Seed: seed, Hosts: int(w.Hosts), Traffic: w.Traffic, Trouble: electionTime + arrivalsDelay + w.Traffic, End: end,
 		Faults: int(w.Faults), Load: load, Without: without,
 	}
 	world, broken := emulator.Play(plan)
-	return sum(w, seed, world.Results(), broken)
+	return sumDay(w, seed, world.Results(), broken)
 }
 
-func sum(w *Workload, seed uint64, results []*emulator.JobResult, broken []string) *Day {
+func sumDay(w *Workload, seed uint64, results []*emulator.JobResult, broken []string) *Day {
 	d := &Day{Seed: seed, Kinds: map[string]*Sum{}, Halls: map[string]*Sum{}, Broken: broken}
 	means := meanWork(results)
 	for _, r := range results {
-		k := w.kind(r.Handin.Spec.GetQueue())
-		size := baseShare + (1-baseShare)*min(largest, work(r.Handin)/max(1e-9, means[k.Name]))
+		k := w.kindNamed(r.Handin.Spec.GetQueue())
+		size := fixedShare + (1-fixedShare)*min(maxRelativeWork, workSize(r.Handin)/max(1e-9, means[k.Name]))
 		if k.Lasting {
 			d.addLasting(w, k, r, size)
 			continue
@@ -89,13 +89,13 @@
 			continue
 		}
 		owed := k.Worth * size
-		d.add(r, r.Handin.At, k, owed, owed*d.earned(k, r))
+		d.addOwed(r, r.Handin.At, k, owed, owed*d.earnedShare(k, r))
 	}
-	d.Worth = d.weigh(w.Weights)
+	d.Worth = d.weightedWorth(w.Weights)
 	return d
 }
 
-func (w *Workload) kind(name string) Kind {
+func (w *Workload) kindNamed(name string) Kind {
 	for _, k := range w.Kinds {
 		if k.Name == name {
 			return k
@@ -104,14 +104,14 @@
 	return Kind{}
 }
 
-// earned is the part of a job's worth that it earned, and counts what was late.
-func (d *Day) earned(k Kind, r *emulator.JobResult) float64 {
-	objective := time.Duration(k.Stretch*float64(chain(r.Handin))) + k.Slack
-	took := r.EndedAt + answerTakes - r.Handin.At
+// earnedShare is the part of a job's worth that it earned, and counts what was late.
+func (d *Day) earnedShare(k Kind, r *emulator.JobResult) float64 {
+	objective := time.Duration(k.Stretch*float64(criticalPath(r.Handin))) + k.Slack
+	took := r.EndedAt + answerLatency - r.Handin.At
 	switch {
 	case r.Phase == wire.JobPhase_JOB_PHASE_COMPLETED && took <= objective:
 		return 1
-	case r.Phase == wire.JobPhase_JOB_PHASE_COMPLETED && float64(took) <= lateUntil*float64(objective):
+	case r.Phase == wire.JobPhase_JOB_PHASE_COMPLETED && float64(took) <= lateLimit*float64(objective):
 		d.Late++
 		return lateShare
 	}
@@ -121,7 +121,7 @@
 
 func (d *Day) addLasting(w *Workload, k Kind, r *emulator.JobResult, size float64) {
 	tasks := float64(r.Handin.Spec.GetSteps()[0].GetCount())
-	until := lead + startAhead + w.Traffic
+	until := electionTime + arrivalsDelay + w.Traffic
 	if r.Handin.CancelAt > 0 {
 		until = min(until, r.Handin.CancelAt)
 	}
@@ -131,32 +131,32 @@
 			v = r.Windows[n]
 		}
 		all := tasks * emulator.WindowSpan.Seconds()
-		share := (v.AtWork.Seconds() - v.Over.Seconds() - othersCount*v.OverByOthers.Seconds()) / all
+		share := (v.AtWork.Seconds() - v.Over.Seconds() - interferencePenalty*v.OverByOthers.Seconds()) / all
 		d.OverSeconds += v.OverByOthers.Seconds()
-		d.add(r, r.Handin.At+time.Duration(n)*emulator.WindowSpan, k, k.Worth*size, k.Worth*size*min(1, max(0, share)))
+		d.addOwed(r, r.Handin.At+time.Duration(n)*emulator.WindowSpan, k, k.Worth*size, k.Worth*size*min(1, max(0, share)))
 	}
 }
 
-func (d *Day) add(r *emulator.JobResult, at time.Duration, k Kind, owed, earned float64) {
+func (d *Day) addOwed(r *emulator.JobResult, at time.Duration, k Kind, owed, earned float64) {
 	d.All.add(owed, earned)
-	sumOf(d.Kinds, k.Name).add(owed, earned)
-	sumOf(d.Halls, r.Handin.Hall).add(owed, earned)
-	n := int((at - lead) / emulator.WindowSpan)
+	sumFor(d.Kinds, k.Name).add(owed, earned)
+	sumFor(d.Halls, r.Handin.Hall).add(owed, earned)
+	n := int((at - electionTime) / emulator.WindowSpan)
 	for len(d.Windows) <= n {
 		d.Windows = append(d.Windows, Sum{})
 	}
 	d.Windows[n].add(owed, earned)
 }
 
-func sumOf(sums map[string]*Sum, name string) *Sum {
+func sumFor(sums map[string]*Sum, name string) *Sum {
 	if sums[name] == nil {
 		sums[name] = &Sum{}
 	}
 	return sums[name]
 }
 
-// weigh is the whole of a day.
-func (d *Day) weigh(w Weights) float64 {
+// weightedWorth is the whole of a day.
+func (d *Day) weightedWorth(w Weights) float64 {
 	windows := make([]float64, 0, len(d.Windows))
 	for _, s := range d.Windows {
 		windows = append(windows, s.Share())
@@ -166,10 +166,10 @@
 	if len(windows) > 1 {
 		worst = (windows[0] + windows[1]) / 2
 	}
-	return w.Day*d.All.Share() + w.Windows*worst + w.Kind*least(d.Kinds) + w.Hall*least(d.Halls)
+	return w.Day*d.All.Share() + w.WorstWindows*worst + w.WorstKind*lowestShare(d.Kinds) + w.WorstHall*lowestShare(d.Halls)
 }
 
-func least(sums map[string]*Sum) float64 {
+func lowestShare(sums map[string]*Sum) float64 {
 	worst := 1.0
 	for _, s := range sums {
 		worst = math.Min(worst, s.Share())
@@ -177,8 +177,8 @@
 	return worst
 }
 
-// work is a job's core seconds; of a lasting one, its cores.
-func work(h emulator.Handin) float64 {
+// workSize is a job's core seconds; of a lasting one, its cores.
+func workSize(h emulator.Handin) float64 {
 	all := 0.0
 	for i, step := range h.Spec.GetSteps() {
 		cores := float64(step.GetMillicores()) / 1000
@@ -193,8 +193,8 @@
 	return all
 }
 
-// chain is a job's longest chain of work, with the runs that fail by their own fault.
-func chain(h emulator.Handin) time.Duration {
+// criticalPath is a job's longest chain of work, with the runs that fail by their own fault.
+func criticalPath(h emulator.Handin) time.Duration {
 	all := time.Duration(0)
 	for _, tasks := range h.Tasks {
 		longest := time.Duration(0)
@@ -209,7 +209,7 @@
 func meanWork(results []*emulator.JobResult) map[string]float64 {
 	sums, counts := map[string]float64{}, map[string]float64{}
 	for _, r := range results {
-		sums[r.Handin.Spec.GetQueue()] += work(r.Handin)
+		sums[r.Handin.Spec.GetQueue()] += workSize(r.Handin)
 		counts[r.Handin.Spec.GetQueue()]++
 	}
 	for name := range sums {
