--- a/pkg/lab/compare.go
+++ b/pkg/lab/compare.go
@@ -11,31 +11,36 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// Comparisons are paired: both policies play the very same days, so that what differs
-// between days does not count, and the difference has an interval that is true 95 times
-// of 100.
+// Comparisons are paired: both policies play the same sampled days, which removes the
+// variance between days from the difference. Each mean difference has a confidence interval
+// from Student's t distribution.
 
-// confidenceLevel is how often an interval holds the true difference.
+// confidenceLevel is the probability that an interval contains the true mean difference.
 const confidenceLevel = 0.95
 
-// Arm is a policy: the shipped one without some mechanisms.
+// Arm is one policy of a comparison: the shipped policy with some mechanisms disabled.
 type Arm struct {
-	Name    string
+	Name string
+	// Without is the set of disabled mechanisms.
 	Without cell.Mechanism
 }
 
-// Difference is how much more one arm is worth than the other, with its interval.
+// Difference compares an arm with the first arm of a comparison.
 type Difference struct {
-	Arm                  Arm
-	Worth                float64
-	Mean, Below, Above   float64
+	Arm Arm
+	// Worth is the mean worth of the arm's days.
+	Worth float64
+	// Mean is the mean of the arm's worth minus the first arm's, day by day. Below and Above
+	// are the bounds of its confidence interval.
+	Mean, Below, Above float64
+	// Better, Worse and Equal count the days by the sign of the difference.
 	Better, Worse, Equal int
 }
 
-// Clear says whether the interval leaves 0 out.
+// Clear returns whether the confidence interval excludes 0.
 func (d Difference) Clear() bool { return d.Below > 0 || d.Above < 0 }
 
-// PlayAll plays the days of seeds 1 to n on all processors, in the order of the seeds.
+// PlayAll plays the days of seeds 1 to n on all processors and returns them ordered by seed.
 func PlayAll(w *Workload, n int, without cell.Mechanism) []*Day {
 	days := make([]*Day, n)
 	next := make(chan int)
@@ -55,8 +60,8 @@
 	return days
 }
 
-// Compare plays the days of seeds 1 to n with each arm, and gives what each is worth more
-// than the first one.
+// Compare plays the days of seeds 1 to n with each arm and returns, for each arm, its
+// difference to the first arm.
 func Compare(w *Workload, n int, arms ...Arm) []Difference {
 	var first []*Day
 	list := make([]Difference, 0, len(arms))
@@ -70,6 +75,8 @@
 	return list
 }
 
+// pairedDifference compares an arm's days with the first arm's days of the same seeds. For a
+// single day, both bounds are the mean.
 func pairedDifference(a Arm, days, first []*Day) Difference {
 	d := Difference{Arm: a, Worth: MeanWorth(days)}
 	gains := make([]float64, len(days))
@@ -94,7 +101,7 @@
 	return d
 }
 
-// MeanWorth is the mean worth of days.
+// MeanWorth returns the mean worth of days.
 func MeanWorth(days []*Day) float64 {
 	worths := make([]float64, len(days))
 	for i, d := range days {
--- a/pkg/lab/draw.go
+++ b/pkg/lab/draw.go
@@ -13,35 +13,40 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// How a day is drawn from a workload and a seed. Each kind of job, and each pair of
-// images, has a stream of chance of its own, so that a change to one leaves the others
-// as they were.
+// A day is sampled from a workload and a seed. Each kind of job and each serving image has a
+// random stream of its own, so that a change to one leaves the samples of the others unchanged.
 
 const (
-	// electionTime is the time from the beginning to the first jobs: hosts find a leader in it.
+	// electionTime is the time from the start of the day to the first jobs. The entry hosts
+	// elect their leaders in it.
 	electionTime = 3 * time.Second
-	// initialJobsSpan is the time in which the jobs that stand at the start come, and
-	// startAhead how long before the others.
+	// initialJobsSpan is the time after electionTime over which the initial jobs are submitted.
+	// The other jobs arrive from arrivalsDelay after electionTime.
 	initialJobsSpan = 200 * time.Millisecond
 	arrivalsDelay   = 4 * time.Second
-	// maxCancelDelay is when jobs are cancelled whose callers change their minds.
+	// maxCancelDelay is the maximum time from the submission of a job to its cancellation by a
+	// caller that no longer wants it.
 	maxCancelDelay = 4 * time.Second
-	// interferenceSpread is by how much pairs of one sort differ.
+	// interferenceSpread is the maximum relative deviation of a pair's interference from
+	// Interference.Strong or Weak.
 	interferenceSpread = 0.3
-	// maxSpreadTasksPerWorker is how many tasks of a job that is kept apart a worker takes.
+	// maxSpreadTasksPerWorker is the maximum number of tasks that one worker takes of each step
+	// of a spread job.
 	maxSpreadTasksPerWorker = 2
 	serviceName             = "service"
-	// widthSigma and the others are deviations of logarithms.
+	// widthSigma, sizeSigma and timeSigma are standard deviations of the logarithm: of the tasks
+	// of a step, of a task's millicores and memory, and of run times and lifetimes.
 	widthSigma, sizeSigma, timeSigma = 0.6, 0.35, 0.43
 )
 
+// sampler builds the load of one day.
 type sampler struct {
 	workload *Workload
 	seed     uint64
 	load     *emulator.Load
 }
 
-// Draw draws the day of a seed.
+// Draw samples the day of a seed from a workload. The day depends on nothing else.
 func Draw(w *Workload, seed uint64) *emulator.Load {
 	d := &sampler{workload: w, seed: seed, load: &emulator.Load{Press: map[emulator.Pair]float64{}, Unloaded: w.Interference.UnloadedTail}}
 	d.addFleet()
@@ -56,13 +61,14 @@
 	return d.load
 }
 
-// randomStream is the chance of one thing.
+// randomStream returns the random stream for a name. It depends only on the seed and the name.
 func (d *sampler) randomStream(of string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(of)) // a hash takes anything
 	return rand.New(rand.NewPCG(d.seed, h.Sum64()))
 }
 
+// addFleet adds the halls, and the workers with their racks and sizes.
 func (d *sampler) addFleet() {
 	w := d.workload
 	for i := range int(w.Halls) {
@@ -79,8 +85,8 @@
 	}
 }
 
-// addInterference draws which fillers press on which serving images. Some serving images bear more
-// than others.
+// addInterference samples how much each filler image disturbs each serving image. The share of
+// filler images that disturb strongly differs between serving images.
 func (d *sampler) addInterference() {
 	p := d.workload.Interference
 	for s := range int(p.ServingImages) {
@@ -100,7 +106,8 @@
 
 func fillerImage(n int) string { return fmt.Sprintf("filler-%d", n) }
 
-// addJobs draws the jobs of a kind.
+// addJobs samples the jobs of a kind: the initial jobs, then arrivals as a Poisson process whose
+// rate bursts raise. Both n, the index of the kind, and a serial number form the job's id.
 func (d *sampler) addJobs(n int, k Kind) {
 	chance := d.randomStream("kind " + k.Name)
 	for i := range int(k.InitialJobs) {
@@ -122,7 +129,7 @@
 	}
 }
 
-// rateFactor is how many times as many jobs of a kind come at a moment.
+// rateFactor returns the product of the factors of the bursts of a kind that are active at a time.
 func (d *sampler) rateFactor(kind string, at time.Duration) float64 {
 	times := 1.0
 	for _, b := range d.workload.Bursts {
@@ -133,12 +140,15 @@
 	return times
 }
 
-// lognormal draws around a mean, between a part of it and a most.
+// lognormal samples a lognormal value with the given mean, where stray is the standard deviation
+// of the logarithm. It clamps the value between an eighth of the mean and most.
 func lognormal(chance *rand.Rand, mean, stray, most float64) float64 {
 	v := mean * math.Exp(stray*chance.NormFloat64()-stray*stray/2)
 	return min(max(v, mean/8), most)
 }
 
+// sampleJob samples a job of a kind: its steps, its hall, when it is cancelled and what its tasks
+// really do.
 func (d *sampler) sampleJob(chance *rand.Rand, k Kind, id string, at time.Duration) emulator.Handin {
 	h := emulator.Handin{
 		At: at, Hall: d.load.Halls[chance.IntN(len(d.load.Halls))],
@@ -185,12 +195,13 @@
 	return h
 }
 
-// skewedIndex picks an image; the first ones more often than the others.
+// skewedIndex samples an index below n. Lower indices are more frequent.
 func skewedIndex(chance *rand.Rand, n int) int {
 	return int(float64(max(1, n)) * math.Pow(chance.Float64(), 1.5))
 }
 
-// sampleTasks draws what a step's tasks really do, and what their caller declares of it.
+// sampleTasks samples the actual behaviour of a step's tasks, and sets the run time that their
+// caller declares.
 func (d *sampler) sampleTasks(chance *rand.Rand, k Kind, step *wire.StepSpec) []emulator.TaskTruth {
 	list := make([]emulator.TaskTruth, step.GetCount())
 	mean := lognormal(chance, k.MeanSeconds, timeSigma, 2.5*k.MeanSeconds)
@@ -211,5 +222,5 @@
 	return list
 }
 
-// taskTimeSigma is how much the tasks of one step differ, as the deviation of a logarithm.
+// taskTimeSigma is the standard deviation of the logarithm of run times within one step.
 func (Kind) taskTimeSigma() float64 { return 0.3 }
--- a/pkg/lab/fields.go
+++ b/pkg/lab/fields.go
@@ -6,9 +6,10 @@
 	"github.com/wrenferry/wrenferry/pkg/configfile"
 )
 
-// The tables of what stands in a workload file. They drive the check and the page.
+// The tables of the settings of a workload file. The check of the file and the page of the
+// documentation are made from them.
 
-// Fields are those of the file itself.
+// Fields are the settings at the top level of the file.
 var Fields = []configfile.Field[Workload]{
 	{Name: "name", Example: `"evening"`, Required: true, Help: "what reports call it", Set: configfile.Value(func(w *Workload) *string { return &w.Name })},
 	{Name: "halls", Example: "3", Required: true, Help: "halls, a cell each", Set: configfile.Count(1, 20, func(w *Workload) *float64 { return &w.Halls })},
@@ -35,7 +36,7 @@
 	{Name: "bursts", Example: `[{"kind": "receipts", "at": "8s", "for": "6s", "times": 1.4}]`, Help: "times when more jobs of a kind come", Rows: configfile.Rows(BurstFields, func(w *Workload) *[]Burst { return &w.Bursts })},
 }
 
-// KindFields are those of a kind of job.
+// KindFields are the settings of a kind of job.
 var KindFields = []configfile.Field[Kind]{
 	{Name: "name", Example: `"receipts"`, Required: true, Help: "what reports call it", Set: configfile.Value(func(k *Kind) *string { return &k.Name })},
 	{Name: "perSecond", Example: "5", Required: true, Help: "jobs a second, over all halls", Set: configfile.Count(0, 1000, func(k *Kind) *float64 { return &k.PerSecond })},
@@ -65,7 +66,7 @@
 	{Name: "period", Example: `"14s"`, Help: "in what time", Set: configfile.Span(func(k *Kind) *time.Duration { return &k.LoadPeriod })},
 }
 
-// BurstFields are those of a burst.
+// BurstFields are the settings of a burst.
 var BurstFields = []configfile.Field[Burst]{
 	{Name: "kind", Example: `"receipts"`, Required: true, Help: "of which kind", Set: configfile.Value(func(b *Burst) *string { return &b.Kind })},
 	{Name: "at", Example: `"8s"`, Required: true, Help: "when", Set: configfile.Span(func(b *Burst) *time.Duration { return &b.At })},
@@ -73,7 +74,8 @@
 	{Name: "times", Example: "1.4", Required: true, Help: "how many times as many", Set: configfile.Count(0, 100, func(b *Burst) *float64 { return &b.RateFactor })},
 }
 
-// Parse reads a workload file whole, or says all that is wrong with it.
+// Parse returns the workload in a file's source. The error lists the problems; file is the name
+// that it gives.
 func Parse(file string, source []byte) (*Workload, error) {
 	w := &Workload{Fleet: Fleet{SizeFactors: []float64{1}, WorkersPerRack: 8}}
 	if err := configfile.Parse(file, source, w, Fields); err != nil {
--- a/pkg/lab/lab_test.go
+++ b/pkg/lab/lab_test.go
@@ -13,7 +13,7 @@
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 )
 
-// small is a workload that plays in a part of a second.
+// small is a workload whose day plays in less than a second.
 const small = `{
   "name": "small", "halls": 2, "hosts": 2, "workers": 8, "millicores": 32000, "memoryMB": 128000,
   "traffic": "10s", "finish": "6s", "servingImages": 2, "fillerImages": 3, "heavy": 0.5, "hard": 2, "mild": 0.2, "unloaded": "10ms",
@@ -32,7 +32,7 @@
 	return w
 }
 
-// The whole of a day follows from its seed: else no two policies could be compared.
+// A day is determined by its seed. Paired comparisons of policies depend on it.
 func TestTheSameSeedGivesTheSameDay(t *testing.T) {
 	t.Parallel()
 	w := workload(t)
@@ -43,7 +43,7 @@
 	must.NotEq(t, one.Worth, lab.Play(w, 8, 0).Worth)
 }
 
-// What callers want on a day does not depend on the policy that is played.
+// The sampled jobs of a day, and so the worth owed, are the same for each policy.
 func TestOwedWorthDoesNotDependOnThePolicy(t *testing.T) {
 	t.Parallel()
 	w := workload(t)
@@ -51,14 +51,14 @@
 	must.Eq(t, shipped.All.Owed, other.All.Owed)
 }
 
-// A policy that makes fillers run anywhere keeps serving tasks over their targets: the
-// model of how tasks disturb each other is there and is felt.
+// A policy that places fillers without regard to interference keeps serving tasks over their
+// targets, and loses worth. Guards against an emulator without effective interference.
 func TestIgnoringInterferenceLowersWorth(t *testing.T) {
 	t.Parallel()
 	w := workload(t)
 	differences := lab.Compare(w, 16, lab.Arm{Name: "shipped"}, lab.Arm{Name: "anywhere", Without: cell.WeighedPlaces | cell.CutFillers})
 	must.Less(t, 0, differences[1].Mean)
-	must.Less(t, 0, differences[1].Above, must.Sprint("clear on 16 days"))
+	must.Less(t, 0, differences[1].Above, must.Sprint("the interval over 16 days must exclude 0"))
 }
 
 func TestInvalidWorkloadsAreRejected(t *testing.T) {
@@ -94,8 +94,9 @@
 	}
 }
 
-// A change of what a day comes to is a change of policy, or of the lab: it is to be meant.
-// (To take a new figure in: run the test, and write it here with the reason in the commit.)
+// The figures of a day change only with the policy, the emulator or the lab, so a change must be
+// intended. To accept a new figure, run the test, write the figure here and give the reason in the
+// commit.
 func TestPlayedDayMatchesRecordedFigures(t *testing.T) {
 	t.Parallel()
 	d := lab.Play(workload(t), 10, 0)
@@ -103,7 +104,8 @@
 	must.Eq(t, "worth 0.8906, earned 29.8746 of 32.1433, late 0, never 0, over 17.00 s", got)
 }
 
-// No sum of floats and no message to another cell depends on the order of a map.
+// Guards against results that depend on the iteration order of a map: sums of floats, and the order
+// of messages to other cells.
 func TestFullDayIsDeterministic(t *testing.T) {
 	t.Parallel()
 	source, err := os.ReadFile("../../examples/lab/full.jsonc")
--- a/pkg/lab/workload.go
+++ b/pkg/lab/workload.go
@@ -1,9 +1,9 @@
-// Package lab asks what a policy is worth: it plays days of a workload in the emulator,
-// with the product's own deciders, and sums up what callers gained.
+// Package lab evaluates scheduling policies: it plays days of a workload in the emulator,
+// which runs the product's own decision code, and sums up the worth of the jobs to callers.
 //
 // Data flows one way: a workload file -> Parse (workload.go, fields.go) -> Draw (draw.go:
 // one day, the same for each policy) -> emulator.Play -> worth (worth.go) -> Compare
-// (compare.go: paired days, differences and how sure they are).
+// (compare.go: paired days, differences and their confidence intervals).
 package lab
 
 import (
@@ -14,14 +14,16 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// Workload is a kind of day: a fleet and what its callers want of it.
+// Workload describes a random day: a fleet and the distribution of its jobs. Counts are float64,
+// since the numbers of a workload file are.
 type Workload struct {
-	Name  string
+	Name string
+	// Halls is the number of halls, with one cell each.
 	Halls float64
-	// Hosts is the number of entry hosts.
+	// Hosts is the number of entry hosts, over all halls.
 	Hosts float64
 	Fleet Fleet
-	// Traffic is how long jobs come, Finish how long the day goes on after that.
+	// Traffic is the time over which jobs arrive, Finish the time that the day lasts after it.
 	Traffic, Finish time.Duration
 	Interference    Interference
 	Weights         Weights
@@ -30,67 +32,72 @@
 	Bursts          []Burst
 }
 
-// Fleet is the workers of a workload: their count, what one has, by how much some are
-// larger, and how many stand in a rack.
+// Fleet describes the workers over all halls: their number, the millicores and memory of a worker
+// of size 1, the workers in a rack, and the sizes that successive workers of a hall have in turn.
 type Fleet struct {
 	Workers, Millicores, MemoryMB, WorkersPerRack float64
 	SizeFactors                                   []float64
 }
 
-// Interference says how fillers disturb serving tasks: the share of pairs of images that press,
-// and how much busier a filler of each sort makes a serving task by its use of a whole
-// worker.
+// Interference describes how fillers disturb serving tasks. StrongShare is the mean share of pairs
+// of a serving and a filler image that interfere strongly. Strong and Weak are the increases of a
+// serving task's utilization by a filler that uses a whole worker, for such pairs and the others.
 type Interference struct {
 	ServingImages, FillerImages float64
 	StrongShare, Strong, Weak   float64
-	// UnloadedTail is the tail of a serving task that has nothing to do.
+	// UnloadedTail is the tail latency of a serving task without load.
 	UnloadedTail time.Duration
 }
 
-// Weights are the parts of a day's worth: the whole day, its two worst windows, the
-// worst kind of job and the worst hall.
+// Weights are the weights in a day's worth of the earned shares of the whole day, of its two worst
+// windows, of the worst kind of job and of the worst hall.
 type Weights struct{ Day, WorstWindows, WorstKind, WorstHall float64 }
 
-// Kind is a kind of job.
+// Kind describes the jobs of one kind, which share a queue. Their values are sampled around the
+// means given here.
 type Kind struct {
 	Name string
-	// PerSecond is how many come a second over all halls, AtStart how many stand before
-	// the first second.
+	// PerSecond is the arrival rate over all halls, in jobs per second. InitialJobs is the number
+	// of jobs submitted before the other jobs arrive.
 	PerSecond, InitialJobs float64
-	// MeanSteps and Width are means; a step waits for the one before.
+	// MeanSteps is the mean number of steps of a job; each step waits for the previous one.
+	// MeanWidth is the mean number of tasks of a step, MaxWidth the maximum (0: six times the mean).
 	MeanSteps, MeanWidth, MaxWidth float64
-	// MeanSeconds is a task's mean run time, Millicores and MemoryMB what it asks for.
+	// MeanSeconds is the mean run time of a task. Millicores and MemoryMB are its mean requests.
 	MeanSeconds, Millicores, MemoryMB float64
-	// EstimateSigma is by how much declared run times are off, as the deviation of their
-	// logarithms: 0.7 is a factor of two, to either side.
+	// EstimateSigma is the error of declared run times, as the standard deviation of the logarithm
+	// of declared over true: 0.7 is a factor of two, to either side.
 	EstimateSigma float64
 	Worth         float64
-	// Stretch times the chain of work plus Slack is the objective.
+	// The objective for the time to complete a job is Stretch times its critical path, plus Slack.
 	Stretch  float64
 	Slack    time.Duration
 	Priority float64
-	// FailingShare is the share of runs that fail, Attempts how many a task has.
+	// FailingShare is the share of tasks whose first run fails, MaxAttempts the maximum number of
+	// failed runs of a task.
 	FailingShare, MaxAttempts float64
 	Filler, Lasting           bool
-	// CheckpointingShare is the share of jobs whose tasks keep what they have done.
+	// CheckpointingShare is the share of jobs whose tasks write checkpoints.
 	CheckpointingShare float64
-	// SpreadShare is the share of jobs of which a worker takes few tasks.
+	// SpreadShare is the share of jobs whose tasks are spread: a worker takes few of them.
 	SpreadShare float64
-	// MeanLifetime is how long a lasting job stays, Target what its tail is to stay under; its
-	// users' load is Base, and swings by Swing in Period.
+	// MeanLifetime is the mean time until a lasting job is cancelled, TailTarget its target for the
+	// tail latency. The utilization by its users averages BaseLoad and oscillates by the share
+	// LoadSwing with LoadPeriod.
 	MeanLifetime, TailTarget, LoadPeriod time.Duration
 	BaseLoad, LoadSwing                  float64
 	CancelledShare                       float64
 }
 
-// Burst is a time when more jobs of a kind come.
+// Burst multiplies the arrival rate of a kind by RateFactor for a time. At counts from the first
+// arrivals.
 type Burst struct {
 	Kind       string
 	At, For    time.Duration
 	RateFactor float64
 }
 
-// check looks at values that must agree with each other.
+// check checks the settings that depend on each other. The error lists all problems.
 func (w *Workload) check(file string) error {
 	var problems []string
 	names := map[string]bool{}
@@ -100,7 +107,7 @@
 			problems = append(problems, fmt.Sprintf("%s: kind %q is both lasting and filler; take one of them out", file, k.Name))
 		}
 		if k.Lasting && (k.TailTarget <= 0 || k.LoadPeriod <= 0 || k.MeanLifetime <= 0) {
-			problems = append(problems, fmt.Sprintf("%s: kind %q lasts; give it target, period and stay", file, k.Name))
+			problems = append(problems, fmt.Sprintf("%s: kind %q is lasting; give it target, period and stay", file, k.Name))
 		}
 		if !k.Lasting && k.MeanSeconds <= 0 {
 			problems = append(problems, fmt.Sprintf("%s: kind %q has no run time; give it seconds", file, k.Name))
--- a/pkg/lab/worth.go
+++ b/pkg/lab/worth.go
@@ -10,29 +10,30 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// What a day was worth to its callers. A job earns what its kind is worth, by its work,
-// if it is done within its objective; late, a part of that up to three times the
-// objective; nothing after. A lasting job earns in each window by the share of its tasks
-// that are at work, less the share that is over its target: four times that, where only
-// its neighbours keep it over.
+// The worth of a day to its callers. A job that completes within its objective earns the worth of
+// its kind, scaled by the job's work. A late job earns a part of that until three times the
+// objective, then nothing. A lasting job earns in each window the share of its tasks' time that
+// they are running, minus the share over the latency target. Time over the target counts four times
+// if the task would meet it without the fillers on its worker.
 
 const (
-	// lateShare is the part that a late job earns, lateUntil times its objective when even
-	// that ends.
+	// lateShare is the part of its worth that a late job earns. A job that takes longer than
+	// lateLimit times its objective earns nothing.
 	lateShare, lateLimit = 0.15, 3.0
-	// fixedShare of a job's worth does not depend on its work, and largest bounds the rest.
+	// fixedShare is the share of a job's worth that does not depend on its work. The rest is
+	// proportional to its work relative to the mean of its kind, up to maxRelativeWork.
 	fixedShare, maxRelativeWork = 0.3, 4.0
-	// interferencePenalty is how often time over target counts that neighbours cause.
+	// interferencePenalty is the weight of time over target that only fillers beside the task cause.
 	interferencePenalty = 4.0
-	// answerLatency is the time from a last state in the table to its caller, which no
-	// policy can spare.
+	// answerLatency is the time from the write of a job's final state to the table until its caller
+	// has the answer. No policy can avoid it.
 	answerLatency = 50 * time.Millisecond
 )
 
-// Sum is what was owed and earned.
+// Sum is an amount of worth: Owed if all jobs meet their objectives, and Earned.
 type Sum struct{ Owed, Earned float64 }
 
-// Share is the part that was earned; 1 where nothing was owed.
+// Share returns earned over owed, or 1 if nothing was owed.
 func (s Sum) Share() float64 {
 	if s.Owed <= 0 {
 		return 1
@@ -45,25 +46,27 @@
 	s.Earned += earned
 }
 
-// Day is what one played day came to.
+// Day is the result of one played day.
 type Day struct {
 	Seed uint64
-	// Worth is the whole, from 0 to 1.
-	Worth   float64
+	// Worth is the weighted worth, from 0 to 1.
+	Worth float64
+	// All, Kinds, Halls and Windows sum up the jobs: all of them, by kind, by the caller's hall and
+	// by window of the day.
 	All     Sum
 	Kinds   map[string]*Sum
 	Halls   map[string]*Sum
 	Windows []Sum
-	// Late, Never and OverSeconds tell why worth was lost: jobs done late, jobs not done in
-	// time to earn anything, and the seconds that neighbours kept serving tasks over their
-	// targets.
+	// Late, Never and OverSeconds are the reasons for lost worth. Late counts jobs that completed
+	// late, Never jobs that earned nothing. OverSeconds is the time that serving tasks were over
+	// their targets only because of fillers beside them, in seconds.
 	Late, Never int
 	OverSeconds float64
-	// Broken are the rules that the day broke.
+	// Broken lists the violations that the emulator's checker reported.
 	Broken []string
 }
 
-// Play plays the day of a seed without the given mechanisms.
+// Play plays the day of a seed with the given mechanisms disabled.
 func Play(w *Workload, seed uint64, without cell.Mechanism) *Day {
 	load := Draw(w, seed)
 	end := electionTime + arrivalsDelay + w.Traffic + w.Finish
@@ -75,6 +78,7 @@
 	return sumDay(w, seed, world.Results(), broken)
 }
 
+// sumDay sums up the results of a day's jobs. A cancelled job that is not lasting does not count.
 func sumDay(w *Workload, seed uint64, results []*emulator.JobResult, broken []string) *Day {
 	d := &Day{Seed: seed, Kinds: map[string]*Sum{}, Halls: map[string]*Sum{}, Broken: broken}
 	means := meanWork(results)
@@ -104,7 +108,8 @@
 	return Kind{}
 }
 
-// earnedShare is the part of a job's worth that it earned, and counts what was late.
+// earnedShare returns the share of its worth that a job earned. It counts jobs that are late or earn
+// nothing.
 func (d *Day) earnedShare(k Kind, r *emulator.JobResult) float64 {
 	objective := time.Duration(k.Stretch*float64(criticalPath(r.Handin))) + k.Slack
 	took := r.EndedAt + answerLatency - r.Handin.At
@@ -119,6 +124,8 @@
 	return 0
 }
 
+// addLasting adds the windows of a lasting job until it is cancelled or traffic ends. Only whole
+// windows count.
 func (d *Day) addLasting(w *Workload, k Kind, r *emulator.JobResult, size float64) {
 	tasks := float64(r.Handin.Spec.GetSteps()[0].GetCount())
 	until := electionTime + arrivalsDelay + w.Traffic
@@ -137,6 +144,7 @@
 	}
 }
 
+// addOwed adds worth to all sums; at is the time of the day to whose window it belongs.
 func (d *Day) addOwed(r *emulator.JobResult, at time.Duration, k Kind, owed, earned float64) {
 	d.All.add(owed, earned)
 	sumFor(d.Kinds, k.Name).add(owed, earned)
@@ -155,7 +163,7 @@
 	return sums[name]
 }
 
-// weightedWorth is the whole of a day.
+// weightedWorth returns the day's worth from its sums, each by its weight.
 func (d *Day) weightedWorth(w Weights) float64 {
 	windows := make([]float64, 0, len(d.Windows))
 	for _, s := range d.Windows {
@@ -169,6 +177,7 @@
 	return w.Day*d.All.Share() + w.WorstWindows*worst + w.WorstKind*lowestShare(d.Kinds) + w.WorstHall*lowestShare(d.Halls)
 }
 
+// lowestShare returns the lowest earned share, at most 1.
 func lowestShare(sums map[string]*Sum) float64 {
 	worst := 1.0
 	for _, s := range sums {
@@ -177,7 +186,7 @@
 	return worst
 }
 
-// workSize is a job's core seconds; of a lasting one, its cores.
+// workSize returns the work of a job in core seconds, or the cores of a lasting job.
 func workSize(h emulator.Handin) float64 {
 	all := 0.0
 	for i, step := range h.Spec.GetSteps() {
@@ -193,7 +202,8 @@
 	return all
 }
 
-// criticalPath is a job's longest chain of work, with the runs that fail by their own fault.
+// criticalPath returns the sum of the longest tasks of all steps, since each step waits for the
+// previous one. A run that fails by the task's own fault adds half of the task's work.
 func criticalPath(h emulator.Handin) time.Duration {
 	all := time.Duration(0)
 	for _, tasks := range h.Tasks {
@@ -206,6 +216,7 @@
 	return all
 }
 
+// meanWork returns the mean work of the jobs of each kind.
 func meanWork(results []*emulator.JobResult) map[string]float64 {
 	sums, counts := map[string]float64{}, map[string]float64{}
 	for _, r := range results {
