--- a/test/promises/bench_test.go
+++ b/test/promises/bench_test.go
@@ -39,7 +39,7 @@
 	for _, workers := range []int{10, 20, 40, 80} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			f := newFleet(b, []string{"a1", "a2"})
-			f.tree = strings.Replace(f.tree, `"lease": "1500ms", "takeover": "600ms", "tenure": "5s", `, "", 1)
+			f.settingsText = strings.Replace(f.settingsText, `"lease": "1500ms", "takeover": "600ms", "tenure": "5s", `, "", 1)
 			for i := range workers {
 				f.startWorker(fmt.Sprintf("w%02d", i), "a")
 			}
@@ -49,14 +49,14 @@
 				f.submit(f.entries[leader], "ingest", fmt.Sprintf("j%d", i), `{"runMs": 600000}`, 40)
 			}
 			f.until("all run", func() bool { return f.entries[leader].status().Counts.Running >= workers*4 })
-			measure(b, f.entries[leader], "leader")
-			measure(b, f.entries[other(leader)], "follower")
+			measureUsage(b, f.entries[leader], "leader")
+			measureUsage(b, f.entries[otherEntry(leader)], "follower")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-func measure(b *testing.B, e *entry, role string) {
+func measureUsage(b *testing.B, e *entry, role string) {
 	const span = 5 * time.Second
 	before, _ := e.usage()
 	time.Sleep(span)
@@ -65,8 +65,8 @@
 	b.ReportMetric(memory, role+"-MB")
 }
 
-// load is an open loop: calls begin at their times, whatever became of others.
-type load struct {
+// openLoop is an open loop: calls begin at their times, whatever became of others.
+type openLoop struct {
 	rate     float64 // calls a second
 	span     time.Duration
 	kind     string
@@ -84,7 +84,7 @@
 	all     int
 }
 
-func (l load) run() *result {
+func (l openLoop) run() *result {
 	r := &result{times: hdrhistogram.New(1, 60_000_000, 3)}
 	var wait sync.WaitGroup
 	random := rand.New(rand.NewPCG(1, 2))
@@ -129,13 +129,13 @@
 // every ten is five times slow.
 func benchFleet(b *testing.B, names []string, policy string, slow int) *fleet {
 	f := newFleet(b, names)
-	f.tree = strings.Replace(f.tree, `"deadline": "5s",`, fmt.Sprintf(`"deadline": "5s", "routePolicy": %q,`, policy), 1)
+	f.settingsText = strings.Replace(f.settingsText, `"deadline": "5s",`, fmt.Sprintf(`"deadline": "5s", "routePolicy": %q,`, policy), 1)
 	for i := range benchRunners {
 		f.startRunner(fmt.Sprintf("r%d", i), string("abc"[i%3]), "desk")
 	}
 	f.ready()
 	for _, e := range f.entries {
-		f.until("servers are known", func() bool { return e.open() == benchRunners })
+		f.until("servers are known", func() bool { return e.openServers() == benchRunners })
 	}
 	for i := range slow {
 		f.fault(f.runners[fmt.Sprintf("r%d", i*5)], standin.Faults{SlowFactor: 5})
@@ -143,7 +143,7 @@
 	return f
 }
 
-func (f *fleet) list() []*entry {
+func (f *fleet) entryList() []*entry {
 	var list []*entry
 	for _, e := range f.entries {
 		list = append(list, e)
@@ -151,8 +151,8 @@
 	return list
 }
 
-// capacity is how many calls a second all slots serve, with so many slow runners.
-func capacity(slow int) float64 {
+// callCapacity is how many calls a second all slots serve, with so many slow runners.
+func callCapacity(slow int) float64 {
 	full := float64(benchSlots) * 1000 / serviceMS
 	return full*float64(benchRunners-slow) + full/5*float64(slow)
 }
@@ -171,8 +171,8 @@
 func routing(b *testing.B, names []string, policy string) {
 	const slow = 1
 	f := benchFleet(b, names, policy, slow)
-	l := load{rate: 0.85 * capacity(slow), span: 8 * time.Second, kind: "thumb", ms: serviceMS, entries: f.list(), deadline: 3000}
-	load{rate: l.rate / 2, span: 2 * time.Second, kind: "thumb", ms: serviceMS, entries: l.entries, deadline: 3000}.run()
+	l := openLoop{rate: 0.85 * callCapacity(slow), span: 8 * time.Second, kind: "thumb", ms: serviceMS, entries: f.entryList(), deadline: 3000}
+	openLoop{rate: l.rate / 2, span: 2 * time.Second, kind: "thumb", ms: serviceMS, entries: l.entries, deadline: 3000}.run()
 	r := l.run()
 	b.ReportMetric(r.ms(50), "p50-ms")
 	b.ReportMetric(r.ms(99), "p99-ms")
@@ -187,9 +187,9 @@
 	for _, share := range []float64{0.5, 1, 2} {
 		b.Run(fmt.Sprintf("offered=%.1f", share), func(b *testing.B) {
 			f := benchFleet(b, []string{"a1", "a2", "b1", "b2", "c1", "c2"}, "two-choices", 0)
-			l := load{rate: share * capacity(0), span: 6 * time.Second, kind: "thumb", ms: serviceMS, entries: f.list(), deadline: 400}
+			l := openLoop{rate: share * callCapacity(0), span: 6 * time.Second, kind: "thumb", ms: serviceMS, entries: f.entryList(), deadline: 400}
 			r := l.run()
-			b.ReportMetric(float64(r.done)/l.span.Seconds()/capacity(0), "goodput-share")
+			b.ReportMetric(float64(r.done)/l.span.Seconds()/callCapacity(0), "goodput-share")
 			b.ReportMetric(r.ms(50), "p50-ms")
 			b.ReportMetric(r.ms(99), "p99-ms")
 			b.ReportMetric(100*float64(r.refused)/float64(r.all), "refused-%")
@@ -207,7 +207,7 @@
 	}
 	sent := func() int {
 		n := 0
-		for key, k := range f.runs() {
+		for key, k := range f.runCounts() {
 			if key == "" {
 				n += k
 			}
@@ -215,7 +215,7 @@
 		return n
 	}
 	before := sent()
-	r := load{rate: 400, span: 5 * time.Second, kind: "thumb", ms: 5, entries: f.list(), deadline: 3000}.run()
+	r := openLoop{rate: 400, span: 5 * time.Second, kind: "thumb", ms: 5, entries: f.entryList(), deadline: 3000}.run()
 	b.ReportMetric(float64(sent()-before)/float64(r.all), "sends/request")
 	b.ReportMetric(0, "ns/op")
 }
--- a/test/promises/calls_test.go
+++ b/test/promises/calls_test.go
@@ -127,7 +127,7 @@
 	f.t.Helper()
 	for _, e := range f.entries {
 		f.until("settings accepted", func() bool {
-			a := e.edit(f.tree, 0, "setup")
+			a := e.edit(f.settingsText, 0, "setup")
 			return a.status == http.StatusOK || a.status == http.StatusConflict
 		})
 		break
--- a/test/promises/checks_test.go
+++ b/test/promises/checks_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// stretch is one attempt's time on one worker, from the worker's own record.
-type stretch struct {
+// execution is one attempt's time on one worker, from the worker's own record.
+type execution struct {
 	host       string
 	task       string
 	attempt    int64
@@ -19,22 +19,22 @@
 	memory     int64
 }
 
-// stretches pairs the starts and ends in all workers' records. A stretch
+// executions pairs the starts and ends in all workers' records. A stretch
 // without an end ends when its worker was killed, or now.
-func (f *fleet) stretches() []stretch {
-	var all []stretch
+func (f *fleet) executions() []execution {
+	var all []execution
 	for name := range f.workers {
 		kills := f.killTimes[name]
-		open := map[string]*stretch{}
-		var list []*stretch
+		open := map[string]*execution{}
+		var list []*execution
 		for _, e := range f.entriesOf(name) {
 			id := fmt.Sprintf("%s#%d", e.Task, e.Attempt)
 			switch e.What {
 			case "boot":
-				closeAt(open, kills, e.At)
-				open = map[string]*stretch{}
+				endOpenExecutions(open, kills, e.At)
+				open = map[string]*execution{}
 			case "start":
-				s := &stretch{host: name, task: e.Task, attempt: e.Attempt, from: e.At, checkpoint: e.Checkpoint, cores: e.Millicores, memory: e.MemoryMB}
+				s := &execution{host: name, task: e.Task, attempt: e.Attempt, from: e.At, checkpoint: e.Checkpoint, cores: e.Millicores, memory: e.MemoryMB}
 				open[id] = s
 				list = append(list, s)
 			case "end":
@@ -44,7 +44,7 @@
 				}
 			}
 		}
-		closeAt(open, kills, time.Now())
+		endOpenExecutions(open, kills, time.Now())
 		for _, s := range list {
 			all = append(all, *s)
 		}
@@ -52,9 +52,9 @@
 	return all
 }
 
-// closeAt ends what was open when a worker was killed: at the first kill after
+// endOpenExecutions ends what was open when a worker was killed: at the first kill after
 // its start, and no later than the limit.
-func closeAt(open map[string]*stretch, kills []time.Time, limit time.Time) {
+func endOpenExecutions(open map[string]*execution, kills []time.Time, limit time.Time) {
 	for _, s := range open {
 		s.to = limit
 		for _, k := range kills {
@@ -65,10 +65,10 @@
 	}
 }
 
-// doubles lists tasks that ran in two places at once, or one attempt twice.
-func (f *fleet) doubles() []string {
-	byTask := map[string][]stretch{}
-	for _, s := range f.stretches() {
+// duplicateExecutions lists tasks that ran in two places at once, or one attempt twice.
+func (f *fleet) duplicateExecutions() []string {
+	byTask := map[string][]execution{}
+	for _, s := range f.executions() {
 		byTask[s.task] = append(byTask[s.task], s)
 	}
 	var found []string
@@ -88,14 +88,14 @@
 	return found
 }
 
-// overcommits lists workers that ever ran more than they have.
-func (f *fleet) overcommits() []string {
+// overcommittedWorkers lists workers that ever ran more than they have.
+func (f *fleet) overcommittedWorkers() []string {
 	type step struct {
 		at    time.Time
 		cores int64
 	}
 	byHost := map[string][]step{}
-	for _, s := range f.stretches() {
+	for _, s := range f.executions() {
 		byHost[s.host] = append(byHost[s.host], step{s.from, s.cores}, step{s.to, -s.cores})
 	}
 	var found []string
@@ -118,10 +118,10 @@
 	return found
 }
 
-// finishes counts how often each task came to its end.
-func (f *fleet) finishes() map[string]int {
+// finishCounts counts how often each task came to its end.
+func (f *fleet) finishCounts() map[string]int {
 	count := map[string]int{}
-	for _, s := range f.stretches() {
+	for _, s := range f.executions() {
 		if s.end == "RUN_STATE_FINISHED" {
 			count[s.task]++
 		}
@@ -129,19 +129,19 @@
 	return count
 }
 
-// starts counts the starts of each task.
-func (f *fleet) starts() map[string]int {
+// startCounts counts the starts of each task.
+func (f *fleet) startCounts() map[string]int {
 	count := map[string]int{}
-	for _, s := range f.stretches() {
+	for _, s := range f.executions() {
 		count[s.task]++
 	}
 	return count
 }
 
-// resumedTwice lists checkpoints that more than one attempt began from.
-func (f *fleet) resumedTwice() []string {
+// checkpointsResumedTwice lists checkpoints that more than one attempt began from.
+func (f *fleet) checkpointsResumedTwice() []string {
 	from := map[string][]string{}
-	for _, s := range f.stretches() {
+	for _, s := range f.executions() {
 		if s.checkpoint != "" && s.end == "RUN_STATE_FINISHED" {
 			from[s.checkpoint] = append(from[s.checkpoint], fmt.Sprintf("%s#%d", s.task, s.attempt))
 		}
@@ -155,8 +155,8 @@
 	return found
 }
 
-// runs counts how often each key ran, over all runners.
-func (f *fleet) runs() map[string]int {
+// runCounts counts how often each key ran, over all runners.
+func (f *fleet) runCounts() map[string]int {
 	count := map[string]int{}
 	for name := range f.runners {
 		for _, e := range f.entriesOf(name) {
@@ -168,9 +168,9 @@
 	return count
 }
 
-// running says whether a task runs on a worker now.
-func (f *fleet) running(task string) *stretch {
-	for _, s := range f.stretches() {
+// runningExecution says whether a task runs on a worker now.
+func (f *fleet) runningExecution(task string) *execution {
+	for _, s := range f.executions() {
 		if s.task == task && s.end == "" && f.workers[s.host].killed.IsZero() {
 			return &s
 		}
--- a/test/promises/evictions_test.go
+++ b/test/promises/evictions_test.go
@@ -13,14 +13,14 @@
 
 // Evictions: urgent work takes whole workers, so everything else is evicted with
 // a checkpoint and resumes later.
-func evict(f *fleet, meanwhile func(leader string)) {
+func evictAndResume(f *fleet, meanwhile func(leader string)) {
 	leader := f.leader("a")
-	e := f.entries[other(leader)]
+	e := f.entries[otherEntry(leader)]
 	f.submit(e, "ingest", "j", `{"runMs": 3000}`, 8)
-	f.until("all run", func() bool { return len(f.starts()) == 8 })
+	f.until("all run", func() bool { return len(f.startCounts()) == 8 })
 	f.submit(e, "urgent", "rush", `{"runMs": 300}`, 2)
 	f.until("evictions begin", func() bool {
-		for _, s := range f.stretches() {
+		for _, s := range f.executions() {
 			if s.end == "RUN_STATE_STOPPED" {
 				return true
 			}
@@ -34,10 +34,10 @@
 
 func TestEvictedWorkResumesOnce(t *testing.T) {
 	f := jobsFleet(t)
-	evict(f, func(string) {})
+	evictAndResume(f, func(string) {})
 	f.checkTasks()
 	resumed := 0
-	for _, s := range f.stretches() {
+	for _, s := range f.executions() {
 		if s.checkpoint != "" {
 			resumed++
 		}
@@ -47,13 +47,13 @@
 
 func TestEvictedWorkResumesOnceWhenTheLeaderDies(t *testing.T) {
 	f := jobsFleet(t)
-	evict(f, func(leader string) { f.entries[leader].kill() })
+	evictAndResume(f, func(leader string) { f.entries[leader].kill() })
 	f.checkTasks()
 }
 
 func TestEvictedWorkResumesOnceWhenAnswersAreLost(t *testing.T) {
 	f := jobsFleet(t)
-	evict(f, func(string) {
+	evictAndResume(f, func(string) {
 		f.fault(f.platform, standin.Faults{LoseAnswers: 3, LoseKey: "task/"})
 		f.fault(f.workers["w1"], standin.Faults{LoseAnswers: 2, LoseKey: "st"})
 		f.fault(f.workers["w2"], standin.Faults{LoseAnswers: 2, LoseKey: "st"})
@@ -65,11 +65,11 @@
 // away when tasks finish, and the leader dies before it comes back.
 func finishInOutage(f *fleet) {
 	leader := f.leader("a")
-	e := f.entries[other(leader)]
+	e := f.entries[otherEntry(leader)]
 	f.submit(e, "ingest", "j", `{"runMs": 1000}`, 4)
-	f.until("all run", func() bool { return len(f.starts()) == 4 })
+	f.until("all run", func() bool { return len(f.startCounts()) == 4 })
 	f.fault(f.platform, standin.Faults{Outage: true})
-	f.until("all have ended", func() bool { return len(f.finishes()) == 4 })
+	f.until("all have ended", func() bool { return len(f.finishCounts()) == 4 })
 	time.Sleep(500 * time.Millisecond) // let the leader hear of it
 	f.entries[leader].kill()
 	f.fault(f.platform, standin.Faults{})
@@ -82,11 +82,11 @@
 	f.checkTasks()
 }
 
-func TestFinishesInAnOutageNeedToBeKept(t *testing.T) {
+func TestFinishesInAnOutageAreNotLostNeedsRetention(t *testing.T) {
 	f := jobsFleet(t, without("recorded"))
 	finishInOutage(f)
 	again := 0
-	for _, n := range f.finishes() {
+	for _, n := range f.finishCounts() {
 		if n > 1 {
 			again++
 		}
--- a/test/promises/fleet_test.go
+++ b/test/promises/fleet_test.go
@@ -28,8 +28,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// patience bounds every wait for a condition; it is no verdict on speed.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait for a condition; it is no verdict on speed.
+const waitTimeout = 60 * time.Second
 
 var bin string // the folder with the programs under test
 
@@ -73,20 +73,20 @@
 
 // fleet is all processes of one test.
 type fleet struct {
-	t         testing.TB
-	dir       string
-	halls     []string
-	platform  *process
-	entries   map[string]*entry
-	workers   map[string]*process
-	runners   map[string]*process
-	hosts     []*wire.Host
-	unsafe    []string
-	tree      string
-	all       []*process
-	capacity  wire.Size
-	mu        sync.Mutex
-	killTimes map[string][]time.Time
+	t              testing.TB
+	dir            string
+	halls          []string
+	platform       *process
+	entries        map[string]*entry
+	workers        map[string]*process
+	runners        map[string]*process
+	hosts          []*wire.Host
+	disabledFences []string
+	settingsText   string
+	all            []*process
+	capacity       wire.Size
+	mu             sync.Mutex
+	killTimes      map[string][]time.Time
 }
 
 // entry is one entry host with its ports, and the relay in front of its control
@@ -109,22 +109,22 @@
 	lastPort  = 30000
 )
 
-// spawning is held while a process is started and while a port is tried. A process
+// spawnMu is held while a process is started and while a port is tried. A process
 // that is being started has, until it runs its own program, copies of all sockets that
 // were open: a port that was tried and closed meanwhile still takes connections, and
 // the program that it is for can't listen there.
-var spawning sync.Mutex
+var spawnMu sync.Mutex
 
 // spawn starts a command.
 func spawn(c *exec.Cmd) error {
-	spawning.Lock()
-	defer spawning.Unlock()
+	spawnMu.Lock()
+	defer spawnMu.Unlock()
 	return c.Start()
 }
 
 func freeAddress(t testing.TB) string {
-	spawning.Lock()
-	defer spawning.Unlock()
+	spawnMu.Lock()
+	defer spawnMu.Unlock()
 	for range lastPort - firstPort {
 		offset := (nextPort.Add(1) + int32(os.Getpid()*131)) % (lastPort - firstPort)
 		address := fmt.Sprintf("127.0.0.1:%d", firstPort+offset)
@@ -154,17 +154,17 @@
 // option changes a fleet before it starts.
 type option func(*fleet)
 
-func without(fences ...string) option { return func(f *fleet) { f.unsafe = fences } }
+func without(fences ...string) option { return func(f *fleet) { f.disabledFences = fences } }
 
 // longLease is for tests in which leases are to outlast a failure.
 func longLease(f *fleet) {
-	f.tree = strings.Replace(f.tree, `"lease": "1500ms"`, `"lease": "8s"`, 1)
-	f.tree = strings.Replace(f.tree, `"tenure": "5s"`, `"tenure": "10s"`, 1)
+	f.settingsText = strings.Replace(f.settingsText, `"lease": "1500ms"`, `"lease": "8s"`, 1)
+	f.settingsText = strings.Replace(f.settingsText, `"tenure": "5s"`, `"tenure": "10s"`, 1)
 }
 
 // shortWindow is for tests in which hosts are to be old enough to vouch for keys.
 func shortWindow(f *fleet) {
-	f.tree = strings.Replace(f.tree, `"keyWindow": "10s"`, `"keyWindow": "1s"`, 1)
+	f.settingsText = strings.Replace(f.settingsText, `"keyWindow": "10s"`, `"keyWindow": "1s"`, 1)
 }
 
 // newFleet starts a platform and one entry host for each name, like "a1" (the
@@ -175,7 +175,7 @@
 		p.Parallel()
 	}
 	f := &fleet{
-		tree: settings, t: t, dir: t.TempDir(), entries: map[string]*entry{}, workers: map[string]*process{}, runners: map[string]*process{},
+		settingsText: settings, t: t, dir: t.TempDir(), entries: map[string]*entry{}, workers: map[string]*process{}, runners: map[string]*process{},
 		capacity: wire.Size{Millicores: 4000, MemoryMb: 4000}, killTimes: map[string][]time.Time{},
 	}
 	for _, o := range options {
@@ -230,7 +230,7 @@
 // figures of the entry hosts that still answer.
 func (f *fleet) dumpLogs() {
 	for name, e := range f.entries {
-		f.t.Logf("figures of %s:\n%s", name, e.figures())
+		f.t.Logf("figures of %s:\n%s", name, e.metrics())
 	}
 	for _, p := range f.all {
 		text, err := os.ReadFile(p.log.Name())
@@ -242,8 +242,8 @@
 	}
 }
 
-// figures are an entry host's metrics, or why there are none.
-func (e *entry) figures() string {
+// metrics are an entry host's metrics, or why there are none.
+func (e *entry) metrics() string {
 	client := http.Client{Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + e.operators + "/metrics")
 	if err != nil {
@@ -270,7 +270,7 @@
 // until waits for a condition; running out of patience fails the test.
 func (f *fleet) until(what string, condition func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
 			f.t.Fatalf("it never came about: %s", what)
@@ -296,8 +296,8 @@
 	path := filepath.Join(f.dir, "entry-"+name+".jsonc")
 	must.NoError(f.t, os.WriteFile(path, []byte(config), 0o600))
 	args := []string{"--config", path}
-	if len(f.unsafe) > 0 {
-		args = append(args, "--unsafe-without", strings.Join(f.unsafe, ","))
+	if len(f.disabledFences) > 0 {
+		args = append(args, "--unsafe-without", strings.Join(f.disabledFences, ","))
 	}
 	e.process = f.start("entry-"+name, "wrenferryd", args...)
 	f.publish()
--- a/test/promises/leaving_test.go
+++ b/test/promises/leaving_test.go
@@ -18,11 +18,11 @@
 
 // Promises about leaving: servers that leave, planned stops, streams that move.
 
-// leaving makes a runner leave under load, and returns how many calls began
+// leaveUnderLoad makes a runner leave under load, and returns how many calls began
 // there more than three seconds after it said so.
-func leaving(f *fleet, say func()) int {
+func leaveUnderLoad(f *fleet, say func()) int {
 	var said time.Time
-	f.send(1500, "thumb", sleepy(60), func() {
+	f.sendRequests(1500, "thumb", sleepBody(60), func() {
 		said = time.Now()
 		say()
 		time.Sleep(4 * time.Second)
@@ -36,7 +36,7 @@
 	return late
 }
 
-func (f *fleet) listLeaving() {
+func (f *fleet) markLeavingInHostList() {
 	for _, h := range f.hosts {
 		if h.GetName() == "r1" {
 			h.Leaving = true
@@ -47,12 +47,12 @@
 
 func TestLeavingServerGetsNothingNew(t *testing.T) {
 	f := callsFleet(t)
-	must.Eq(t, 0, leaving(f, f.listLeaving))
+	must.Eq(t, 0, leaveUnderLoad(f, f.markLeavingInHostList))
 }
 
 func TestLeavingServerGetsNothingNewNeedsTheMark(t *testing.T) {
 	f := callsFleet(t, without("leaving"))
-	must.Positive(t, leaving(f, f.listLeaving))
+	must.Positive(t, leaveUnderLoad(f, f.markLeavingInHostList))
 }
 
 // A server that says so itself is known to all entry hosts at once, though the
@@ -62,13 +62,13 @@
 	f.fault(f.runners["r1"], standin.Faults{Leaving: true})
 	f.until("one host hears of it", func() bool {
 		f.entries["a1"].request("thumb", "", `{}`)
-		return f.entries["a1"].open() == 2
+		return f.entries["a1"].openServers() == 2
 	})
-	f.until("all know", func() bool { return f.entries["a2"].open() == 2 && f.entries["b1"].open() == 2 })
+	f.until("all know", func() bool { return f.entries["a2"].openServers() == 2 && f.entries["b1"].openServers() == 2 })
 }
 
-// open is how many servers take new work, as an entry host sees it.
-func (e *entry) open() int {
+// openServers is how many servers take new work, as an entry host sees it.
+func (e *entry) openServers() int {
 	for _, s := range e.status().Services {
 		if s.Service == "desk" {
 			return s.Open
@@ -83,11 +83,11 @@
 	e := f.entries["a1"]
 	var wait sync.WaitGroup
 	first := make(chan []int, 1)
-	go func() { first <- f.watch(e, "") }()
+	go func() { first <- f.watchStream(e, "") }()
 	var mu sync.Mutex
 	for i := range 40 {
 		wait.Go(func() {
-			a := e.request("thumb", fmt.Sprintf("k%d", i), sleepy(1500)("x"))
+			a := e.request("thumb", fmt.Sprintf("k%d", i), sleepBody(1500)("x"))
 			mu.Lock()
 			defer mu.Unlock()
 			if a.outcome != "done" {
@@ -104,13 +104,13 @@
 	if len(events) > 0 {
 		last = events[len(events)-1]
 	}
-	return cut, append(events, f.watchSome(f.entries["a2"], strconv.Itoa(last), 10)...)
+	return cut, append(events, f.watchEvents(f.entries["a2"], strconv.Itoa(last), 10)...)
 }
 
-// watch reads a stream to its end.
-func (f *fleet) watch(e *entry, last string) []int { return f.watchSome(e, last, -1) }
+// watchStream reads a stream to its end.
+func (f *fleet) watchStream(e *entry, last string) []int { return f.watchEvents(e, last, -1) }
 
-func (f *fleet) watchSome(e *entry, last string, most int) []int {
+func (f *fleet) watchEvents(e *entry, last string, most int) []int {
 	req, err := http.NewRequest(http.MethodGet, "http://"+e.callers+"/v1/streams/desk/feed", http.NoBody)
 	must.NoError(f.t, err)
 	req.Header.Set("Last-Event-ID", last)
@@ -158,7 +158,7 @@
 func TestStreamMoves(t *testing.T) {
 	f := callsFleet(t)
 	got := make(chan []int, 1)
-	go func() { got <- f.watchSome(f.entries["a1"], "", 150) }()
+	go func() { got <- f.watchEvents(f.entries["a1"], "", 150) }()
 	time.Sleep(500 * time.Millisecond)
 	f.fault(f.runners["r0"], standin.Faults{Leaving: true})
 	time.Sleep(500 * time.Millisecond)
--- a/test/promises/ports_test.go
+++ b/test/promises/ports_test.go
@@ -12,7 +12,7 @@
 
 // A process that another test starts just then holds copies of open sockets, so that a port
 // may still take connections after it was closed.
-func TestAPortThatIsHandedOutTakesNoConnections(t *testing.T) {
+func TestFreeAddressAcceptsNoConnections(t *testing.T) {
 	t.Parallel()
 	var stop atomic.Bool
 	done := make(chan struct{})
--- a/test/promises/requests_test.go
+++ b/test/promises/requests_test.go
@@ -37,16 +37,16 @@
 	return f
 }
 
-// caller sends many requests from many goroutines and keeps what it was told.
-type caller struct {
-	mu   sync.Mutex
-	told map[string]answer
+// answerLog sends many requests from many goroutines and keeps what it was told.
+type answerLog struct {
+	mu      sync.Mutex
+	answers map[string]answer
 }
 
-// send sends n requests of a kind, each under a key of its own, spread over the
+// sendRequests sends n requests of a kind, each under a key of its own, spread over the
 // entry hosts, while something happens.
-func (f *fleet) send(n int, kind string, body func(key string) string, meanwhile func()) *caller {
-	c := &caller{told: map[string]answer{}}
+func (f *fleet) sendRequests(n int, kind string, body func(key string) string, meanwhile func()) *answerLog {
+	c := &answerLog{answers: map[string]answer{}}
 	names := []string{"a1", "a2", "b1"}
 	var wait sync.WaitGroup
 	slots := make(chan struct{}, 24)
@@ -64,7 +64,7 @@
 			a := f.entries[names[i%len(names)]].request(kind, key, body(key))
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.told[key] = a
+			c.answers[key] = a
 		})
 	}
 	wait.Wait()
@@ -72,15 +72,15 @@
 	return c
 }
 
-func sleepy(ms int) func(string) string {
+func sleepBody(ms int) func(string) string {
 	return func(key string) string { return fmt.Sprintf(`{"ms": %d, "echo": %q}`, ms, key) }
 }
 
-// checkTold holds the promises on what callers were told against what ran.
-func (f *fleet) checkTold(c *caller) (notRun, unknown, done int) {
+// checkAnswers holds the promises on what callers were told against what ran.
+func (f *fleet) checkAnswers(c *answerLog) (notRun, unknown, done int) {
 	f.t.Helper()
-	runs := f.runs()
-	for key, a := range c.told {
+	runs := f.runCounts()
+	for key, a := range c.answers {
 		switch a.outcome {
 		case string(gateway.Done):
 			done++
@@ -106,12 +106,12 @@
 	large := func(key string) string {
 		return fmt.Sprintf(`{"ms": %d, "echo": %q}`, len(key)%7, key+strings.Repeat("x", 100000))
 	}
-	c := f.send(300, "thumb", large, func() {
+	c := f.sendRequests(300, "thumb", large, func() {
 		f.runners["r0"].kill()
 		f.fault(f.runners["r2"], standin.Faults{LoseAnswers: 5, LoseKey: "run"})
 	})
 	done := 0
-	for key, a := range c.told {
+	for key, a := range c.answers {
 		if a.outcome != string(gateway.Done) {
 			continue
 		}
@@ -123,10 +123,10 @@
 	must.Greater(t, 200, done)
 }
 
-// killWhileCalling kills, freezes and overloads runners under calls that must
+// disturbRunnersDuringCalls kills, freezes and overloads runners under calls that must
 // not be repeated.
-func killWhileCalling(f *fleet) *caller {
-	return f.send(300, "bill", sleepy(20), func() {
+func disturbRunnersDuringCalls(f *fleet) *answerLog {
+	return f.sendRequests(300, "bill", sleepBody(20), func() {
 		f.fault(f.runners["r2"], standin.Faults{LoseAnswers: 10, LoseKey: "run"})
 		f.runners["r0"].kill()
 		time.Sleep(300 * time.Millisecond)
@@ -138,16 +138,16 @@
 
 func TestNotRunMeansNotRun(t *testing.T) {
 	f := callsFleet(t)
-	_, unknown, done := f.checkTold(killWhileCalling(f))
+	_, unknown, done := f.checkAnswers(disturbRunnersDuringCalls(f))
 	must.Positive(t, unknown)
 	must.Positive(t, done)
 }
 
 func TestNotRunMeansNotRunNeedsTheSentMark(t *testing.T) {
 	f := callsFleet(t, without("sent-mark"))
-	c := killWhileCalling(f)
-	runs, wrong := f.runs(), 0
-	for key, a := range c.told {
+	c := disturbRunnersDuringCalls(f)
+	runs, wrong := f.runCounts(), 0
+	for key, a := range c.answers {
 		if a.outcome == string(gateway.NotRun) && runs[key] > 0 || runs[key] > 1 {
 			wrong++
 		}
@@ -157,18 +157,18 @@
 
 // A caller that asks again, marked, at another entry host, after its first was
 // killed, frozen or cut off, or lost the answer.
-func askAgain(f *fleet) {
+func retryAfterHostDeath(f *fleet) {
 	a1, a2 := f.entries["a1"], f.entries["a2"]
 	var wait sync.WaitGroup
 	for i := range 30 {
 		wait.Go(func() {
 			key := fmt.Sprintf("bill-%d", i)
-			first := a1.request("bill", key, sleepy(600)(key))
+			first := a1.request("bill", key, sleepBody(600)(key))
 			if first.outcome == string(gateway.Done) {
 				return
 			}
 			for range 3 {
-				if a2.request("bill", key, sleepy(1)(key), gateway.RetryHeader, "1").outcome == string(gateway.Done) {
+				if a2.request("bill", key, sleepBody(1)(key), gateway.RetryHeader, "1").outcome == string(gateway.Done) {
 					return
 				}
 				time.Sleep(200 * time.Millisecond)
@@ -182,19 +182,19 @@
 
 func TestNotRepeatableRunsAtMostOnceWhenItsHostDies(t *testing.T) {
 	f := callsFleet(t)
-	askAgain(f)
-	for key, n := range f.runs() {
+	retryAfterHostDeath(f)
+	for key, n := range f.runCounts() {
 		if strings.HasPrefix(key, "bill") {
 			must.LessEq(t, 1, n, must.Sprintf("%s ran %d times", key, n))
 		}
 	}
 }
 
-func TestNotRepeatableRunsAtMostOnceNeedsToAsk(t *testing.T) {
+func TestNotRepeatableRunsAtMostOnceNeedsThePeerQuery(t *testing.T) {
 	f := callsFleet(t, without("ask-peers"))
-	askAgain(f)
+	retryAfterHostDeath(f)
 	twice := 0
-	for _, n := range f.runs() {
+	for _, n := range f.runCounts() {
 		if n > 1 {
 			twice++
 		}
@@ -206,55 +206,55 @@
 func TestOneKeyAtAllHostsAtOnce(t *testing.T) {
 	f := callsFleet(t, shortWindow)
 	time.Sleep(1500 * time.Millisecond) // the hosts are now older than the window
-	f.allVouch()
+	f.awaitPeerAnswers()
 	var wait sync.WaitGroup
 	for i := range 60 {
 		for _, e := range f.entries {
-			wait.Go(func() { e.request("bill", fmt.Sprintf("bill-%d", i), sleepy(5)("x")) })
+			wait.Go(func() { e.request("bill", fmt.Sprintf("bill-%d", i), sleepBody(5)("x")) })
 		}
 	}
 	wait.Wait()
-	runs, ran, more := f.runs(), 0, 0
+	runs, ran, more := f.runCounts(), 0, 0
 	for i := range 60 {
 		n := runs[fmt.Sprintf("bill-%d", i)]
 		ran += n
 		more += max(0, n-1)
 	}
 	must.Positive(t, ran)
-	t.Logf("%d runs more, %d first tries unsure", more, f.sumOf("requests.first-try-unsure"))
-	must.LessEq(t, f.sumOf("requests.first-try-unsure"), more, must.Sprint("a run more than one only where a host was not answered in time"))
+	t.Logf("%d runs more, %d first tries unsure", more, f.sumCounter("requests.first-try-unsure"))
+	must.LessEq(t, f.sumCounter("requests.first-try-unsure"), more, must.Sprint("a run more than one only where a host was not answered in time"))
 }
 
-// sumOf adds a counter up over all entry hosts.
-func (f *fleet) sumOf(counter string) int {
+// sumCounter adds a counter up over all entry hosts.
+func (f *fleet) sumCounter(counter string) int {
 	f.t.Helper()
 	sum := 0
 	for _, e := range f.entries {
 		figures := map[string]struct {
 			Count int `json:"count"`
 		}{}
-		must.NoError(f.t, json.Unmarshal([]byte(e.figures()), &figures))
+		must.NoError(f.t, json.Unmarshal([]byte(e.metrics()), &figures))
 		sum += figures[counter].Count
 	}
 	return sum
 }
 
-// allVouch waits until every host is answered by all others: where they can't ask each
+// awaitPeerAnswers waits until every host is answered by all others: where they can't ask each
 // other, a first try runs at each host that is asked (docs/design/request-binding.md).
-func (f *fleet) allVouch() {
+func (f *fleet) awaitPeerAnswers() {
 	f.t.Helper()
 	for name, e := range f.entries {
 		n := 0
 		f.until(name+" is answered by all others", func() bool {
 			n++
-			return e.request("bill", fmt.Sprintf("vouch-%s-%d", name, n), sleepy(5)("x"), gateway.RetryHeader, "1").outcome == "done"
+			return e.request("bill", fmt.Sprintf("vouch-%s-%d", name, n), sleepBody(5)("x"), gateway.RetryHeader, "1").outcome == "done"
 		})
 	}
 }
 
 // What hosts that can't ask each other do with one unmarked key: each may run it, once.
 // It is what three runs for one key came from in a suite whose ports clashed.
-func TestOneKeyAtHostsThatAreCutFromEachOther(t *testing.T) {
+func TestOneKeyAtPartitionedHosts(t *testing.T) {
 	f := callsFleet(t, shortWindow)
 	time.Sleep(1500 * time.Millisecond) // the hosts are now older than the window
 	for _, e := range f.entries {
@@ -263,42 +263,42 @@
 	var wait sync.WaitGroup
 	for _, e := range f.entries {
 		for range 3 {
-			wait.Go(func() { e.request("bill", "bill-cut", sleepy(5)("x")) })
+			wait.Go(func() { e.request("bill", "bill-cut", sleepBody(5)("x")) })
 		}
 	}
 	wait.Wait()
-	must.Between(t, 1, f.runs()["bill-cut"], len(f.entries))
+	must.Between(t, 1, f.runCounts()["bill-cut"], len(f.entries))
 	for _, e := range f.entries {
-		a := e.request("bill", "bill-marked", sleepy(5)("x"), gateway.RetryHeader, "1")
+		a := e.request("bill", "bill-marked", sleepBody(5)("x"), gateway.RetryHeader, "1")
 		must.Eq(t, "unknown", a.outcome)
 	}
-	must.Eq(t, 0, f.runs()["bill-marked"])
+	must.Eq(t, 0, f.runCounts()["bill-marked"])
 }
 
 // The same key again at the same host gives the first answer again.
-func TestAskingAgainAtTheSameHost(t *testing.T) {
+func TestRetryAtTheSameHostGetsTheFirstAnswer(t *testing.T) {
 	f := callsFleet(t)
-	first := f.entries["a1"].request("bill", "bill-x", sleepy(50)("one"))
-	again := f.entries["a1"].request("bill", "bill-x", sleepy(50)("two"), gateway.RetryHeader, "1")
+	first := f.entries["a1"].request("bill", "bill-x", sleepBody(50)("one"))
+	again := f.entries["a1"].request("bill", "bill-x", sleepBody(50)("two"), gateway.RetryHeader, "1")
 	must.Eq(t, string(first.body), string(again.body))
-	must.Eq(t, 1, f.runs()["bill-x"])
+	must.Eq(t, 1, f.runCounts()["bill-x"])
 }
 
 // A host that is cut off from its peers can't vouch for a key: a second try there
 // is told that it is unknown, a first try runs.
-func TestSecondTryAtAHostThatIsCutOff(t *testing.T) {
+func TestRetryAtAPartitionedHost(t *testing.T) {
 	f := callsFleet(t)
 	time.Sleep(11 * time.Second) // past the key window of the hosts' own start
-	must.Eq(t, "done", f.entries["a1"].request("bill", "bill-1", sleepy(5)("x")).outcome)
+	must.Eq(t, "done", f.entries["a1"].request("bill", "bill-1", sleepBody(5)("x")).outcome)
 	f.entries["a1"].relay.setCut(true)
-	a := f.entries["b1"].request("bill", "bill-1", sleepy(5)("x"), gateway.RetryHeader, "1")
+	a := f.entries["b1"].request("bill", "bill-1", sleepBody(5)("x"), gateway.RetryHeader, "1")
 	must.Eq(t, "unknown", a.outcome)
-	must.Eq(t, "done", f.entries["b1"].request("bill", "bill-2", sleepy(5)("x")).outcome)
+	must.Eq(t, "done", f.entries["b1"].request("bill", "bill-2", sleepBody(5)("x")).outcome)
 	f.entries["a1"].relay.setCut(false)
 	f.until("the hosts can vouch again", func() bool {
-		return f.entries["b1"].request("bill", "bill-3", sleepy(5)("x"), gateway.RetryHeader, "1").outcome == "done"
+		return f.entries["b1"].request("bill", "bill-3", sleepBody(5)("x"), gateway.RetryHeader, "1").outcome == "done"
 	})
-	must.Eq(t, 1, f.runs()["bill-1"])
+	must.Eq(t, 1, f.runCounts()["bill-1"])
 }
 
 // Bad input gets a typed answer, and nothing runs.
@@ -319,7 +319,7 @@
 		a := e.request(c.kind, "bad-"+c.name, c.body, c.header...)
 		must.Eq(t, c.status, a.status, must.Sprint(c.name))
 	}
-	for key := range f.runs() {
+	for key := range f.runCounts() {
 		must.False(t, strings.HasPrefix(key, "bad-"))
 	}
 }
--- a/test/promises/settings_test.go
+++ b/test/promises/settings_test.go
@@ -20,17 +20,17 @@
 // The promise about settings: what was accepted is in force everywhere within
 // seconds, and never reverts.
 
-// watchVersions reads every host's version all the time, and notes if one ever
+// versionWatch reads every host's version all the time, and notes if one ever
 // goes back.
-type watchVersions struct {
+type versionWatch struct {
 	mu      sync.Mutex
 	reverts []string
 	stop    chan struct{}
 	done    sync.WaitGroup
 }
 
-func (f *fleet) watchVersions() *watchVersions {
-	w := &watchVersions{stop: make(chan struct{})}
+func (f *fleet) watchVersions() *versionWatch {
+	w := &versionWatch{stop: make(chan struct{})}
 	for name, e := range f.entries {
 		w.done.Go(func() {
 			high := int64(0)
@@ -53,7 +53,7 @@
 	return w
 }
 
-func (w *watchVersions) end() []string {
+func (w *versionWatch) end() []string {
 	close(w.stop)
 	w.done.Wait()
 	return w.reverts
@@ -63,8 +63,8 @@
 	return strings.Replace(settings, `"deadline": "5s"`, fmt.Sprintf(`"deadline": "%dms"`, ms), 1)
 }
 
-// race lets two operators edit at two hosts, each from the version it sees.
-func (f *fleet) race(edits int) (accepted map[int64]string) {
+// editConcurrently lets two operators edit at two hosts, each from the version it sees.
+func (f *fleet) editConcurrently(edits int) (accepted map[int64]string) {
 	accepted = map[int64]string{}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -95,7 +95,7 @@
 	f.ready()
 	w := f.watchVersions()
 	f.fault(f.platform, standin.Faults{LoseAnswers: 6, LoseKey: "settings/", DelayMS: 5})
-	accepted := f.race(25)
+	accepted := f.editConcurrently(25)
 	f.fault(f.platform, standin.Faults{})
 	must.Greater(t, 20, len(accepted))
 	highest := int64(1)
@@ -108,7 +108,7 @@
 
 // An edit whose answer was lost is asked again with the same id: it is accepted
 // once.
-func TestEditAskedAgain(t *testing.T) {
+func TestRetriedEditIsAcceptedOnce(t *testing.T) {
 	f := newFleet(t, []string{"a1"})
 	f.ready()
 	e := f.entries["a1"]
@@ -121,7 +121,7 @@
 
 // A hall that is cut from the platform but not from its peers has a new version
 // too; a new process that starts in an outage gets it from its peers.
-func TestSettingsReachACutHallAndANewProcess(t *testing.T) {
+func TestSettingsReachAPartitionedHallAndANewProcess(t *testing.T) {
 	f := newFleet(t, []string{"a1", "a2", "b1"})
 	f.ready()
 	f.fault(f.platform, standin.Faults{Cut: []string{"entry-b1"}})
@@ -135,7 +135,7 @@
 
 // A process that is handed an old version keeps the new one. The old one comes
 // from a host that was cut off from everything meanwhile.
-func offerOld(f *fleet) []string {
+func offerOldVersion(f *fleet) []string {
 	w := f.watchVersions()
 	b1 := f.entries["b1"]
 	f.fault(f.platform, standin.Faults{Cut: []string{"entry-b1", "entry-a2"}})
@@ -151,14 +151,14 @@
 func TestSettingsNeverRevert(t *testing.T) {
 	f := newFleet(t, []string{"a1", "a2", "b1"})
 	f.ready()
-	must.SliceEmpty(t, offerOld(f))
+	must.SliceEmpty(t, offerOldVersion(f))
 	f.fault(f.platform, standin.Faults{})
 	f.awaitVersion(2)
 }
 
-// offerLate hands every host an offer of the first version that was held up in the
+// offerDelayedVersion hands every host an offer of the first version that was held up in the
 // network while the second was accepted.
-func offerLate(f *fleet) []string {
+func offerDelayedVersion(f *fleet) []string {
 	must.Eq(f.t, http.StatusOK, f.entries["a1"].edit(deadline(3000), 1, "x").status)
 	f.awaitVersion(2)
 	var reverts []string
@@ -178,17 +178,17 @@
 func TestSettingsNeverRevertByALateOffer(t *testing.T) {
 	f := newFleet(t, []string{"a1", "a2", "b1"})
 	f.ready()
-	must.SliceEmpty(t, offerLate(f))
+	must.SliceEmpty(t, offerDelayedVersion(f))
 }
 
 func TestSettingsNeverRevertByALateOfferNeedsTheCheck(t *testing.T) {
 	f := newFleet(t, []string{"a1", "a2", "b1"}, without("monotonic"))
 	f.ready()
-	must.SliceNotEmpty(t, offerLate(f))
+	must.SliceNotEmpty(t, offerDelayedVersion(f))
 }
 
 // A refused tree changes nothing.
-func TestMalformedSettingsAreRefusedWhole(t *testing.T) {
+func TestMalformedSettingsAreRejected(t *testing.T) {
 	f := newFleet(t, []string{"a1"})
 	f.ready()
 	a := f.entries["a1"].edit(`{"lease": "2s", "teams": {"x": {"deadlne": "1s"}}}`, 1, "bad")
--- a/test/promises/tasks_test.go
+++ b/test/promises/tasks_test.go
@@ -29,8 +29,8 @@
 	return f
 }
 
-// other is the entry host of hall a that does not lead.
-func other(leader string) string {
+// otherEntry is the entry host of hall a that does not lead.
+func otherEntry(leader string) string {
 	if leader == "a1" {
 		return "a2"
 	}
@@ -40,17 +40,17 @@
 // checkTasks holds the promises that every test of tasks must keep.
 func (f *fleet) checkTasks() {
 	f.t.Helper()
-	must.SliceEmpty(f.t, f.doubles())
-	must.SliceEmpty(f.t, f.overcommits())
-	must.SliceEmpty(f.t, f.resumedTwice())
-	for task, n := range f.finishes() {
+	must.SliceEmpty(f.t, f.duplicateExecutions())
+	must.SliceEmpty(f.t, f.overcommittedWorkers())
+	must.SliceEmpty(f.t, f.checkpointsResumedTwice())
+	for task, n := range f.finishCounts() {
 		must.Eq(f.t, 1, n, must.Sprintf("task %s came to its end %d times", task, n))
 	}
 }
 
 func TestHostsAreNeverOvercommitted(t *testing.T) {
 	f := jobsFleet(t)
-	floodAndKill(f)
+	floodEvictAndKill(f)
 	f.checkTasks()
 }
 
@@ -59,19 +59,19 @@
 	e := f.entries["a1"]
 	f.submit(e, "ingest", "flood", `{"runMs": 500}`, 40)
 	f.awaitJob(e, "flood", "done")
-	must.SliceNotEmpty(t, f.overcommits())
+	must.SliceNotEmpty(t, f.overcommittedWorkers())
 }
 
-// floodAndKill sends far more than fits, evicts with urgent work, kills the
+// floodEvictAndKill sends far more than fits, evicts with urgent work, kills the
 // leader and restarts a worker, all together.
-func floodAndKill(f *fleet) {
+func floodEvictAndKill(f *fleet) {
 	leader := f.leader("a")
-	e := f.entries[other(leader)]
+	e := f.entries[otherEntry(leader)]
 	f.submit(e, "ingest", "flood", `{"runMs": 400}`, 60)
-	f.until("some run", func() bool { return len(f.starts()) >= 8 })
+	f.until("some run", func() bool { return len(f.startCounts()) >= 8 })
 	f.submit(e, "urgent", "rush", `{"runMs": 200}`, 2)
 	f.entries[leader].kill()
-	f.until("some more run", func() bool { return len(f.starts()) >= 16 })
+	f.until("some more run", func() bool { return len(f.startCounts()) >= 16 })
 	f.killWorker("w1")
 	f.startWorker("w1", "a")
 	f.awaitJob(e, "rush", "done")
@@ -81,13 +81,13 @@
 func TestLeaderKilled(t *testing.T) {
 	f := jobsFleet(t, longLease)
 	leader := f.leader("a")
-	e := f.entries[other(leader)]
+	e := f.entries[otherEntry(leader)]
 	f.submit(e, "ingest", "j", work2s, 6)
-	f.until("all run", func() bool { return len(f.starts()) == 6 })
+	f.until("all run", func() bool { return len(f.startCounts()) == 6 })
 	f.entries[leader].kill()
 	f.awaitJob(e, "j", "done")
 	f.checkTasks()
-	for task, n := range f.starts() {
+	for task, n := range f.startCounts() {
 		must.Eq(t, 1, n, must.Sprintf("%s: a leader's death costs no running task its attempt", task))
 	}
 }
@@ -95,9 +95,9 @@
 func TestLeaderFrozenBeyondItsLease(t *testing.T) {
 	f := jobsFleet(t)
 	leader := f.leader("a")
-	e := f.entries[other(leader)]
+	e := f.entries[otherEntry(leader)]
 	f.submit(e, "ingest", "j", `{"runMs": 6000}`, 8)
-	f.until("all run", func() bool { return len(f.starts()) == 8 })
+	f.until("all run", func() bool { return len(f.startCounts()) == 8 })
 	f.entries[leader].signal(syscall.SIGSTOP)
 	f.until("the other leads", func() bool { return e.status().Leading })
 	f.entries[leader].signal(syscall.SIGCONT)
@@ -118,7 +118,7 @@
 	f.startWorker("w2", "a", "--no-lease")
 	f.ready()
 	moveOffFrozenWorker(f)
-	must.SliceNotEmpty(t, f.doubles())
+	must.SliceNotEmpty(t, f.duplicateExecutions())
 }
 
 // moveOffFrozenWorker freezes the worker that runs a task until the task has
@@ -126,11 +126,11 @@
 func moveOffFrozenWorker(f *fleet) {
 	e := f.entries["a1"]
 	f.submit(e, "ingest", "j", `{"runMs": 4000}`, 1)
-	f.until("it runs", func() bool { return f.running("j.0") != nil })
-	frozen := f.running("j.0").host
+	f.until("it runs", func() bool { return f.runningExecution("j.0") != nil })
+	frozen := f.runningExecution("j.0").host
 	f.workers[frozen].signal(syscall.SIGSTOP)
 	f.until("it runs elsewhere", func() bool {
-		for _, s := range f.stretches() {
+		for _, s := range f.executions() {
 			if s.host != frozen {
 				return true
 			}
@@ -145,14 +145,14 @@
 // A leader that the platform can't hear goes on with the worker that it reaches.
 // The next leader reaches only the other, free worker, and must not start there
 // what may still run under the old leader's leases.
-func cutLeader(f *fleet) {
+func partitionLeader(f *fleet) {
 	leader := f.leader("a")
-	e := f.entries[other(leader)]
+	e := f.entries[otherEntry(leader)]
 	f.submit(e, "ingest", "j", `{"runMs": 12000}`, 1)
-	f.until("it runs", func() bool { return f.running("j.0") != nil })
-	busy := f.running("j.0").host
+	f.until("it runs", func() bool { return f.runningExecution("j.0") != nil })
+	busy := f.runningExecution("j.0").host
 	free := map[string]string{"w1": "w2", "w2": "w1"}[busy]
-	f.fault(f.workers[busy], standin.Faults{Cut: []string{"entry-" + other(leader)}})
+	f.fault(f.workers[busy], standin.Faults{Cut: []string{"entry-" + otherEntry(leader)}})
 	f.fault(f.workers[free], standin.Faults{Cut: []string{"entry-" + leader}})
 	f.fault(f.platform, standin.Faults{Cut: []string{"entry-" + leader}})
 	f.until("the other leads", func() bool { return e.status().Leading })
@@ -161,19 +161,19 @@
 
 func TestLeaderCutFromThePlatform(t *testing.T) {
 	f := jobsFleet(t)
-	cutLeader(f)
+	partitionLeader(f)
 	f.checkTasks()
 }
 
 func TestLeaderCutFromThePlatformNeedsTheTenureWait(t *testing.T) {
 	f := jobsFleet(t, without("tenure-wait"))
-	cutLeader(f)
-	must.SliceNotEmpty(t, f.doubles())
+	partitionLeader(f)
+	must.SliceNotEmpty(t, f.duplicateExecutions())
 }
 
 // A start that is held up in the network must have no effect once it has been
 // overtaken, though its lease is still good.
-func holdStarts(f *fleet) {
+func delayStarts(f *fleet) {
 	e := f.entries["a1"]
 	f.fault(f.workers["w1"], standin.Faults{HoldMS: 4000, HoldCalls: 1})
 	f.submit(e, "ingest", "j", `{"runMs": 300}`, 4)
@@ -181,20 +181,20 @@
 	time.Sleep(4 * time.Second) // let the held message come in
 }
 
-func TestHeldUpStarts(t *testing.T) {
+func TestDelayedStartHasNoEffect(t *testing.T) {
 	f := newFleet(t, []string{"a1"}, longLease)
 	f.startWorker("w1", "a")
 	f.ready()
-	holdStarts(f)
+	delayStarts(f)
 	f.checkTasks()
 }
 
-func TestHeldUpStartsNeedTheSequence(t *testing.T) {
+func TestDelayedStartHasNoEffectNeedsTheSequence(t *testing.T) {
 	f := newFleet(t, []string{"a1"}, longLease)
 	f.startWorker("w1", "a", "--no-sequence")
 	f.ready()
-	holdStarts(f)
-	must.SliceNotEmpty(t, f.doubles())
+	delayStarts(f)
+	must.SliceNotEmpty(t, f.duplicateExecutions())
 }
 
 // Work goes on through an outage of the platform longer than every lease, and
@@ -203,19 +203,19 @@
 	f := jobsFleet(t)
 	e := f.entries["a1"]
 	f.submit(e, "ingest", "j", `{"runMs": 1500}`, 12)
-	f.until("eight run", func() bool { return len(f.starts()) >= 8 })
+	f.until("eight run", func() bool { return len(f.startCounts()) >= 8 })
 	leader := f.entries[f.leader("a")]
 	f.until("the rest is committed ahead", func() bool {
 		c := leader.status().Counts
 		return c.Waiting == 0 && c.Unwritten == 0
 	})
 	f.fault(f.platform, standin.Faults{Outage: true})
-	f.until("those ahead run too", func() bool { return len(f.starts()) == 12 })
+	f.until("those ahead run too", func() bool { return len(f.startCounts()) == 12 })
 	time.Sleep(2 * time.Second)
 	f.fault(f.platform, standin.Faults{})
 	f.awaitJob(e, "j", "done")
 	f.checkTasks()
-	for task, n := range f.starts() {
+	for task, n := range f.startCounts() {
 		must.Eq(t, 1, n, must.Sprintf("%s was not disturbed by the outage", task))
 	}
 }
@@ -241,7 +241,7 @@
 			f.submit(e, "ingest", "j", `{"runMs": 100}`, 3)
 			f.awaitJob(e, "j", "done")
 			f.checkTasks()
-			for task, n := range f.starts() {
+			for task, n := range f.startCounts() {
 				must.Eq(t, 1, n, must.Sprintf("%s", task))
 			}
 		})
@@ -250,13 +250,13 @@
 
 // A worker that dies takes its tasks with it. A billed job may then have run, so
 // it ends as unknown; one that may repeat runs again.
-func loseWorker(f *fleet) {
+func restartWorkerUnderJobs(f *fleet) {
 	e := f.entries["a1"]
 	f.submit(e, "billed", "once", `{"runMs": 3000}`, 1)
-	f.until("it runs", func() bool { return f.running("once.0") != nil })
-	host := f.running("once.0").host
+	f.until("it runs", func() bool { return f.runningExecution("once.0") != nil })
+	host := f.runningExecution("once.0").host
 	f.submit(e, "ingest", "again", `{"runMs": 3000}`, 4)
-	f.until("all run", func() bool { return len(f.starts()) == 5 })
+	f.until("all run", func() bool { return len(f.startCounts()) == 5 })
 	f.killWorker(host)
 	f.startWorker(host, "a")
 	f.awaitJob(e, "again", "done")
@@ -268,26 +268,26 @@
 
 func TestBilledJobRunsAtMostOnce(t *testing.T) {
 	f := jobsFleet(t)
-	loseWorker(f)
+	restartWorkerUnderJobs(f)
 	f.checkTasks()
-	must.Eq(t, 1, f.starts()["once.0"])
+	must.Eq(t, 1, f.startCounts()["once.0"])
 	must.Eq(t, "unknown", f.entries["a1"].job("once").State)
 }
 
-func TestBilledJobRunsAtMostOnceNeedsTheMark(t *testing.T) {
+func TestBilledJobRunsAtMostOnceNeedsTheRepeatableSetting(t *testing.T) {
 	f := jobsFleet(t, without("repeatable"))
-	loseWorker(f)
-	must.Eq(t, 2, f.starts()["once.0"])
+	restartWorkerUnderJobs(f)
+	must.Eq(t, 2, f.startCounts()["once.0"])
 }
 
-func TestCancellationsInAWaveDuringAnEviction(t *testing.T) {
+func TestManyCancellationsDuringAnEviction(t *testing.T) {
 	f := jobsFleet(t)
 	leader := f.leader("a")
-	e := f.entries[other(leader)]
+	e := f.entries[otherEntry(leader)]
 	for i := range 8 {
 		f.submit(e, "ingest", fmt.Sprintf("j%d", i), `{"runMs": 60000}`, 1)
 	}
-	f.until("all run", func() bool { return len(f.starts()) == 8 })
+	f.until("all run", func() bool { return len(f.startCounts()) == 8 })
 	f.submit(e, "urgent", "rush", `{"runMs": 300}`, 1)
 	for i := range 8 {
 		f.until("cancelled", func() bool {
@@ -314,5 +314,5 @@
 	must.Eq(t, http.StatusBadRequest, huge.status)
 	must.StrContains(t, string(huge.body), "larger than any host")
 	f.awaitJob(b, "k", "done")
-	must.Eq(t, 1, f.starts()["k.0"])
+	must.Eq(t, 1, f.startCounts()["k.0"])
 }
