--- a/test/promises/bench_test.go
+++ b/test/promises/bench_test.go
@@ -17,10 +17,11 @@
 	"github.com/wrenferry/wrenferry/pkg/standin"
 )
 
-// Measurements on real processes over loopback. Times are noise on a shared
-// machine, so what counts are ratios within one run.
+// Benchmarks with real processes over loopback. Absolute times vary on a shared machine, so only
+// ratios within one run are meaningful.
 
-// usage reads a process's processor time in seconds and resident memory in MB.
+// usage returns a process's CPU time in seconds and its resident memory in MB, or zeros if it has
+// ended.
 func (p *process) usage() (cpu, memory float64) {
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.command.Process.Pid))
 	if err != nil {
@@ -33,8 +34,8 @@
 	return (user + system) / 100, pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// BenchmarkEntryHost is what a whole entry host costs, as the leader and as a
-// follower, with so many workers that are full of tasks.
+// BenchmarkEntryHost reports the CPU and memory that an entry host uses, as the leader and as a
+// follower, by the number of workers. All workers are full of tasks.
 func BenchmarkEntryHost(b *testing.B) {
 	for _, workers := range []int{10, 20, 40, 80} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -56,6 +57,7 @@
 	}
 }
 
+// measureUsage reports the CPU use over 5 seconds and the memory of an entry host.
 func measureUsage(b *testing.B, e *entry, role string) {
 	const span = 5 * time.Second
 	before, _ := e.usage()
@@ -65,19 +67,21 @@
 	b.ReportMetric(memory, role+"-MB")
 }
 
-// openLoop is an open loop: calls begin at their times, whatever became of others.
+// openLoop is an open-loop load: calls start at their scheduled times, also while earlier ones are
+// pending. Latencies count from the scheduled time.
 type openLoop struct {
-	rate     float64 // calls a second
+	rate     float64 // calls per second
 	span     time.Duration
 	kind     string
-	ms       int
+	ms       int // run time of a call
 	entries  []*entry
-	deadline int
+	deadline int // milliseconds
 }
 
+// result counts the calls of a load by outcome, with the latencies of those that are done.
 type result struct {
 	mu      sync.Mutex
-	times   *hdrhistogram.Histogram
+	times   *hdrhistogram.Histogram // microseconds
 	done    int
 	refused int
 	unknown int
@@ -117,6 +121,7 @@
 	}
 }
 
+// ms returns a percentile of the latencies in milliseconds.
 func (r *result) ms(q float64) float64 { return float64(r.times.ValueAtQuantile(q)) / 1000 }
 
 const (
@@ -125,8 +130,8 @@
 	serviceMS    = 40
 )
 
-// benchFleet is six entry hosts in three halls and a dozen runners; a runner of
-// every ten is five times slow.
+// benchFleet starts the named entry hosts and a dozen runners in three halls. As many runners as
+// slow says take five times as long.
 func benchFleet(b *testing.B, names []string, policy string, slow int) *fleet {
 	f := newFleet(b, names)
 	f.settingsText = strings.Replace(f.settingsText, `"deadline": "5s",`, fmt.Sprintf(`"deadline": "5s", "routePolicy": %q,`, policy), 1)
@@ -151,15 +156,15 @@
 	return list
 }
 
-// callCapacity is how many calls a second all slots serve, with so many slow runners.
+// callCapacity returns the calls per second that all slots serve, given the number of slow
+// runners.
 func callCapacity(slow int) float64 {
 	full := float64(benchSlots) * 1000 / serviceMS
 	return full*float64(benchRunners-slow) + full/5*float64(slow)
 }
 
-// BenchmarkRouting compares the policies at 85 % of the slots' capacity, with a
-// tenth of the runners five times slow, and with one entry host that sees
-// everything.
+// BenchmarkRouting compares the routing policies at 85 % of the slots' capacity with one of the
+// twelve runners five times as slow. The last case has a single entry host, which knows all calls.
 func BenchmarkRouting(b *testing.B) {
 	six := []string{"a1", "a2", "b1", "b2", "c1", "c2"}
 	for _, p := range route.Policies {
@@ -182,7 +187,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkOverload offers half, all, and twice what the slots serve.
+// BenchmarkOverload offers half, all and twice the calls that the slots serve.
 func BenchmarkOverload(b *testing.B) {
 	for _, share := range []float64{0.5, 1, 2} {
 		b.Run(fmt.Sprintf("offered=%.1f", share), func(b *testing.B) {
@@ -199,7 +204,7 @@
 	}
 }
 
-// BenchmarkRetries has every runner fail everything.
+// BenchmarkRetries reports the sends per request when the runners fail all calls.
 func BenchmarkRetries(b *testing.B) {
 	f := benchFleet(b, []string{"a1", "a2", "b1"}, "two-choices", 0)
 	for _, p := range f.runners {
--- a/test/promises/calls_test.go
+++ b/test/promises/calls_test.go
@@ -12,7 +12,7 @@
 	"github.com/wrenferry/wrenferry/pkg/request/gateway"
 )
 
-// answer is what a caller got.
+// answer is the response to a caller, or the error of the call.
 type answer struct {
 	status  int
 	outcome string
@@ -29,7 +29,7 @@
 	if err != nil {
 		return answer{err: err}
 	}
-	req.GetBody = nil // the caller sends once; asking again is its own decision
+	req.GetBody = nil // the transport must not repeat a call: retries are the caller's decision
 	for k, v := range header {
 		req.Header.Set(k, v)
 	}
@@ -53,7 +53,7 @@
 	return call(http.MethodPost, "http://"+e.callers+"/v1/requests/desk/"+kind, h, body)
 }
 
-// submit submits a job until it is accepted.
+// submit submits a job, with retries until it is accepted.
 func (f *fleet) submit(e *entry, kind, key, body string, tasks int) {
 	f.t.Helper()
 	f.until("job "+key+" accepted", func() bool {
@@ -82,13 +82,13 @@
 	return s
 }
 
-// edit puts a tree in force at an entry host.
+// edit submits settings to an entry host as an edit of the version base.
 func (e *entry) edit(text string, base int64, id string) answer {
 	body, _ := json.Marshal(operators.EditBody{Text: text, Base: base, EditID: id})
 	return call(http.MethodPut, "http://"+e.operators+"/v1/settings", map[string]string{operators.ActorHeader: id}, string(body))
 }
 
-// leader waits for a hall to have one leader among its live entry hosts.
+// leader waits until an entry host leads a hall and returns its name.
 func (f *fleet) leader(hall string) string {
 	f.t.Helper()
 	found := ""
@@ -104,8 +104,8 @@
 	return found
 }
 
-// settings is the tree that most tests use: short spans, so that leases end
-// within a test.
+// settings are the settings of most tests. Their durations are short, so that leases expire within
+// a test.
 const settings = `{
 	"lease": "1500ms", "takeover": "600ms", "tenure": "5s", "patience": "2s",
 	"teams": {"photo": {"services": {"desk": {
@@ -122,7 +122,7 @@
 	}}}}
 }`
 
-// ready puts the settings in force and waits until every entry host has them.
+// ready submits the settings and waits until all entry hosts have them and each hall has a leader.
 func (f *fleet) ready() {
 	f.t.Helper()
 	for _, e := range f.entries {
--- a/test/promises/checks_test.go
+++ b/test/promises/checks_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// execution is one attempt's time on one worker, from the worker's own record.
+// execution is the time that one attempt ran on one worker, as recorded by the worker.
 type execution struct {
 	host       string
 	task       string
@@ -19,8 +19,8 @@
 	memory     int64
 }
 
-// executions pairs the starts and ends in all workers' records. A stretch
-// without an end ends when its worker was killed, or now.
+// executions pairs the starts and ends in all workers' records. An execution without a recorded
+// end ends when its worker was killed or booted again, or now.
 func (f *fleet) executions() []execution {
 	var all []execution
 	for name := range f.workers {
@@ -52,8 +52,8 @@
 	return all
 }
 
-// endOpenExecutions ends what was open when a worker was killed: at the first kill after
-// its start, and no later than the limit.
+// endOpenExecutions sets the end of executions without a recorded end: the first kill of their
+// worker after their start, at most limit.
 func endOpenExecutions(open map[string]*execution, kills []time.Time, limit time.Time) {
 	for _, s := range open {
 		s.to = limit
@@ -65,7 +65,7 @@
 	}
 }
 
-// duplicateExecutions lists tasks that ran in two places at once, or one attempt twice.
+// duplicateExecutions lists tasks whose executions overlapped, and attempts that were started twice.
 func (f *fleet) duplicateExecutions() []string {
 	byTask := map[string][]execution{}
 	for _, s := range f.executions() {
@@ -88,7 +88,7 @@
 	return found
 }
 
-// overcommittedWorkers lists workers that ever ran more than they have.
+// overcommittedWorkers lists workers whose tasks at any time exceeded their capacity.
 func (f *fleet) overcommittedWorkers() []string {
 	type step struct {
 		at    time.Time
@@ -118,7 +118,7 @@
 	return found
 }
 
-// finishCounts counts how often each task came to its end.
+// finishCounts returns how many executions of each task finished.
 func (f *fleet) finishCounts() map[string]int {
 	count := map[string]int{}
 	for _, s := range f.executions() {
@@ -129,7 +129,7 @@
 	return count
 }
 
-// startCounts counts the starts of each task.
+// startCounts returns the number of starts of each task.
 func (f *fleet) startCounts() map[string]int {
 	count := map[string]int{}
 	for _, s := range f.executions() {
@@ -138,7 +138,7 @@
 	return count
 }
 
-// checkpointsResumedTwice lists checkpoints that more than one attempt began from.
+// checkpointsResumedTwice lists checkpoints from which more than one attempt started and finished.
 func (f *fleet) checkpointsResumedTwice() []string {
 	from := map[string][]string{}
 	for _, s := range f.executions() {
@@ -155,7 +155,7 @@
 	return found
 }
 
-// runCounts counts how often each key ran, over all runners.
+// runCounts returns how often each key ran, over all runners.
 func (f *fleet) runCounts() map[string]int {
 	count := map[string]int{}
 	for name := range f.runners {
@@ -168,7 +168,7 @@
 	return count
 }
 
-// runningExecution says whether a task runs on a worker now.
+// runningExecution returns a current execution of a task, or nil.
 func (f *fleet) runningExecution(task string) *execution {
 	for _, s := range f.executions() {
 		if s.task == task && s.end == "" && f.workers[s.host].killed.IsZero() {
@@ -178,6 +178,7 @@
 	return nil
 }
 
+// dumpRecords logs the records of all workers.
 func (f *fleet) dumpRecords() {
 	for name := range f.workers {
 		for _, e := range f.entriesOf(name) {
--- a/test/promises/evictions_test.go
+++ b/test/promises/evictions_test.go
@@ -9,10 +9,10 @@
 	"github.com/wrenferry/wrenferry/pkg/standin"
 )
 
-// Promises about evictions: evicted work resumes once, results outlast outages.
+// Promises about evictions: evicted work resumes once, and results survive platform outages.
 
-// Evictions: urgent work takes whole workers, so everything else is evicted with
-// a checkpoint and resumes later.
+// evictAndResume submits urgent work that takes whole workers, so that all other tasks are evicted
+// with a checkpoint and resume later. It calls meanwhile once the evictions have begun.
 func evictAndResume(f *fleet, meanwhile func(leader string)) {
 	leader := f.leader("a")
 	e := f.entries[otherEntry(leader)]
@@ -61,8 +61,8 @@
 	f.checkTasks()
 }
 
-// Results are kept by the workers until the table has them: the platform is
-// away when tasks finish, and the leader dies before it comes back.
+// finishInOutage makes tasks finish during a platform outage and kills the leader before the outage
+// ends. The workers must retain the results until the table has them.
 func finishInOutage(f *fleet) {
 	leader := f.leader("a")
 	e := f.entries[otherEntry(leader)]
@@ -70,7 +70,7 @@
 	f.until("all run", func() bool { return len(f.startCounts()) == 4 })
 	f.fault(f.platform, standin.Faults{Outage: true})
 	f.until("all have ended", func() bool { return len(f.finishCounts()) == 4 })
-	time.Sleep(500 * time.Millisecond) // let the leader hear of it
+	time.Sleep(500 * time.Millisecond) // let the leader poll the results
 	f.entries[leader].kill()
 	f.fault(f.platform, standin.Faults{})
 	f.awaitJob(e, "j", "done")
--- a/test/promises/fleet_test.go
+++ b/test/promises/fleet_test.go
@@ -1,7 +1,6 @@
-// Package promises_test proves the nine promises on real processes: entry hosts,
-// a platform, workers and runners, each a process of its own that a test kills,
-// freezes or cuts off. The checks read the stand-ins' own records of what ran
-// where and when.
+// Package promises_test tests the nine promises with real processes: entry hosts, a platform,
+// workers and runners. Tests kill, freeze or partition them. The checks read the stand-ins' records
+// of the tasks and requests that they ran.
 package promises_test
 
 import (
@@ -28,7 +27,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// waitTimeout bounds every wait for a condition; it is no verdict on speed.
+// waitTimeout bounds every wait for a condition. It is generous, since the tests don't check speed.
 const waitTimeout = 60 * time.Second
 
 var bin string // the folder with the programs under test
@@ -39,7 +38,7 @@
 		panic(err)
 	}
 	args := []string{"build", "-o", bin + "/"}
-	if os.Getenv("WRENFERRY_TEST_RACE") != "" { // the programs too, with the race detector
+	if os.Getenv("WRENFERRY_TEST_RACE") != "" { // build the programs with the race detector, too
 		args = append(args, "-race")
 	}
 	build := exec.Command("go", append(args, "../../cmd/wrenferryd", "../../standins")...)
@@ -52,7 +51,7 @@
 	os.Exit(code)
 }
 
-// process is one program that a test started.
+// process is a program that a test started.
 type process struct {
 	name    string
 	address string
@@ -71,7 +70,7 @@
 	p.killed = time.Now()
 }
 
-// fleet is all processes of one test.
+// fleet holds the processes of one test.
 type fleet struct {
 	t              testing.TB
 	dir            string
@@ -89,8 +88,8 @@
 	killTimes      map[string][]time.Time
 }
 
-// entry is one entry host with its ports, and the relay in front of its control
-// port, through which a test cuts it off from its peers.
+// entry is one entry host with its addresses. Peers reach its control port through the relay, which
+// a test can cut.
 type entry struct {
 	*process
 	callers   string
@@ -100,8 +99,8 @@
 	hall      string
 }
 
-// nextPort hands out ports below the range that the system takes for outgoing
-// connections, so that no connection of another test can take one meanwhile.
+// nextPort is the counter behind freeAddress. Its ports are below the system's ephemeral range, so
+// that no outgoing connection of another test can occupy one.
 var nextPort atomic.Int32
 
 const (
@@ -109,19 +108,19 @@
 	lastPort  = 30000
 )
 
-// spawnMu is held while a process is started and while a port is tried. A process
-// that is being started has, until it runs its own program, copies of all sockets that
-// were open: a port that was tried and closed meanwhile still takes connections, and
-// the program that it is for can't listen there.
+// spawnMu is held while a process is started and while freeAddress probes a port. Between fork and
+// exec, a new process holds copies of all open sockets: a port probed and closed meanwhile still
+// accepts connections, and the program that gets the port can't listen on it.
 var spawnMu sync.Mutex
 
-// spawn starts a command.
+// spawn starts a command while it holds spawnMu.
 func spawn(c *exec.Cmd) error {
 	spawnMu.Lock()
 	defer spawnMu.Unlock()
 	return c.Start()
 }
 
+// freeAddress returns a loopback address on which a listener can be opened.
 func freeAddress(t testing.TB) string {
 	spawnMu.Lock()
 	defer spawnMu.Unlock()
@@ -154,21 +153,23 @@
 // option changes a fleet before it starts.
 type option func(*fleet)
 
+// without disables fences of the entry hosts, to show that a promise depends on them.
 func without(fences ...string) option { return func(f *fleet) { f.disabledFences = fences } }
 
-// longLease is for tests in which leases are to outlast a failure.
+// longLease is for tests in which leases must outlast a failure.
 func longLease(f *fleet) {
 	f.settingsText = strings.Replace(f.settingsText, `"lease": "1500ms"`, `"lease": "8s"`, 1)
 	f.settingsText = strings.Replace(f.settingsText, `"tenure": "5s"`, `"tenure": "10s"`, 1)
 }
 
-// shortWindow is for tests in which hosts are to be old enough to vouch for keys.
+// shortWindow is for tests in which hosts must run for longer than the key window, since only then
+// they vouch for keys.
 func shortWindow(f *fleet) {
 	f.settingsText = strings.Replace(f.settingsText, `"keyWindow": "10s"`, `"keyWindow": "1s"`, 1)
 }
 
-// newFleet starts a platform and one entry host for each name, like "a1" (the
-// first of hall a).
+// newFleet starts a platform and one entry host for each name. A name such as "a1" means the first
+// entry host of hall a.
 func newFleet(t testing.TB, entries []string, options ...option) *fleet {
 	t.Helper()
 	if p, ok := t.(*testing.T); ok {
@@ -216,7 +217,7 @@
 	}
 }
 
-// checkRaces fails the test if the race detector found anything in a process.
+// checkRaces fails the test if the race detector reported a race in a process.
 func (f *fleet) checkRaces() {
 	for _, p := range f.all {
 		text, err := os.ReadFile(p.log.Name())
@@ -226,11 +227,10 @@
 	}
 }
 
-// dumpLogs shows the last lines of every process of a failed test, and the
-// figures of the entry hosts that still answer.
+// dumpLogs logs the metrics and the last log lines of the entry hosts of a failed test.
 func (f *fleet) dumpLogs() {
 	for name, e := range f.entries {
-		f.t.Logf("figures of %s:\n%s", name, e.metrics())
+		f.t.Logf("metrics of %s:\n%s", name, e.metrics())
 	}
 	for _, p := range f.all {
 		text, err := os.ReadFile(p.log.Name())
@@ -242,7 +242,7 @@
 	}
 }
 
-// metrics are an entry host's metrics, or why there are none.
+// metrics returns an entry host's metrics, or the text of the error.
 func (e *entry) metrics() string {
 	client := http.Client{Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + e.operators + "/metrics")
@@ -267,19 +267,19 @@
 	})
 }
 
-// until waits for a condition; running out of patience fails the test.
+// until waits for a condition and fails the test after waitTimeout.
 func (f *fleet) until(what string, condition func() bool) {
 	f.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("it never came about: %s", what)
+			f.t.Fatalf("condition not met within %s: %s", waitTimeout, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// startEntry starts an entry host, or a new one in the place of a dead one.
+// startEntry starts an entry host, or restarts a dead one at the same addresses.
 func (f *fleet) startEntry(name string) *entry {
 	e := f.entries[name]
 	if e == nil {
@@ -316,8 +316,8 @@
 
 func (f *fleet) record(name string) string { return filepath.Join(f.dir, name+".record") }
 
-// startWorker starts a worker in a hall, or starts it again after a kill: on
-// the same address, with a new incarnation.
+// startWorker starts a worker in a hall. After a kill it starts a new incarnation at the same
+// address.
 func (f *fleet) startWorker(name, hall string, args ...string) *process {
 	address := ""
 	if old := f.workers[name]; old != nil {
@@ -341,7 +341,7 @@
 	return p
 }
 
-// killWorker kills a worker and notes when, since its record has no end.
+// killWorker kills a worker and stores the time, since the worker's record has no end for its tasks.
 func (f *fleet) killWorker(name string) {
 	f.workers[name].kill()
 	f.killTimes[name] = append(f.killTimes[name], f.workers[name].killed)
@@ -358,7 +358,7 @@
 	return p
 }
 
-// fault sets the fault switches of a stand-in.
+// fault replaces the injected faults of a stand-in.
 func (f *fleet) fault(p *process, faults standin.Faults) {
 	body, err := json.Marshal(faults)
 	must.NoError(f.t, err)
--- a/test/promises/leaving_test.go
+++ b/test/promises/leaving_test.go
@@ -16,10 +16,10 @@
 	"github.com/wrenferry/wrenferry/pkg/standin"
 )
 
-// Promises about leaving: servers that leave, planned stops, streams that move.
+// Promises about leaving servers, planned stops, and streams that move to another server.
 
-// leaveUnderLoad makes a runner leave under load, and returns how many calls began
-// there more than three seconds after it said so.
+// leaveUnderLoad announces under load that runner r1 leaves, by calling say. It returns the number
+// of calls that started on r1 more than three seconds later.
 func leaveUnderLoad(f *fleet, say func()) int {
 	var said time.Time
 	f.sendRequests(1500, "thumb", sleepBody(60), func() {
@@ -55,19 +55,19 @@
 	must.Positive(t, leaveUnderLoad(f, f.markLeavingInHostList))
 }
 
-// A server that says so itself is known to all entry hosts at once, though the
-// list does not have it and only one host heard it.
+// A server announces in an answer to one entry host that it leaves. All entry hosts must learn it,
+// although the host list does not mark the server.
 func TestLeavingIsSpreadAmongEntryHosts(t *testing.T) {
 	f := callsFleet(t)
 	f.fault(f.runners["r1"], standin.Faults{Leaving: true})
-	f.until("one host hears of it", func() bool {
+	f.until("a1 knows that r1 leaves", func() bool {
 		f.entries["a1"].request("thumb", "", `{}`)
 		return f.entries["a1"].openServers() == 2
 	})
-	f.until("all know", func() bool { return f.entries["a2"].openServers() == 2 && f.entries["b1"].openServers() == 2 })
+	f.until("all entry hosts know that r1 leaves", func() bool { return f.entries["a2"].openServers() == 2 && f.entries["b1"].openServers() == 2 })
 }
 
-// openServers is how many servers take new work, as an entry host sees it.
+// openServers returns how many servers accept new work by an entry host's status, or -1.
 func (e *entry) openServers() int {
 	for _, s := range e.status().Services {
 		if s.Service == "desk" {
@@ -77,8 +77,8 @@
 	return -1
 }
 
-// plannedStop stops an entry host under load, with a stream open, and returns
-// how many calls were cut off and the events of the stream before and after.
+// plannedStop stops an entry host under load, with a stream open. It returns the number of
+// interrupted calls and the stream's events, which a client continues at another entry host.
 func plannedStop(f *fleet) (cut int, events []int) {
 	e := f.entries["a1"]
 	var wait sync.WaitGroup
@@ -107,9 +107,10 @@
 	return cut, append(events, f.watchEvents(f.entries["a2"], strconv.Itoa(last), 10)...)
 }
 
-// watchStream reads a stream to its end.
+// watchStream reads a stream to its end and returns the event ids.
 func (f *fleet) watchStream(e *entry, last string) []int { return f.watchEvents(e, last, -1) }
 
+// watchEvents reads a stream after the event last and returns up to most event ids.
 func (f *fleet) watchEvents(e *entry, last string, most int) []int {
 	req, err := http.NewRequest(http.MethodGet, "http://"+e.callers+"/v1/streams/desk/feed", http.NoBody)
 	must.NoError(f.t, err)
@@ -153,8 +154,7 @@
 	must.Positive(t, cut)
 }
 
-// A stream moves from a server that leaves, and from one that dies, with no
-// event lost or doubled.
+// A stream moves away from a leaving server and from a dead one without lost or duplicate events.
 func TestStreamMoves(t *testing.T) {
 	f := callsFleet(t)
 	got := make(chan []int, 1)
--- a/test/promises/ports_test.go
+++ b/test/promises/ports_test.go
@@ -10,8 +10,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A process that another test starts just then holds copies of open sockets, so that a port
-// may still take connections after it was closed.
+// Guards against ports that still accept connections after freeAddress has closed them: a process
+// that another test starts at that moment holds copies of the open sockets.
 func TestFreeAddressAcceptsNoConnections(t *testing.T) {
 	t.Parallel()
 	var stop atomic.Bool
--- a/test/promises/records_test.go
+++ b/test/promises/records_test.go
@@ -8,7 +8,7 @@
 	"github.com/wrenferry/wrenferry/pkg/standin"
 )
 
-// entriesOf reads the record of a stand-in.
+// entriesOf returns the entries in the record of a stand-in, or none if there is no record.
 func (f *fleet) entriesOf(name string) []standin.Entry {
 	file, err := os.Open(f.record(name))
 	if err != nil {
--- a/test/promises/relay_test.go
+++ b/test/promises/relay_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// relay forwards a port, and can cut all connections through it.
+// relay forwards TCP connections to a target. While cut, it closes all connections.
 type relay struct {
 	listener net.Listener
 	target   string
@@ -21,7 +21,7 @@
 func newRelay(t testing.TB, target string) *relay {
 	var l net.Listener
 	var err error
-	for range 20 { // a suite that runs beside this one may have taken the port
+	for range 20 { // a test suite that runs at the same time may have taken the port
 		if l, err = net.Listen("tcp", freeAddress(t)); err == nil {
 			break
 		}
--- a/test/promises/requests_test.go
+++ b/test/promises/requests_test.go
@@ -17,11 +17,10 @@
 	"github.com/wrenferry/wrenferry/pkg/standin"
 )
 
-// Promises about requests: the whole answer to one's own request, "not run"
-// means not run, not repeatable means at most once, nothing new for a leaving
-// server, a planned stop cuts nothing off.
+// Promises about requests: a caller gets the complete answer to its own request, "not run" means
+// that the request did not run, and a request that is not repeatable runs at most once.
 
-// callsFleet is two entry hosts in one hall and one in another, with runners.
+// callsFleet starts two entry hosts in one hall and one in another, with three runners.
 func callsFleet(t testing.TB, options ...option) *fleet {
 	t.Helper()
 	f := newFleet(t, []string{"a1", "a2", "b1"}, options...)
@@ -37,14 +36,14 @@
 	return f
 }
 
-// answerLog sends many requests from many goroutines and keeps what it was told.
+// answerLog holds the answers to requests, by key.
 type answerLog struct {
 	mu      sync.Mutex
 	answers map[string]answer
 }
 
-// sendRequests sends n requests of a kind, each under a key of its own, spread over the
-// entry hosts, while something happens.
+// sendRequests sends n requests of a kind, each with its own key, spread over the entry hosts. It
+// calls meanwhile shortly after the first requests, and returns when all are answered.
 func (f *fleet) sendRequests(n int, kind string, body func(key string) string, meanwhile func()) *answerLog {
 	c := &answerLog{answers: map[string]answer{}}
 	names := []string{"a1", "a2", "b1"}
@@ -72,11 +71,13 @@
 	return c
 }
 
+// sleepBody returns a function that makes the body of a request: it runs for ms milliseconds and
+// its answer echoes the key.
 func sleepBody(ms int) func(string) string {
 	return func(key string) string { return fmt.Sprintf(`{"ms": %d, "echo": %q}`, ms, key) }
 }
 
-// checkAnswers holds the promises on what callers were told against what ran.
+// checkAnswers checks the answers to callers by the runners' records, and counts the outcomes.
 func (f *fleet) checkAnswers(c *answerLog) (notRun, unknown, done int) {
 	f.t.Helper()
 	runs := f.runCounts()
@@ -89,7 +90,7 @@
 			must.Eq(f.t, key, got.Echo)
 		case string(gateway.NotRun):
 			notRun++
-			must.Eq(f.t, 0, runs[key], must.Sprintf("%s was told %q (%s) and ran", key, a.outcome, a.reason))
+			must.Eq(f.t, 0, runs[key], must.Sprintf("%s was answered with %q (%s), but it ran", key, a.outcome, a.reason))
 		case string(gateway.Unknown):
 			unknown++
 		}
@@ -123,7 +124,7 @@
 	must.Greater(t, 200, done)
 }
 
-// disturbRunnersDuringCalls kills, freezes and overloads runners under calls that must
+// disturbRunnersDuringCalls kills and freezes runners and loses their answers during calls that must
 // not be repeated.
 func disturbRunnersDuringCalls(f *fleet) *answerLog {
 	return f.sendRequests(300, "bill", sleepBody(20), func() {
@@ -155,8 +156,8 @@
 	must.Positive(t, wrong)
 }
 
-// A caller that asks again, marked, at another entry host, after its first was
-// killed, frozen or cut off, or lost the answer.
+// retryAfterHostDeath kills an entry host during requests. Callers without a result send marked
+// retries to another entry host.
 func retryAfterHostDeath(f *fleet) {
 	a1, a2 := f.entries["a1"], f.entries["a2"]
 	var wait sync.WaitGroup
@@ -202,7 +203,8 @@
 	must.Positive(t, twice)
 }
 
-// The same key at several entry hosts at the same moment, unmarked.
+// Several entry hosts get first tries with the same key at the same time. Each key runs once, unless
+// a host got no answer from its peers in time.
 func TestOneKeyAtAllHostsAtOnce(t *testing.T) {
 	f := callsFleet(t, shortWindow)
 	time.Sleep(1500 * time.Millisecond) // the hosts are now older than the window
@@ -222,10 +224,10 @@
 	}
 	must.Positive(t, ran)
 	t.Logf("%d runs more, %d first tries unsure", more, f.sumCounter("requests.first-try-unsure"))
-	must.LessEq(t, f.sumCounter("requests.first-try-unsure"), more, must.Sprint("a run more than one only where a host was not answered in time"))
+	must.LessEq(t, f.sumCounter("requests.first-try-unsure"), more, must.Sprint("more runs than one per key, though the hosts got answers in time"))
 }
 
-// sumCounter adds a counter up over all entry hosts.
+// sumCounter returns the sum of a counter over all entry hosts.
 func (f *fleet) sumCounter(counter string) int {
 	f.t.Helper()
 	sum := 0
@@ -239,8 +241,8 @@
 	return sum
 }
 
-// awaitPeerAnswers waits until every host is answered by all others: where they can't ask each
-// other, a first try runs at each host that is asked (docs/design/request-binding.md).
+// awaitPeerAnswers waits until every host gets answers from all others. Hosts that can't query each
+// other each run a first try with the same key (docs/design/request-binding.md).
 func (f *fleet) awaitPeerAnswers() {
 	f.t.Helper()
 	for name, e := range f.entries {
@@ -252,8 +254,8 @@
 	}
 }
 
-// What hosts that can't ask each other do with one unmarked key: each may run it, once.
-// It is what three runs for one key came from in a suite whose ports clashed.
+// Entry hosts that can't query each other get first tries with one key: each may run it once.
+// A test suite with clashing ports had three runs of one key for this reason.
 func TestOneKeyAtPartitionedHosts(t *testing.T) {
 	f := callsFleet(t, shortWindow)
 	time.Sleep(1500 * time.Millisecond) // the hosts are now older than the window
@@ -275,7 +277,7 @@
 	must.Eq(t, 0, f.runCounts()["bill-marked"])
 }
 
-// The same key again at the same host gives the first answer again.
+// A retry at the same host gets the first answer and does not run again.
 func TestRetryAtTheSameHostGetsTheFirstAnswer(t *testing.T) {
 	f := callsFleet(t)
 	first := f.entries["a1"].request("bill", "bill-x", sleepBody(50)("one"))
@@ -284,8 +286,8 @@
 	must.Eq(t, 1, f.runCounts()["bill-x"])
 }
 
-// A host that is cut off from its peers can't vouch for a key: a second try there
-// is told that it is unknown, a first try runs.
+// A host that can't reach a peer can't vouch for a key: it answers a retry with "unknown" and runs a
+// first try.
 func TestRetryAtAPartitionedHost(t *testing.T) {
 	f := callsFleet(t)
 	time.Sleep(11 * time.Second) // past the key window of the hosts' own start
@@ -301,7 +303,7 @@
 	must.Eq(t, 1, f.runCounts()["bill-1"])
 }
 
-// Bad input gets a typed answer, and nothing runs.
+// Invalid input gets the HTTP status of its cause, and nothing runs.
 func TestBadInput(t *testing.T) {
 	f := callsFleet(t)
 	e := f.entries["a1"]
@@ -324,7 +326,8 @@
 	}
 }
 
-// A hall without the platform goes on serving requests.
+// Entry hosts serve requests during a platform outage. A job submitted then is answered with
+// "unknown".
 func TestRequestsGoOnWithoutThePlatform(t *testing.T) {
 	f := callsFleet(t)
 	f.fault(f.platform, standin.Faults{Outage: true})
--- a/test/promises/settings_test.go
+++ b/test/promises/settings_test.go
@@ -17,8 +17,8 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// The promise about settings: what was accepted is in force everywhere within
-// seconds, and never reverts.
+// The promise about settings: an accepted version is in force on all hosts within seconds and never
+// reverts.
 
 // versionWatch reads every host's version all the time, and notes if one ever
 // goes back.
@@ -53,17 +53,20 @@
 	return w
 }
 
+// end stops the watch and returns the reverts.
 func (w *versionWatch) end() []string {
 	close(w.stop)
 	w.done.Wait()
 	return w.reverts
 }
 
+// deadline returns the settings with another deadline.
 func deadline(ms int) string {
 	return strings.Replace(settings, `"deadline": "5s"`, fmt.Sprintf(`"deadline": "%dms"`, ms), 1)
 }
 
-// editConcurrently lets two operators edit at two hosts, each from the version it sees.
+// editConcurrently makes two operators edit at two hosts, each based on the version that its host
+// has. It returns the host that accepted each version, and fails the test if two did.
 func (f *fleet) editConcurrently(edits int) (accepted map[int64]string) {
 	accepted = map[int64]string{}
 	var mu sync.Mutex
@@ -106,7 +109,7 @@
 	must.SliceEmpty(t, w.end())
 }
 
-// An edit whose answer was lost is asked again with the same id: it is accepted
+// The answer to an edit is lost, and the operator retries with the same id: the edit is accepted
 // once.
 func TestRetriedEditIsAcceptedOnce(t *testing.T) {
 	f := newFleet(t, []string{"a1"})
@@ -119,8 +122,8 @@
 	must.Eq(t, int64(2), e.status().Settings)
 }
 
-// A hall that is cut from the platform but not from its peers has a new version
-// too; a new process that starts in an outage gets it from its peers.
+// A hall that can't reach the platform gets a new version from its peers. A restarted process has
+// the new version, too.
 func TestSettingsReachAPartitionedHallAndANewProcess(t *testing.T) {
 	f := newFleet(t, []string{"a1", "a2", "b1"})
 	f.ready()
@@ -133,8 +136,8 @@
 	f.until("the new process reads the host list", func() bool { return f.entries["a2"].status().Settings == 2 })
 }
 
-// A process that is handed an old version keeps the new one. The old one comes
-// from a host that was cut off from everything meanwhile.
+// offerOldVersion partitions host b1 while a new version is accepted, then makes a2 hear from b1
+// alone, which has the old version. It returns the reverts.
 func offerOldVersion(f *fleet) []string {
 	w := f.watchVersions()
 	b1 := f.entries["b1"]
@@ -142,7 +145,7 @@
 	b1.relay.setCut(true)
 	must.Eq(f.t, http.StatusOK, f.entries["a1"].edit(deadline(3000), 1, "x").status)
 	f.until("a2 has it from its peer", func() bool { return f.entries["a2"].status().Settings == 2 })
-	f.entries["a1"].relay.setCut(true) // a2 now hears b1 alone
+	f.entries["a1"].relay.setCut(true) // a2 now reaches b1 only
 	b1.relay.setCut(false)
 	time.Sleep(5 * time.Second)
 	return w.end()
@@ -156,8 +159,8 @@
 	f.awaitVersion(2)
 }
 
-// offerDelayedVersion hands every host an offer of the first version that was held up in the
-// network while the second was accepted.
+// offerDelayedVersion sends every host an offer of the first version after the second was accepted,
+// like a message delayed by the network. It returns the reverts.
 func offerDelayedVersion(f *fleet) []string {
 	must.Eq(f.t, http.StatusOK, f.entries["a1"].edit(deadline(3000), 1, "x").status)
 	f.awaitVersion(2)
@@ -187,7 +190,7 @@
 	must.SliceNotEmpty(t, offerDelayedVersion(f))
 }
 
-// A refused tree changes nothing.
+// Rejected settings change nothing.
 func TestMalformedSettingsAreRejected(t *testing.T) {
 	f := newFleet(t, []string{"a1"})
 	f.ready()
--- a/test/promises/tasks_test.go
+++ b/test/promises/tasks_test.go
@@ -14,12 +14,12 @@
 	"github.com/wrenferry/wrenferry/pkg/standin"
 )
 
-// Promises about tasks: no host over-committed, no task in two places, evicted
-// work resumes exactly once, a job that must not repeat runs at most once.
+// Promises about tasks: no host is overcommitted, no task runs in two places, evicted work resumes
+// exactly once, and a job that is not repeatable runs at most once.
 
 const work2s = `{"runMs": 2000}`
 
-// jobsFleet is two entry hosts and two workers in one hall.
+// jobsFleet starts two entry hosts and two workers in one hall.
 func jobsFleet(t *testing.T, options ...option) *fleet {
 	t.Helper()
 	f := newFleet(t, []string{"a1", "a2"}, options...)
@@ -29,7 +29,7 @@
 	return f
 }
 
-// otherEntry is the entry host of hall a that does not lead.
+// otherEntry returns the entry host of hall a that does not lead.
 func otherEntry(leader string) string {
 	if leader == "a1" {
 		return "a2"
@@ -37,14 +37,14 @@
 	return "a1"
 }
 
-// checkTasks holds the promises that every test of tasks must keep.
+// checkTasks checks the promises that hold in every test of tasks.
 func (f *fleet) checkTasks() {
 	f.t.Helper()
 	must.SliceEmpty(f.t, f.duplicateExecutions())
 	must.SliceEmpty(f.t, f.overcommittedWorkers())
 	must.SliceEmpty(f.t, f.checkpointsResumedTwice())
 	for task, n := range f.finishCounts() {
-		must.Eq(f.t, 1, n, must.Sprintf("task %s came to its end %d times", task, n))
+		must.Eq(f.t, 1, n, must.Sprintf("task %s finished %d times", task, n))
 	}
 }
 
@@ -62,8 +62,8 @@
 	must.SliceNotEmpty(t, f.overcommittedWorkers())
 }
 
-// floodEvictAndKill sends far more than fits, evicts with urgent work, kills the
-// leader and restarts a worker, all together.
+// floodEvictAndKill submits far more tasks than fit, evicts some by urgent work, kills the leader and
+// restarts a worker.
 func floodEvictAndKill(f *fleet) {
 	leader := f.leader("a")
 	e := f.entries[otherEntry(leader)]
@@ -88,7 +88,7 @@
 	f.awaitJob(e, "j", "done")
 	f.checkTasks()
 	for task, n := range f.startCounts() {
-		must.Eq(t, 1, n, must.Sprintf("%s: a leader's death costs no running task its attempt", task))
+		must.Eq(t, 1, n, must.Sprintf("%s: the leader's death must not restart a running task", task))
 	}
 }
 
@@ -103,7 +103,7 @@
 	f.entries[leader].signal(syscall.SIGCONT)
 	f.awaitJob(e, "j", "done")
 	f.checkTasks()
-	f.until("the old one follows", func() bool { return !f.entries[leader].status().Leading })
+	f.until("the old leader follows", func() bool { return !f.entries[leader].status().Leading })
 }
 
 func TestWorkerFrozenBeyondItsLease(t *testing.T) {
@@ -121,8 +121,8 @@
 	must.SliceNotEmpty(t, f.duplicateExecutions())
 }
 
-// moveOffFrozenWorker freezes the worker that runs a task until the task has
-// begun elsewhere, and wakes it.
+// moveOffFrozenWorker freezes the worker that runs a task, and resumes the worker once the task has
+// started on another one.
 func moveOffFrozenWorker(f *fleet) {
 	e := f.entries["a1"]
 	f.submit(e, "ingest", "j", `{"runMs": 4000}`, 1)
@@ -139,12 +139,12 @@
 	})
 	f.workers[frozen].signal(syscall.SIGCONT)
 	f.awaitJob(e, "j", "done")
-	time.Sleep(200 * time.Millisecond) // let the woken worker write its record
+	time.Sleep(200 * time.Millisecond) // let the resumed worker write its record
 }
 
-// A leader that the platform can't hear goes on with the worker that it reaches.
-// The next leader reaches only the other, free worker, and must not start there
-// what may still run under the old leader's leases.
+// partitionLeader cuts the leader off from the platform and from the free worker; it keeps the busy
+// one. The next leader reaches only the free worker, and must not start a task on it that may still
+// run under the old leader's leases.
 func partitionLeader(f *fleet) {
 	leader := f.leader("a")
 	e := f.entries[otherEntry(leader)]
@@ -171,14 +171,14 @@
 	must.SliceNotEmpty(t, f.duplicateExecutions())
 }
 
-// A start that is held up in the network must have no effect once it has been
-// overtaken, though its lease is still good.
+// delayStarts delays a start message. The message must have no effect after newer ones, although its
+// lease is still valid.
 func delayStarts(f *fleet) {
 	e := f.entries["a1"]
 	f.fault(f.workers["w1"], standin.Faults{HoldMS: 4000, HoldCalls: 1})
 	f.submit(e, "ingest", "j", `{"runMs": 300}`, 4)
 	f.awaitJob(e, "j", "done")
-	time.Sleep(4 * time.Second) // let the held message come in
+	time.Sleep(4 * time.Second) // let the delayed message arrive
 }
 
 func TestDelayedStartHasNoEffect(t *testing.T) {
@@ -197,8 +197,8 @@
 	must.SliceNotEmpty(t, f.duplicateExecutions())
 }
 
-// Work goes on through an outage of the platform longer than every lease, and
-// what was committed ahead starts during it.
+// Tasks continue during a platform outage longer than every lease, and placements committed before
+// it start.
 func TestPlatformOutageLongerThanLeases(t *testing.T) {
 	f := jobsFleet(t)
 	e := f.entries["a1"]
@@ -216,7 +216,7 @@
 	f.awaitJob(e, "j", "done")
 	f.checkTasks()
 	for task, n := range f.startCounts() {
-		must.Eq(t, 1, n, must.Sprintf("%s was not disturbed by the outage", task))
+		must.Eq(t, 1, n, must.Sprintf("the outage must not restart %s", task))
 	}
 }
 
@@ -229,7 +229,7 @@
 	f.checkTasks()
 }
 
-// An answer that is lost after the write took effect, at each kind of write.
+// The answer to a write is lost after the write took effect, for each kind of row.
 func TestAnswersLostAtEachKindOfWrite(t *testing.T) {
 	for _, key := range []string{"leader/", "job/", "inbox/", "task/", "worker/"} {
 		t.Run(strings.TrimSuffix(key, "/"), func(t *testing.T) {
@@ -248,8 +248,8 @@
 	}
 }
 
-// A worker that dies takes its tasks with it. A billed job may then have run, so
-// it ends as unknown; one that may repeat runs again.
+// restartWorkerUnderJobs kills and restarts a worker that runs a billed job and a repeatable one. The
+// billed job may have run, so it must end as unknown; the repeatable job runs again.
 func restartWorkerUnderJobs(f *fleet) {
 	e := f.entries["a1"]
 	f.submit(e, "billed", "once", `{"runMs": 3000}`, 1)
@@ -301,8 +301,8 @@
 	f.checkTasks()
 }
 
-// A duplicate key with another body is refused; a job larger than any host is
-// refused; one key is one job, at any entry host.
+// A key identifies one job at all entry hosts. A submission with the same key and another body is
+// rejected, and so is a job larger than any host.
 func TestJobKeys(t *testing.T) {
 	f := jobsFleet(t)
 	a, b := f.entries["a1"], f.entries["a2"]
