--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -14,14 +14,14 @@
 
 const (
 	taskCPU = 1500
-	// crashesOne of so many jobs has a task that crashes each worker that starts it.
-	crashesOne = 50
-	// askTimeout bounds one call of a caller.
-	askTimeout = 3 * time.Second
-	// askEvery is how often a caller asks for a job's state.
-	askEvery = 150 * time.Millisecond
-	// handInTries is how often a job is handed in: with the pauses between, over a minute.
-	handInTries = 400
+	// crashingJobOneIn of so many jobs has a task that crashes each worker that starts it.
+	crashingJobOneIn = 50
+	// callTimeout bounds one call of a caller.
+	callTimeout = 3 * time.Second
+	// statePollInterval is how often a caller asks for a job's state.
+	statePollInterval = 150 * time.Millisecond
+	// maxSubmitTries is how often a job is handed in: with the pauses between, over a minute.
+	maxSubmitTries = 400
 )
 
 // caller hands jobs in, asks for them, and cancels some. It keeps its connections open until
@@ -35,7 +35,7 @@
 func newCaller(hosts []*host, c *checker) *caller {
 	all := &caller{hosts: hosts, checker: c}
 	for range hosts {
-		all.clients = append(all.clients, &http.Client{Timeout: askTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16}})
+		all.clients = append(all.clients, &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 16}})
 	}
 	return all
 }
@@ -57,8 +57,8 @@
 	return resp.StatusCode, string(text), err
 }
 
-// life hands one job in, and stays with it until it has a last state.
-func (c *caller) life(id string, rnd *rand.Rand, until time.Time) {
+// runJob hands one job in, and stays with it until it has a last state.
+func (c *caller) runJob(id string, rnd *rand.Rand, until time.Time) {
 	j := &sentJob{text: "text of " + id}
 	var steps []map[string]any
 	for i := range 1 + rnd.IntN(3) {
@@ -73,22 +73,22 @@
 	if err != nil {
 		panic(err) // a job of ours has JSON
 	}
-	if rnd.IntN(crashesOne) == 0 {
+	if rnd.IntN(crashingJobOneIn) == 0 {
 		step := rnd.IntN(len(j.steps))
-		j.crashes = fmt.Sprintf("%s.0.%d.%d", id, step, rnd.IntN(j.steps[step]))
+		j.crashingTask = fmt.Sprintf("%s.0.%d.%d", id, step, rnd.IntN(j.steps[step]))
 	}
 	c.checker.sent(id, j)
-	if !c.handIn(id, string(body), rnd) {
+	if !c.submit(id, string(body), rnd) {
 		return
 	}
 	if rnd.IntN(8) == 0 {
 		time.Sleep(time.Duration(rnd.IntN(500)) * time.Millisecond)
-		c.checker.cancelAsked(id)
+		c.checker.cancelRequested(id)
 		c.cancel(id, rnd)
 	}
 	state := ""
 	for time.Now().Before(until) {
-		time.Sleep(askEvery)
+		time.Sleep(statePollInterval)
 		status, text, err := c.call(rnd.IntN(len(c.hosts)), http.MethodGet, id, "")
 		if err != nil {
 			continue
@@ -97,19 +97,19 @@
 		if status == http.StatusOK && json.Unmarshal([]byte(text), &told) == nil {
 			state = told.State
 		}
-		c.checker.shown(id, status, told.State)
+		c.checker.stateShown(id, status, told.State)
 		if told.State == "completed" || told.State == "cancelled" || told.State == "failed" {
 			return
 		}
 	}
-	c.checker.lost(id, state)
+	c.checker.notCompleted(id, state)
 }
 
-// handIn hands a job in until it is taken; it says whether it was.
-func (c *caller) handIn(id, body string, rnd *rand.Rand) bool {
-	for range handInTries {
+// submit hands a job in until it is taken; it says whether it was.
+func (c *caller) submit(id, body string, rnd *rand.Rand) bool {
+	for range maxSubmitTries {
 		status, _, err := c.call(rnd.IntN(len(c.hosts)), http.MethodPost, id, body)
-		c.checker.answered(id, status, err)
+		c.checker.submitAnswered(id, status, err)
 		if err == nil && status/100 == 2 {
 			return true
 		}
@@ -119,12 +119,12 @@
 }
 
 func (c *caller) cancel(id string, rnd *rand.Rand) {
-	for range handInTries {
+	for range maxSubmitTries {
 		status, _, err := c.call(rnd.IntN(len(c.hosts)), http.MethodDelete, id, "")
 		if err == nil && (status/100 == 2 || status == http.StatusGone) {
 			return
 		}
-		time.Sleep(askEvery)
+		time.Sleep(statePollInterval)
 	}
 }
 
@@ -134,7 +134,7 @@
 	end := time.Now().Add(span)
 	for n := 1; time.Now().Before(end); n++ {
 		id, own := fmt.Sprintf("%016x", n), rand.New(rand.NewPCG(rnd.Uint64(), 1))
-		all.Go(func() { c.life(id, own, end.Add(wait)) })
+		all.Go(func() { c.runJob(id, own, end.Add(wait)) })
 		time.Sleep(time.Duration(rnd.Int64N(int64(2 * pause))))
 	}
 	all.Wait()
--- a/test/soak/checker_test.go
+++ b/test/soak/checker_test.go
@@ -20,19 +20,19 @@
 //	GIVENUP  a job shown as failed of which no task failed often enough, or crashed two workers
 //	LOST     an accepted job that is not known, or has no last state long after all faults
 type checker struct {
-	mu    sync.Mutex
-	began time.Time
-	jobs  map[string]*sentJob
-	runs  map[string]map[string]bool // by task: those that run, as life and number
-	done  map[string]bool
-	noted map[string]bool
-	last  map[string]time.Time // the last start of each task
-	// underCrash are the crashes under tasks that crash their workers, more the starts after too many;
+	mu               sync.Mutex
+	startedAt        time.Time
+	jobs             map[string]*sentJob
+	running          map[string]map[string]bool // by task: those that run, as life and number
+	done             map[string]bool
+	acknowledgedDone map[string]bool
+	lastStart        map[string]time.Time // the last start of each task
+	// crashesUnder are the crashes under tasks that crash their workers, more the starts after too many;
 	// failures are the runs of each task that ended as failed.
-	underCrash, more, failures map[string]int
+	crashesUnder, startsAfterCrashes, failures map[string]int
 
-	broken []string
-	story  []string
+	violations []string
+	log        []string
 }
 
 // sentJob is a job that a caller handed in.
@@ -40,41 +40,41 @@
 	text  string
 	steps []int // how many tasks each step has; each comes after the one before
 	// accepted, and answers that leave open whether it was.
-	accepted, unsure bool
-	cancelled        bool
-	// crashes is a task of it that crashes each worker that starts it.
-	crashes string
+	accepted, maybeAccepted bool
+	cancelled               bool
+	// crashingTask is a task of it that crashes each worker that starts it.
+	crashingTask string
 }
 
 const (
-	crashesEnough, startsTooMany, crashesToFail = 3, 3, 2
-	// attempts is how often a task may fail, by the manifest.
-	attempts = 3
+	crashLimit, extraStartLimit, crashesBeforeFailure = 3, 3, 2
+	// maxAttempts is how often a task may fail, by the manifest.
+	maxAttempts = 3
 )
 
-// crashes says whether a task crashes its workers.
-func (c *checker) crashes(task string) bool {
+// crashesWorkers says whether a task crashes its workers.
+func (c *checker) crashesWorkers(task string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id, _, _ := strings.Cut(task, ".")
-	return c.jobs[id] != nil && c.jobs[id].crashes == task
+	return c.jobs[id] != nil && c.jobs[id].crashingTask == task
 }
 
 // crashed takes in that a worker crashed under such a task.
 func (c *checker) crashed(task string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.underCrash[task]++
-	c.line("crash %d under %s", c.underCrash[task], task)
+	c.crashesUnder[task]++
+	c.logLocked("crash %d under %s", c.crashesUnder[task], task)
 }
 
 // mayFail says whether a job has cause to be shown as failed.
 func (c *checker) mayFail(id string) bool {
-	if j := c.jobs[id]; j.crashes != "" && c.underCrash[j.crashes] >= crashesToFail {
+	if j := c.jobs[id]; j.crashingTask != "" && c.crashesUnder[j.crashingTask] >= crashesBeforeFailure {
 		return true
 	}
 	for task, n := range c.failures {
-		if strings.HasPrefix(task, id+".") && n >= attempts {
+		if strings.HasPrefix(task, id+".") && n >= maxAttempts {
 			return true
 		}
 	}
@@ -83,27 +83,27 @@
 
 func newChecker() *checker {
 	return &checker{
-		began: time.Now(), jobs: map[string]*sentJob{}, runs: map[string]map[string]bool{}, done: map[string]bool{},
-		noted: map[string]bool{}, last: map[string]time.Time{},
-		underCrash: map[string]int{}, more: map[string]int{}, failures: map[string]int{},
+		startedAt: time.Now(), jobs: map[string]*sentJob{}, running: map[string]map[string]bool{}, done: map[string]bool{},
+		acknowledgedDone: map[string]bool{}, lastStart: map[string]time.Time{},
+		crashesUnder: map[string]int{}, startsAfterCrashes: map[string]int{}, failures: map[string]int{},
 	}
 }
 
-// tell adds a line to the story.
-func (c *checker) tell(format string, args ...any) {
+// logf adds a line to the story.
+func (c *checker) logf(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.line(format, args...)
+	c.logLocked(format, args...)
 }
 
-func (c *checker) line(format string, args ...any) {
-	c.story = append(c.story, fmt.Sprintf("%8.3f ", time.Since(c.began).Seconds())+fmt.Sprintf(format, args...))
+func (c *checker) logLocked(format string, args ...any) {
+	c.log = append(c.log, fmt.Sprintf("%8.3f ", time.Since(c.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (c *checker) breaks(rule, format string, args ...any) {
+func (c *checker) violate(rule, format string, args ...any) {
 	text := rule + ": " + fmt.Sprintf(format, args...)
-	c.broken = append(c.broken, text)
-	c.line("BROKEN %s", text)
+	c.violations = append(c.violations, text)
+	c.logLocked("BROKEN %s", text)
 }
 
 func (c *checker) sent(id string, j *sentJob) {
@@ -112,72 +112,72 @@
 	c.jobs[id] = j
 }
 
-// answered takes in what a caller was told of a hand-in.
-func (c *checker) answered(id string, status int, err error) {
+// submitAnswered takes in what a caller was told of a hand-in.
+func (c *checker) submitAnswered(id string, status int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
 	switch {
 	case err != nil || (status != 429 && status != 503 && status/100 != 2):
-		j.unsure = true
+		j.maybeAccepted = true
 	case status/100 == 2:
 		if !j.accepted {
-			c.line("%s accepted", id)
+			c.logLocked("%s accepted", id)
 		}
 		j.accepted = true
 	}
 }
 
-func (c *checker) cancelAsked(id string) {
+func (c *checker) cancelRequested(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[id].cancelled = true
-	c.line("%s to be cancelled", id)
+	c.logLocked("%s to be cancelled", id)
 }
 
 func (c *checker) started(life, task string, run int64, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.line("%s starts %s run %d", life, task, run)
+	c.logLocked("%s starts %s run %d", life, task, run)
 	parts := strings.Split(task, ".")
 	j := c.jobs[parts[0]]
 	if j == nil || len(parts) != 4 {
-		c.breaks("ASKED", "%s starts %s, which nobody sent", life, task)
+		c.violate("ASKED", "%s starts %s, which nobody sent", life, task)
 		return
 	}
 	if j.text != text {
-		c.breaks("ASKED", "%s starts %s with another text", life, task)
+		c.violate("ASKED", "%s starts %s with another text", life, task)
 	}
-	if len(c.runs[task]) > 0 {
-		c.breaks("TWICE", "%s starts %s, which runs: %v", life, task, c.runs[task])
+	if len(c.running[task]) > 0 {
+		c.violate("TWICE", "%s starts %s, which runs: %v", life, task, c.running[task])
 	}
-	if c.underCrash[task] >= crashesEnough {
-		if c.more[task]++; c.more[task] >= startsTooMany {
-			c.breaks("BUDGET", "%s starts %s, %d times more after %d workers crashed under it", life, task, c.more[task], crashesEnough)
+	if c.crashesUnder[task] >= crashLimit {
+		if c.startsAfterCrashes[task]++; c.startsAfterCrashes[task] >= extraStartLimit {
+			c.violate("BUDGET", "%s starts %s, %d times more after %d workers crashed under it", life, task, c.startsAfterCrashes[task], crashLimit)
 		}
 	}
-	if c.noted[task] {
-		c.breaks("TWICE", "%s starts %s, whose good end was acknowledged", life, task)
+	if c.acknowledgedDone[task] {
+		c.violate("TWICE", "%s starts %s, whose good end was acknowledged", life, task)
 	}
 	if step, _ := strconv.Atoi(parts[2]); step > 0 {
 		for i := range j.steps[step-1] {
 			if before := fmt.Sprintf("%s.0.%d.%d", parts[0], step-1, i); !c.done[before] {
-				c.breaks("ORDER", "%s starts %s before %s", life, task, before)
+				c.violate("ORDER", "%s starts %s before %s", life, task, before)
 			}
 		}
 	}
-	if c.runs[task] == nil {
-		c.runs[task] = map[string]bool{}
+	if c.running[task] == nil {
+		c.running[task] = map[string]bool{}
 	}
-	c.runs[task][fmt.Sprintf("%s run %d", life, run)] = true
-	c.last[task] = time.Now()
+	c.running[task][fmt.Sprintf("%s run %d", life, run)] = true
+	c.lastStart[task] = time.Now()
 }
 
 func (c *checker) ended(life, task string, run int64, how string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.line("%s ends %s run %d: %s", life, task, run, how)
-	delete(c.runs[task], fmt.Sprintf("%s run %d", life, run))
+	c.logLocked("%s ends %s run %d: %s", life, task, run, how)
+	delete(c.running[task], fmt.Sprintf("%s run %d", life, run))
 	switch how {
 	case howDone:
 		c.done[task] = true
@@ -187,29 +187,29 @@
 }
 
 // acknowledged takes in that a worker was told to forget an end.
-func (c *checker) acknowledged(life string, e listedEnd) {
+func (c *checker) acknowledged(life string, e runEnd) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e.how != howDone || e.lapsed {
 		return
 	}
-	c.line("%s may forget the end of %s run %d", life, e.task, e.run)
-	c.noted[e.task] = true
-	if c.last[e.task].After(e.at) {
-		c.breaks("TWICE", "%s was started after its good end at %s, which is acknowledged", e.task, life)
+	c.logLocked("%s may forget the end of %s run %d", life, e.task, e.run)
+	c.acknowledgedDone[e.task] = true
+	if c.lastStart[e.task].After(e.at) {
+		c.violate("TWICE", "%s was started after its good end at %s, which is acknowledged", e.task, life)
 	}
 }
 
-// shown takes in a state that a caller was told of.
-func (c *checker) shown(id string, status int, state string) {
+// stateShown takes in a state that a caller was told of.
+func (c *checker) stateShown(id string, status int, state string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
 	if status == 410 && j.accepted {
-		c.breaks("LOST", "%s is not known", id)
+		c.violate("LOST", "%s is not known", id)
 	}
 	if state == "failed" && !c.mayFail(id) {
-		c.breaks("GIVENUP", "%s is shown as failed without cause", id)
+		c.violate("GIVENUP", "%s is shown as failed without cause", id)
 	}
 	if state != "completed" {
 		return
@@ -217,26 +217,26 @@
 	for step, count := range j.steps {
 		for i := range count {
 			if task := fmt.Sprintf("%s.0.%d.%d", id, step, i); !c.done[task] {
-				c.breaks("MIXED", "%s is completed, %s is not done", id, task)
+				c.violate("MIXED", "%s is completed, %s is not done", id, task)
 			}
 		}
 	}
 }
 
-func (c *checker) lost(id, state string) {
+func (c *checker) notCompleted(id, state string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.breaks("LOST", "%s was accepted and is %q at the end", id, state)
+	c.violate("LOST", "%s was accepted and is %q at the end", id, state)
 }
 
-// refused checks, at the end, that nothing ran of what was only refused.
-func (c *checker) refused() {
+// checkRefused checks, at the end, that nothing ran of what was only refused.
+func (c *checker) checkRefused() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for task := range c.last {
+	for task := range c.lastStart {
 		id, _, _ := strings.Cut(task, ".")
-		if j := c.jobs[id]; j != nil && !j.accepted && !j.unsure {
-			c.breaks("ASKED", "%s was started, and its job was only refused", task)
+		if j := c.jobs[id]; j != nil && !j.accepted && !j.maybeAccepted {
+			c.violate("ASKED", "%s was started, and its job was only refused", task)
 		}
 	}
 }
@@ -251,17 +251,17 @@
 			accepted++
 		}
 	}
-	for _, line := range c.story {
+	for _, line := range c.log {
 		if strings.Contains(line, "FAULT") && strings.Contains(line, " for ") {
 			faults++
 		}
 	}
-	return fmt.Sprintf("%d jobs sent, %d accepted, %d tasks started, %d ended well, %d faults", len(c.jobs), accepted, len(c.last), len(c.done), faults)
+	return fmt.Sprintf("%d jobs sent, %d accepted, %d tasks started, %d ended well, %d faults", len(c.jobs), accepted, len(c.lastStart), len(c.done), faults)
 }
 
 // result is what was broken, and the story of the first case.
 func (c *checker) result() (broken, story []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]string(nil), c.broken...), append([]string(nil), c.story...)
+	return append([]string(nil), c.violations...), append([]string(nil), c.log...)
 }
--- a/test/soak/host_test.go
+++ b/test/soak/host_test.go
@@ -16,8 +16,8 @@
 	callers    string
 	file       string
 	log        *os.File
-	// way is the proxy between the host and the store.
-	way *proxy
+	// storeProxy is the proxy between the host and the store.
+	storeProxy *proxy
 
 	mu      sync.Mutex
 	process *exec.Cmd
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -28,18 +28,18 @@
 }
 
 const (
-	// listenTries and listenAgain bound the wait for a port that is still being closed, or that
+	// maxListenTries and listenAgain bound the wait for a port that is still being closed, or that
 	// a process which is just being started still holds.
-	listenTries = 100
-	listenAgain = 20 * time.Millisecond
+	maxListenTries      = 100
+	listenRetryInterval = 20 * time.Millisecond
 )
 
 func listen(address string) (l net.Listener, err error) {
-	for range listenTries {
+	for range maxListenTries {
 		if l, err = net.Listen("tcp", address); err == nil {
 			return l, nil
 		}
-		time.Sleep(listenAgain)
+		time.Sleep(listenRetryInterval)
 	}
 	return nil, err
 }
@@ -60,11 +60,11 @@
 		if err != nil {
 			return // it is closed
 		}
-		go p.carry(in)
+		go p.forward(in)
 	}
 }
 
-func (p *proxy) carry(in net.Conn) {
+func (p *proxy) forward(in net.Conn) {
 	p.mu.Lock()
 	cut := p.cut
 	p.mu.Unlock()
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -49,16 +49,16 @@
 }
 
 const (
-	// trouble is how long jobs come and faults strike, calm how long after that every
+	// faultPeriod is how long jobs come and faults strike, calm how long after that every
 	// accepted job may take to its last state: it is no verdict on speed.
-	trouble = 9 * time.Second
-	calm    = 60 * time.Second
-	// usualSeeds are played with the other tests.
-	usualSeeds = 2
-	jobPause   = 60 * time.Millisecond
+	faultPeriod       = 9 * time.Second
+	completionTimeout = 60 * time.Second
+	// defaultSeeds are played with the other tests.
+	defaultSeeds = 2
+	jobPause     = 60 * time.Millisecond
 )
 
-func number(t *testing.T, name string, usual int) (int, bool) {
+func intFromEnv(t *testing.T, name string, usual int) (int, bool) {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
@@ -71,11 +71,11 @@
 
 func TestNoPromiseBreaksOnRealProcesses(t *testing.T) {
 	t.Parallel()
-	if seed, one := number(t, "SEED", 0); one {
+	if seed, one := intFromEnv(t, "SEED", 0); one {
 		t.Log(strings.Join(play(t, uint64(seed)), "\n"))
 		return
 	}
-	n, _ := number(t, "SEEDS", usualSeeds)
+	n, _ := intFromEnv(t, "SEEDS", defaultSeeds)
 	for seed := range n {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -88,12 +88,12 @@
 func play(t *testing.T, seed uint64) []string {
 	t.Helper()
 	d := newDay(t, seed)
-	defer d.end()
+	defer d.cleanUp()
 	var faults sync.WaitGroup
-	faults.Go(d.strike)
-	d.caller.traffic(rand.New(rand.NewPCG(seed, 2)), trouble, calm, jobPause)
+	faults.Go(d.injectFaults)
+	d.caller.traffic(rand.New(rand.NewPCG(seed, 2)), faultPeriod, completionTimeout, jobPause)
 	faults.Wait()
-	d.checker.refused()
+	d.checker.checkRefused()
 	broken, story := d.checker.result()
 	t.Log(d.checker.summary())
 	if len(broken) > 0 {
@@ -104,13 +104,13 @@
 		}
 		_ = os.WriteFile(filepath.Join(dir, "story.txt"), []byte(strings.Join(story, "\n")), 0o600)
 		t.Errorf("seed %d: %d broken, first: %s\nagain: make soak SEED=%d\nlogs: %s\n%s",
-			seed, len(broken), broken[0], seed, dir, strings.Join(about(broken[0], story), "\n"))
+			seed, len(broken), broken[0], seed, dir, strings.Join(relatedLines(broken[0], story), "\n"))
 	}
 	return story
 }
 
-// about is the part of the story that is about the job of a broken promise, or a fault.
-func about(broken string, story []string) []string {
+// relatedLines is the part of the story that is about the job of a broken promise, or a fault.
+func relatedLines(broken string, story []string) []string {
 	job := ""
 	for _, word := range strings.FieldsFunc(broken, func(r rune) bool { return strings.ContainsRune(" .,", r) }) {
 		if len(word) == 16 && job == "" {
@@ -128,16 +128,16 @@
 
 // day is one seeded day: its processes, and who disturbs them.
 type day struct {
-	t       *testing.T
-	mu      sync.Mutex // of rand
-	rand    *rand.Rand
-	store   *platformtest.Store
-	checker *checker
-	workers []*worker
-	fronts  []*proxy
-	hosts   []*host
-	caller  *caller
-	over    chan struct{}
+	t             *testing.T
+	mu            sync.Mutex // of rand
+	rand          *rand.Rand
+	store         *platformtest.Store
+	checker       *checker
+	workers       []*worker
+	workerProxies []*proxy
+	hosts         []*host
+	caller        *caller
+	over          chan struct{}
 }
 
 func newDay(t *testing.T, seed uint64) *day {
@@ -163,15 +163,15 @@
 	must.NoError(d.t, err)
 	w := &worker{
 		id: fmt.Sprintf("i-%d", i), hall: hall, address: free[0], front: free[1], checker: d.checker,
-		rand: rand.New(rand.NewPCG(d.rand.Uint64(), 4)), over: d.over,
+		rand: rand.New(rand.NewPCG(d.rand.Uint64(), 4)), dayOver: d.over,
 		put:    func(key string, row any) { d.store.Put("servers", key, row) },
 		remove: func(key string) { d.store.Remove("servers", key) },
 	}
-	must.NoError(d.t, w.begin())
+	must.NoError(d.t, w.startIncarnation())
 	front, err := newProxy(w.front, w.address)
 	must.NoError(d.t, err)
-	d.workers, d.fronts = append(d.workers, w), append(d.fronts, front)
-	go w.beat()
+	d.workers, d.workerProxies = append(d.workers, w), append(d.workerProxies, front)
+	go w.writeRows()
 }
 
 func (d *day) addHost(i int, halls []string) {
@@ -179,7 +179,7 @@
 	must.NoError(d.t, err)
 	dir := d.t.TempDir()
 	h := &host{name: fmt.Sprintf("host-%d", i), hall: halls[i%len(halls)], callers: free[0], file: filepath.Join(dir, "settings.jsonc")}
-	h.way, err = newProxy(free[4], d.store.Address())
+	h.storeProxy, err = newProxy(free[4], d.store.Address())
 	must.NoError(d.t, err)
 	h.log, err = os.Create(filepath.Join(dir, h.name+".log"))
 	must.NoError(d.t, err)
@@ -199,18 +199,18 @@
 	d.t.Fatal("no host takes calls")
 }
 
-// end ends what the day has started, by its ids.
-func (d *day) end() {
+// cleanUp ends what the day has started, by its ids.
+func (d *day) cleanUp() {
 	close(d.over)
 	for _, h := range d.hosts {
 		h.signal(syscall.SIGCONT)
 		h.kill()
-		h.way.close()
+		h.storeProxy.close()
 		_ = h.log.Close()
 	}
 	for i, w := range d.workers {
 		w.crash()
-		d.fronts[i].close()
+		d.workerProxies[i].close()
 	}
 	d.store.CloseClientConnections()
 	d.store.Close()
--- a/test/soak/worker_test.go
+++ b/test/soak/worker_test.go
@@ -13,14 +13,14 @@
 	howDone     = "done"
 	workerCPU   = 8000
 	workerMemMB = 32000
-	// longestHold is the longest that a worker holds what runs without renewal.
-	longestHold = 10 * time.Second
-	stopTakes   = 100 * time.Millisecond
-	// failsOne of so many runs ends in failure.
-	failsOne = 60
-	// beatEvery is how often a worker writes its row; rowsKept is how long rows outlive it.
-	beatEvery = 400 * time.Millisecond
-	rowsKept  = 1200 * time.Millisecond
+	// maxHold is the longest that a worker holds what runs without renewal.
+	maxHold   = 10 * time.Second
+	stopDelay = 100 * time.Millisecond
+	// failureOneIn of so many runs ends in failure.
+	failureOneIn = 60
+	// rowInterval is how often a worker writes its row; rowsKept is how long rows outlive it.
+	rowInterval = 400 * time.Millisecond
+	rowTTL      = 1200 * time.Millisecond
 )
 
 // worker is a host of workers' lives: one after the other, at one address, under one id.
@@ -32,33 +32,33 @@
 	put            func(key string, row any)
 	remove         func(key string)
 
-	mu   sync.Mutex
-	rand *rand.Rand
-	life *life
-	// lives counts them. late is until when some orders are carried out late and not answered,
+	mu          sync.Mutex
+	rand        *rand.Rand
+	incarnation *incarnation
+	// incarnations counts them. late is until when some orders are carried out late and not answered,
 	// odd until when its row is nonsense, leaves until when it says that it leaves.
-	lives             int
-	late, odd, leaves time.Time
-	// small is until when most of its room is away, none until when all of it is.
-	small, none time.Time
-	downSince   time.Time
-	over        chan struct{}
+	incarnations                                 int
+	delayingUntil, invalidRowUntil, leavingUntil time.Time
+	// smallUntil is until when most of its room is away, none until when all of it is.
+	smallUntil, noRoomUntil time.Time
+	downSince               time.Time
+	dayOver                 chan struct{}
 }
 
-// life is one process of a worker.
-type life struct {
-	name     string
-	born     time.Time
-	offset   time.Duration
-	fence    int64
-	until    time.Duration
-	runs     map[string]*run
-	highest  map[string]int64
-	ended    []listedEnd
-	number   int64
-	changed  chan struct{}
-	server   *http.Server
-	watching *time.Timer
+// incarnation is one process of a worker.
+type incarnation struct {
+	name        string
+	startedAt   time.Time
+	clockOffset time.Duration
+	fence       int64
+	leaseUntil  time.Duration
+	runs        map[string]*run
+	highestRun  map[string]int64
+	ended       []runEnd
+	number      int64
+	changed     chan struct{}
+	server      *http.Server
+	leaseTimer  *time.Timer
 }
 
 type run struct {
@@ -68,7 +68,7 @@
 	cpu    int64
 }
 
-type listedEnd struct {
+type runEnd struct {
 	number int64
 	task   string
 	run    int64
@@ -89,27 +89,27 @@
 	WaitMs   int64  `json:"wait-ms"`
 }
 
-func (l *life) clock() time.Duration { return l.offset + time.Since(l.born) }
+func (l *incarnation) clock() time.Duration { return l.clockOffset + time.Since(l.startedAt) }
 
-// begin starts the next life.
-func (w *worker) begin() error {
+// startIncarnation starts the next life.
+func (w *worker) startIncarnation() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.life != nil {
+	if w.incarnation != nil {
 		return nil // two faults have overlapped
 	}
 	listener, err := listen(w.address)
 	if err != nil {
 		return err
 	}
-	w.lives++
-	l := &life{
-		name: fmt.Sprintf("%s/%d", w.id, w.lives), born: time.Now(), offset: time.Duration(w.rand.IntN(3600)) * time.Second,
-		runs: map[string]*run{}, highest: map[string]int64{}, changed: make(chan struct{}),
+	w.incarnations++
+	l := &incarnation{
+		name: fmt.Sprintf("%s/%d", w.id, w.incarnations), startedAt: time.Now(), clockOffset: time.Duration(w.rand.IntN(3600)) * time.Second,
+		runs: map[string]*run{}, highestRun: map[string]int64{}, changed: make(chan struct{}),
 	}
 	l.server = &http.Server{Handler: w.handler(l), ReadHeaderTimeout: time.Minute}
-	w.life = l
-	w.checker.tell("%s begins", l.name)
+	w.incarnation = l
+	w.checker.logf("%s begins", l.name)
 	go func() { _ = l.server.Serve(listener) }() // until it is closed
 	return nil
 }
@@ -117,13 +117,13 @@
 // crash ends a life at once.
 func (w *worker) crash() {
 	w.mu.Lock()
-	l := w.life
+	l := w.incarnation
 	if l == nil {
 		w.mu.Unlock()
 		return
 	}
-	w.life, w.downSince = nil, time.Now()
-	w.checker.tell("%s crashes", l.name)
+	w.incarnation, w.downSince = nil, time.Now()
+	w.checker.logf("%s crashes", l.name)
 	for task, r := range l.runs {
 		w.checker.ended(l.name, task, r.number, "crashed")
 	}
@@ -132,24 +132,24 @@
 	_ = l.server.Close()
 }
 
-// beat writes the worker's row until the soak is over.
-func (w *worker) beat() {
+// writeRows writes the worker's row until the soak is over.
+func (w *worker) writeRows() {
 	for sequence := 1; ; sequence++ {
 		select {
-		case <-w.over:
+		case <-w.dayOver:
 			return
-		case <-time.After(beatEvery):
+		case <-time.After(rowInterval):
 		}
 		w.mu.Lock()
-		l, now := w.life, time.Now()
+		l, now := w.incarnation, time.Now()
 		state := "ready"
-		if now.Before(w.leaves) {
+		if now.Before(w.leavingUntil) {
 			state = "draining"
 		}
-		odd, down, room := now.Before(w.odd), now.Sub(w.downSince), w.room()
+		odd, down, room := now.Before(w.invalidRowUntil), now.Sub(w.downSince), w.availableCPU()
 		w.mu.Unlock()
 		switch {
-		case l == nil && down > rowsKept:
+		case l == nil && down > rowTTL:
 			w.remove(w.id)
 		case l == nil:
 		case odd:
@@ -158,15 +158,15 @@
 			w.put(w.id, map[string]any{
 				"service": "pool", "address": w.front, "zone": w.hall, "version": "v1", "slots": 8, "state": state, "sequence": sequence,
 				"capacity": map[string]any{"cpu": room, "mem-mb": workerMemMB, "gpu": 0}, "labels": []string{"a", "r1"},
-				"machine": "m-" + w.id, "born": l.born.UnixMilli(), "clock-ms": l.clock().Milliseconds(), "remaining-ms": 3000,
+				"machine": "m-" + w.id, "born": l.startedAt.UnixMilli(), "clock-ms": l.clock().Milliseconds(), "remaining-ms": 3000,
 			})
 		}
 	}
 }
 
-func (w *worker) handler(l *life) http.Handler {
+func (w *worker) handler(l *incarnation) http.Handler {
 	mux := http.NewServeMux()
-	for path, do := range map[string]func(*life, order) (int, map[string]any){
+	for path, do := range map[string]func(*incarnation, order) (int, map[string]any){
 		"POST /run-start": w.start, "POST /run-stop": w.stop, "POST /pace": w.pace,
 	} {
 		mux.HandleFunc(path, func(out http.ResponseWriter, in *http.Request) {
@@ -174,12 +174,12 @@
 			if !ok {
 				return
 			}
-			if w.isLate() {
-				time.AfterFunc(time.Second+time.Duration(o.Run%4)*time.Second, func() { w.carryOut(l, o, do) })
+			if w.delaysOrder() {
+				time.AfterFunc(time.Second+time.Duration(o.Run%4)*time.Second, func() { w.execute(l, o, do) })
 				<-in.Context().Done() // it is never answered
 				return
 			}
-			status, answer := w.carryOut(l, o, do)
+			status, answer := w.execute(l, o, do)
 			reply(out, status, answer)
 		})
 	}
@@ -188,10 +188,10 @@
 		if !ok {
 			return
 		}
-		status, answer := w.carryOut(l, o, w.hold)
+		status, answer := w.execute(l, o, w.hold)
 		if ended, _ := answer["finished"].([][]any); status == http.StatusOK && len(ended) == 0 && o.WaitMs > 0 {
 			w.await(in, l, time.Duration(o.WaitMs)*time.Millisecond)
-			status, answer = w.carryOut(l, o, w.hold)
+			status, answer = w.execute(l, o, w.hold)
 		}
 		reply(out, status, answer)
 	})
@@ -219,13 +219,13 @@
 	_ = json.NewEncoder(out).Encode(answer) // a caller that has left needs none
 }
 
-func (w *worker) isLate() bool {
+func (w *worker) delaysOrder() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return time.Now().Before(w.late) && w.rand.IntN(3) == 0
+	return time.Now().Before(w.delayingUntil) && w.rand.IntN(3) == 0
 }
 
-func (w *worker) await(in *http.Request, l *life, span time.Duration) {
+func (w *worker) await(in *http.Request, l *incarnation, span time.Duration) {
 	w.mu.Lock()
 	changed := l.changed
 	w.mu.Unlock()
@@ -236,15 +236,15 @@
 	}
 }
 
-// carryOut does what an order says, if its life and its fence allow it.
-func (w *worker) carryOut(l *life, o order, do func(*life, order) (int, map[string]any)) (int, map[string]any) {
+// execute does what an order says, if its life and its fence allow it.
+func (w *worker) execute(l *incarnation, o order, do func(*incarnation, order) (int, map[string]any)) (int, map[string]any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.life != l {
+	if w.incarnation != l {
 		return http.StatusServiceUnavailable, nil
 	}
-	w.lapse(l)
-	answer := map[string]any{"clock-ms": l.clock().Milliseconds(), "born": l.born.UnixMilli()}
+	w.expireLease(l)
+	answer := map[string]any{"clock-ms": l.clock().Milliseconds(), "born": l.startedAt.UnixMilli()}
 	if o.Fence < l.fence {
 		answer["reason"] = "fence"
 		return http.StatusConflict, answer
@@ -257,26 +257,26 @@
 	return status, answer
 }
 
-func (w *worker) extend(l *life, ms int64) {
+func (w *worker) extend(l *incarnation, ms int64) {
 	for i := range l.ended {
-		l.ended[i].lapsed = l.ended[i].lapsed || l.clock() > l.until
+		l.ended[i].lapsed = l.ended[i].lapsed || l.clock() > l.leaseUntil
 	}
-	l.until = max(l.until, min(time.Duration(ms)*time.Millisecond, l.clock()+longestHold))
-	if l.watching != nil {
-		l.watching.Stop()
+	l.leaseUntil = max(l.leaseUntil, min(time.Duration(ms)*time.Millisecond, l.clock()+maxHold))
+	if l.leaseTimer != nil {
+		l.leaseTimer.Stop()
 	}
-	l.watching = time.AfterFunc(l.until-l.clock()+time.Millisecond, func() {
+	l.leaseTimer = time.AfterFunc(l.leaseUntil-l.clock()+time.Millisecond, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.life == l {
-			w.lapse(l)
+		if w.incarnation == l {
+			w.expireLease(l)
 		}
 	})
 }
 
-// lapse ends all that runs when the lease is over.
-func (w *worker) lapse(l *life) {
-	if l.clock() <= l.until {
+// expireLease ends all that runs when the lease is over.
+func (w *worker) expireLease(l *incarnation) {
+	if l.clock() <= l.leaseUntil {
 		return
 	}
 	for task := range l.runs {
@@ -284,18 +284,18 @@
 	}
 }
 
-func (w *worker) end(l *life, task, how string) {
+func (w *worker) end(l *incarnation, task, how string) {
 	r := l.runs[task]
 	delete(l.runs, task)
-	l.highest[task] = max(l.highest[task], r.number)
+	l.highestRun[task] = max(l.highestRun[task], r.number)
 	l.number++
-	l.ended = append(l.ended, listedEnd{number: l.number, task: task, run: r.number, how: how, at: time.Now()})
+	l.ended = append(l.ended, runEnd{number: l.number, task: task, run: r.number, how: how, at: time.Now()})
 	w.checker.ended(l.name, task, r.number, how)
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-func (w *worker) hold(l *life, o order) (int, map[string]any) {
+func (w *worker) hold(l *incarnation, o order) (int, map[string]any) {
 	if o.Expires > 0 {
 		w.extend(l, o.Expires)
 	}
@@ -318,7 +318,7 @@
 	return http.StatusOK, map[string]any{"active": active, "finished": finished}
 }
 
-func (w *worker) start(l *life, o order) (int, map[string]any) {
+func (w *worker) start(l *incarnation, o order) (int, map[string]any) {
 	refuse := func(reason string) (int, map[string]any) {
 		return http.StatusConflict, map[string]any{"reason": reason}
 	}
@@ -329,51 +329,51 @@
 		return refuse("late")
 	}
 	w.extend(l, o.Expires)
-	if l.runs[o.Task] != nil || l.highest[o.Task] >= o.Run {
+	if l.runs[o.Task] != nil || l.highestRun[o.Task] >= o.Run {
 		return refuse("old")
 	}
 	taken := int64(0)
 	for _, r := range l.runs {
 		taken += r.cpu
 	}
-	if taken+taskCPU > w.room() {
+	if taken+taskCPU > w.availableCPU() {
 		return refuse("room")
 	}
 	r := &run{number: o.Run, since: time.Now(), takes: time.Duration(30+w.rand.IntN(500)) * time.Millisecond, cpu: taskCPU}
 	l.runs[o.Task] = r
 	w.checker.started(l.name, o.Task, o.Run, o.Spec)
-	if w.checker.crashes(o.Task) {
-		time.AfterFunc(crashAfter, func() { w.crashUnder(l, o.Task) })
+	if w.checker.crashesWorkers(o.Task) {
+		time.AfterFunc(crashAfter, func() { w.crashDuring(l, o.Task) })
 	}
 	how := howDone
-	if w.rand.IntN(failsOne) == 0 {
+	if w.rand.IntN(failureOneIn) == 0 {
 		how = "failed"
 	}
 	w.endAfter(l, o.Task, r, r.takes, how)
 	return http.StatusOK, nil
 }
 
-func (w *worker) endAfter(l *life, task string, r *run, span time.Duration, how string) {
+func (w *worker) endAfter(l *incarnation, task string, r *run, span time.Duration, how string) {
 	time.AfterFunc(span, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.life != l {
+		if w.incarnation != l {
 			return
 		}
-		w.lapse(l)
+		w.expireLease(l)
 		if l.runs[task] == r {
 			w.end(l, task, how)
 		}
 	})
 }
 
-func (w *worker) stop(l *life, o order) (int, map[string]any) {
+func (w *worker) stop(l *incarnation, o order) (int, map[string]any) {
 	r := l.runs[o.Task]
 	if r == nil || r.number != o.Run {
 		return http.StatusConflict, map[string]any{"reason": "missing"}
 	}
-	w.endAfter(l, o.Task, r, stopTakes, "stopped")
+	w.endAfter(l, o.Task, r, stopDelay, "stopped")
 	return http.StatusOK, nil
 }
 
-func (w *worker) pace(*life, order) (int, map[string]any) { return http.StatusOK, nil }
+func (w *worker) pace(*incarnation, order) (int, map[string]any) { return http.StatusOK, nil }
