--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -14,18 +14,19 @@
 
 const (
 	taskCPU = 1500
-	// crashingJobOneIn of so many jobs has a task that crashes each worker that starts it.
+	// crashingJobOneIn is the number of jobs of which one, on average, has a task that crashes each
+	// worker that starts it.
 	crashingJobOneIn = 50
 	// callTimeout bounds one call of a caller.
 	callTimeout = 3 * time.Second
-	// statePollInterval is how often a caller asks for a job's state.
+	// statePollInterval is the time between two queries of a caller for a job's state.
 	statePollInterval = 150 * time.Millisecond
-	// maxSubmitTries is how often a job is handed in: with the pauses between, over a minute.
+	// maxSubmitTries bounds the submissions of a job. With the pauses between, they take over a minute.
 	maxSubmitTries = 400
 )
 
-// caller hands jobs in, asks for them, and cancels some. It keeps its connections open until
-// their process is gone.
+// caller submits jobs, queries their states and cancels some. It keeps its connections open until
+// the entry host's process ends.
 type caller struct {
 	hosts   []*host
 	checker *checker
@@ -40,7 +41,7 @@
 	return all
 }
 
-// call makes one call at a host.
+// call makes one HTTP call to the host with the index at.
 func (c *caller) call(at int, method, id, body string) (int, string, error) {
 	req, err := http.NewRequestWithContext(context.Background(), method, "http://"+c.hosts[at].callers+"/jobs/"+id, strings.NewReader(body))
 	if err != nil {
@@ -57,7 +58,8 @@
 	return resp.StatusCode, string(text), err
 }
 
-// runJob hands one job in, and stays with it until it has a last state.
+// runJob submits a random job and polls it until it has a final state. It reports a job that has none
+// at the given time to the checker.
 func (c *caller) runJob(id string, rnd *rand.Rand, until time.Time) {
 	j := &sentJob{text: "text of " + id}
 	var steps []map[string]any
@@ -71,7 +73,7 @@
 	}
 	body, err := json.Marshal(map[string]any{"spec": j.text, "steps": steps})
 	if err != nil {
-		panic(err) // a job of ours has JSON
+		panic(err) // the job consists of values that JSON can encode
 	}
 	if rnd.IntN(crashingJobOneIn) == 0 {
 		step := rnd.IntN(len(j.steps))
@@ -105,7 +107,7 @@
 	c.checker.notCompleted(id, state)
 }
 
-// submit hands a job in until it is taken; it says whether it was.
+// submit submits a job until it is accepted, and returns whether it was.
 func (c *caller) submit(id, body string, rnd *rand.Rand) bool {
 	for range maxSubmitTries {
 		status, _, err := c.call(rnd.IntN(len(c.hosts)), http.MethodPost, id, body)
@@ -128,7 +130,8 @@
 	}
 }
 
-// traffic hands jobs in for a while, and waits for all of them.
+// traffic submits jobs for span, pause apart on average, and waits until each has a final state or
+// has been pending for wait after the span.
 func (c *caller) traffic(rnd *rand.Rand, span, wait time.Duration, pause time.Duration) {
 	var all sync.WaitGroup
 	end := time.Now().Add(span)
--- a/test/soak/checker_test.go
+++ b/test/soak/checker_test.go
@@ -8,51 +8,52 @@
 	"time"
 )
 
-// checker says which promises are broken, from what workers and callers saw alone. It shares no
-// code with the product.
+// checker detects broken promises from the observations of workers and callers only. It shares no
+// code with the product. Its rules are broken by:
 //
 //	TWICE    two runs of a task at once on workers that are up, or a start after a done end that
 //	         was acknowledged then or later, unless the worker's lease ran out between the two
-//	ORDER    a start before the tasks of the step before have ended well
-//	ASKED    a start of what nobody sent, or was only refused, or with another text
-//	MIXED    a job shown as completed with a task that has not ended well
+//	ORDER    a start before all tasks of the previous step have ended as done
+//	ASKED    a start of a task that nobody submitted, whose job was only rejected, or with another text
+//	MIXED    a job shown as completed with a task that has not ended as done
 //	BUDGET   a third start of a task after three workers have crashed under it
-//	GIVENUP  a job shown as failed of which no task failed often enough, or crashed two workers
-//	LOST     an accepted job that is not known, or has no last state long after all faults
+//	GIVENUP  a job shown as failed, though no task of it failed often enough or crashed two workers
+//	LOST     an accepted job that is unknown, or has no final state long after all faults
 type checker struct {
 	mu               sync.Mutex
 	startedAt        time.Time
 	jobs             map[string]*sentJob
-	running          map[string]map[string]bool // by task: those that run, as life and number
+	running          map[string]map[string]bool // by task: its current runs, as incarnation and run number
 	done             map[string]bool
 	acknowledgedDone map[string]bool
-	lastStart        map[string]time.Time // the last start of each task
-	// crashesUnder are the crashes under tasks that crash their workers, more the starts after too many;
-	// failures are the runs of each task that ended as failed.
+	lastStart        map[string]time.Time // the latest start of each task
+	// crashesUnder counts the worker crashes by each task that crashes its workers, startsAfterCrashes
+	// its starts after crashLimit crashes. failures counts the runs of each task that failed.
 	crashesUnder, startsAfterCrashes, failures map[string]int
 
 	violations []string
 	log        []string
 }
 
-// sentJob is a job that a caller handed in.
+// sentJob is a job that a caller submitted.
 type sentJob struct {
 	text  string
-	steps []int // how many tasks each step has; each comes after the one before
-	// accepted, and answers that leave open whether it was.
+	steps []int // tasks of each step; each step depends on the previous one
+	// accepted means that a submission was accepted. maybeAccepted means that the answer to one left
+	// this open.
 	accepted, maybeAccepted bool
 	cancelled               bool
-	// crashingTask is a task of it that crashes each worker that starts it.
+	// crashingTask is the job's task that crashes each worker that starts it, or empty.
 	crashingTask string
 }
 
 const (
 	crashLimit, extraStartLimit, crashesBeforeFailure = 3, 3, 2
-	// maxAttempts is how often a task may fail, by the manifest.
+	// maxAttempts is the number of failures after which a task is given up, by the manifest.
 	maxAttempts = 3
 )
 
-// crashesWorkers says whether a task crashes its workers.
+// crashesWorkers returns whether a task crashes its workers.
 func (c *checker) crashesWorkers(task string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +61,7 @@
 	return c.jobs[id] != nil && c.jobs[id].crashingTask == task
 }
 
-// crashed takes in that a worker crashed under such a task.
+// crashed records that a worker crashed because of a task.
 func (c *checker) crashed(task string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +69,7 @@
 	c.logLocked("crash %d under %s", c.crashesUnder[task], task)
 }
 
-// mayFail says whether a job has cause to be shown as failed.
+// mayFail returns whether a job may be shown as failed.
 func (c *checker) mayFail(id string) bool {
 	if j := c.jobs[id]; j.crashingTask != "" && c.crashesUnder[j.crashingTask] >= crashesBeforeFailure {
 		return true
@@ -89,17 +90,19 @@
 	}
 }
 
-// logf adds a line to the story.
+// logf adds a line with the time to the log of the day.
 func (c *checker) logf(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.logLocked(format, args...)
 }
 
+// logLocked is logf for callers that hold mu.
 func (c *checker) logLocked(format string, args ...any) {
 	c.log = append(c.log, fmt.Sprintf("%8.3f ", time.Since(c.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
+// violate records a violation of a rule.
 func (c *checker) violate(rule, format string, args ...any) {
 	text := rule + ": " + fmt.Sprintf(format, args...)
 	c.violations = append(c.violations, text)
@@ -112,7 +115,7 @@
 	c.jobs[id] = j
 }
 
-// submitAnswered takes in what a caller was told of a hand-in.
+// submitAnswered records the answer to a submission.
 func (c *checker) submitAnswered(id string, status int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,49 +138,49 @@
 	c.logLocked("%s to be cancelled", id)
 }
 
-func (c *checker) started(life, task string, run int64, text string) {
+func (c *checker) started(incarnation, task string, run int64, text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.logLocked("%s starts %s run %d", life, task, run)
+	c.logLocked("%s starts %s run %d", incarnation, task, run)
 	parts := strings.Split(task, ".")
 	j := c.jobs[parts[0]]
 	if j == nil || len(parts) != 4 {
-		c.violate("ASKED", "%s starts %s, which nobody sent", life, task)
+		c.violate("ASKED", "%s starts %s, which nobody submitted", incarnation, task)
 		return
 	}
 	if j.text != text {
-		c.violate("ASKED", "%s starts %s with another text", life, task)
+		c.violate("ASKED", "%s starts %s with another text", incarnation, task)
 	}
 	if len(c.running[task]) > 0 {
-		c.violate("TWICE", "%s starts %s, which runs: %v", life, task, c.running[task])
+		c.violate("TWICE", "%s starts %s, which already runs: %v", incarnation, task, c.running[task])
 	}
 	if c.crashesUnder[task] >= crashLimit {
 		if c.startsAfterCrashes[task]++; c.startsAfterCrashes[task] >= extraStartLimit {
-			c.violate("BUDGET", "%s starts %s, %d times more after %d workers crashed under it", life, task, c.startsAfterCrashes[task], crashLimit)
+			c.violate("BUDGET", "%s starts %s, %d times more after %d workers crashed under it", incarnation, task, c.startsAfterCrashes[task], crashLimit)
 		}
 	}
 	if c.acknowledgedDone[task] {
-		c.violate("TWICE", "%s starts %s, whose good end was acknowledged", life, task)
+		c.violate("TWICE", "%s starts %s, whose done end was acknowledged", incarnation, task)
 	}
 	if step, _ := strconv.Atoi(parts[2]); step > 0 {
 		for i := range j.steps[step-1] {
 			if before := fmt.Sprintf("%s.0.%d.%d", parts[0], step-1, i); !c.done[before] {
-				c.violate("ORDER", "%s starts %s before %s", life, task, before)
+				c.violate("ORDER", "%s starts %s before %s", incarnation, task, before)
 			}
 		}
 	}
 	if c.running[task] == nil {
 		c.running[task] = map[string]bool{}
 	}
-	c.running[task][fmt.Sprintf("%s run %d", life, run)] = true
+	c.running[task][fmt.Sprintf("%s run %d", incarnation, run)] = true
 	c.lastStart[task] = time.Now()
 }
 
-func (c *checker) ended(life, task string, run int64, how string) {
+func (c *checker) ended(incarnation, task string, run int64, how string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.logLocked("%s ends %s run %d: %s", life, task, run, how)
-	delete(c.running[task], fmt.Sprintf("%s run %d", life, run))
+	c.logLocked("%s ends %s run %d: %s", incarnation, task, run, how)
+	delete(c.running[task], fmt.Sprintf("%s run %d", incarnation, run))
 	switch how {
 	case howDone:
 		c.done[task] = true
@@ -186,27 +189,27 @@
 	}
 }
 
-// acknowledged takes in that a worker was told to forget an end.
-func (c *checker) acknowledged(life string, e runEnd) {
+// acknowledged records that a worker may drop an end from its list.
+func (c *checker) acknowledged(incarnation string, e runEnd) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e.how != howDone || e.lapsed {
 		return
 	}
-	c.logLocked("%s may forget the end of %s run %d", life, e.task, e.run)
+	c.logLocked("%s may drop the end of %s run %d", incarnation, e.task, e.run)
 	c.acknowledgedDone[e.task] = true
 	if c.lastStart[e.task].After(e.at) {
-		c.violate("TWICE", "%s was started after its good end at %s, which is acknowledged", e.task, life)
+		c.violate("TWICE", "%s was started after its done end at %s, which is acknowledged", e.task, incarnation)
 	}
 }
 
-// stateShown takes in a state that a caller was told of.
+// stateShown records a job state that a caller was shown.
 func (c *checker) stateShown(id string, status int, state string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
 	if status == 410 && j.accepted {
-		c.violate("LOST", "%s is not known", id)
+		c.violate("LOST", "%s is unknown, but was accepted", id)
 	}
 	if state == "failed" && !c.mayFail(id) {
 		c.violate("GIVENUP", "%s is shown as failed without cause", id)
@@ -223,25 +226,26 @@
 	}
 }
 
+// notCompleted records that an accepted job has no final state at the end.
 func (c *checker) notCompleted(id, state string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violate("LOST", "%s was accepted and is %q at the end", id, state)
 }
 
-// checkRefused checks, at the end, that nothing ran of what was only refused.
+// checkRefused checks, at the end, that no task ran of a job that was only rejected.
 func (c *checker) checkRefused() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for task := range c.lastStart {
 		id, _, _ := strings.Cut(task, ".")
 		if j := c.jobs[id]; j != nil && !j.accepted && !j.maybeAccepted {
-			c.violate("ASKED", "%s was started, and its job was only refused", task)
+			c.violate("ASKED", "%s was started, but its job was only rejected", task)
 		}
 	}
 }
 
-// summary counts what the day was made of.
+// summary returns the counts of jobs, tasks and faults of the day.
 func (c *checker) summary() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -259,8 +263,8 @@
 	return fmt.Sprintf("%d jobs sent, %d accepted, %d tasks started, %d ended well, %d faults", len(c.jobs), accepted, len(c.lastStart), len(c.done), faults)
 }
 
-// result is what was broken, and the story of the first case.
-func (c *checker) result() (broken, story []string) {
+// result returns the violations and the log of the day.
+func (c *checker) result() (violations, log []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]string(nil), c.violations...), append([]string(nil), c.log...)
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// fault is one kind of trouble: it is brought about, and its return is its end.
+// fault is a kind of fault. inject returns when the fault has ended.
 type fault struct {
 	name   string
 	inject func(d *day, span time.Duration)
 }
 
-// faults is what may strike, each as likely as the others; what stands twice strikes more often.
+// faults are the kinds of faults, each equally likely. An entry that stands twice is twice as likely.
 var faults = []fault{
 	{"a host is killed", func(d *day, span time.Duration) { d.restartHost(d.randomHost(), syscall.SIGKILL, span) }},
 	{"a host is stopped", func(d *day, span time.Duration) { d.restartHost(d.randomHost(), syscall.SIGTERM, span) }},
-	{"a host stands still", func(d *day, span time.Duration) {
+	{"a host is paused", func(d *day, span time.Duration) {
 		h := d.randomHost()
 		h.signal(syscall.SIGSTOP)
 		time.Sleep(span)
 		h.signal(syscall.SIGCONT)
 	}},
-	{"a host reads its settings", func(d *day, _ time.Duration) { d.randomHost().signal(syscall.SIGHUP) }},
+	{"a host reloads its settings", func(d *day, _ time.Duration) { d.randomHost().signal(syscall.SIGHUP) }},
 	{"all hosts are killed", func(d *day, span time.Duration) {
 		var all sync.WaitGroup
 		for _, h := range d.hosts {
@@ -30,7 +30,7 @@
 		}
 		all.Wait()
 	}},
-	{"the store refuses all", func(d *day, span time.Duration) { d.store.Refuse(503); time.Sleep(span); d.store.Refuse(0) }},
+	{"the store rejects all calls", func(d *day, span time.Duration) { d.store.Refuse(503); time.Sleep(span); d.store.Refuse(0) }},
 	{"the store loses answers", func(d *day, span time.Duration) {
 		d.store.LoseWrites(true)
 		time.Sleep(span)
@@ -44,7 +44,7 @@
 		time.Sleep(span)
 		p.setCut(false)
 	}},
-	{"a host's connections to the store fall silent", func(d *day, _ time.Duration) { d.randomHost().storeProxy.silence(0, 1) }},
+	{"a host's connections to the store stop carrying data", func(d *day, _ time.Duration) { d.randomHost().storeProxy.silence(0, 1) }},
 	{"a host's connections to the store are reset", func(d *day, _ time.Duration) { d.randomHost().storeProxy.reset() }},
 	{"a worker is cut off", func(d *day, span time.Duration) {
 		p := d.randomWorkerProxy()
@@ -52,16 +52,16 @@
 		time.Sleep(span)
 		p.setCut(false)
 	}},
-	{"a worker's answers get lost", func(d *day, _ time.Duration) { d.randomWorkerProxy().silence(1) }},
-	{"a worker is far", func(d *day, span time.Duration) {
+	{"a worker's answers are lost", func(d *day, _ time.Duration) { d.randomWorkerProxy().silence(1) }},
+	{"a worker has a high latency", func(d *day, span time.Duration) {
 		p := d.randomWorkerProxy()
 		p.setDelay(120 * time.Millisecond)
 		time.Sleep(span)
 		p.setDelay(0)
 	}},
-	{"a worker starts again", func(d *day, span time.Duration) { d.restartWorker(d.randomWorker(), span/3) }},
-	{"a worker starts again", func(d *day, span time.Duration) { d.restartWorker(d.randomWorker(), span/8) }},
-	{"half of the workers start again", func(d *day, span time.Duration) {
+	{"a worker restarts", func(d *day, span time.Duration) { d.restartWorker(d.randomWorker(), span/3) }},
+	{"a worker restarts", func(d *day, span time.Duration) { d.restartWorker(d.randomWorker(), span/8) }},
+	{"half of the workers restart", func(d *day, span time.Duration) {
 		var all sync.WaitGroup
 		for i, w := range d.workers {
 			if i%2 == 0 {
@@ -70,19 +70,19 @@
 		}
 		all.Wait()
 	}},
-	{"a worker carries orders out late", func(d *day, span time.Duration) {
+	{"a worker executes orders late", func(d *day, span time.Duration) {
 		d.setFaultUntil(d.randomWorker(), span, func(w *worker) *time.Time { return &w.delayingUntil })
 	}},
-	{"a worker's room shrinks", func(d *day, span time.Duration) {
+	{"a worker's capacity shrinks", func(d *day, span time.Duration) {
 		d.setFaultUntil(d.randomWorker(), span, func(w *worker) *time.Time { return &w.smallUntil })
 	}},
-	{"a worker's room is gone", func(d *day, span time.Duration) {
+	{"a worker has no capacity", func(d *day, span time.Duration) {
 		d.setFaultUntil(d.randomWorker(), span, func(w *worker) *time.Time { return &w.noRoomUntil })
 	}},
-	{"a worker's row is nonsense", func(d *day, span time.Duration) {
+	{"a worker's row is invalid", func(d *day, span time.Duration) {
 		d.setFaultUntil(d.randomWorker(), span, func(w *worker) *time.Time { return &w.invalidRowUntil })
 	}},
-	{"a worker says that it leaves, and starts again", func(d *day, span time.Duration) {
+	{"a worker drains and restarts", func(d *day, span time.Duration) {
 		w := d.randomWorker()
 		d.setFaultUntil(w, span, func(w *worker) *time.Time { return &w.leavingUntil })
 		d.restartWorker(w, span/4)
@@ -90,13 +90,13 @@
 }
 
 const (
-	// meanFaultInterval is the time between two faults, on average; several last at a time.
+	// meanFaultInterval is the mean time between the starts of two faults, which may overlap.
 	meanFaultInterval = 600 * time.Millisecond
-	// maxFaultSpan is how long one lasts at most.
+	// maxFaultSpan is the range of a fault's duration above its minimum of 200 ms.
 	maxFaultSpan = 3500 * time.Millisecond
 )
 
-// injectFaults brings faults about while jobs come, and waits for their ends.
+// injectFaults injects random faults while jobs arrive, and waits until all have ended.
 func (d *day) injectFaults() {
 	var all sync.WaitGroup
 	for end := time.Now().Add(faultPeriod); time.Now().Before(end); {
@@ -128,16 +128,16 @@
 
 func (d *day) randomWorkerProxy() *proxy {
 	i := d.intN(len(d.workerProxies))
-	d.checker.logf("FAULT at the way to %s", d.workers[i].id)
+	d.checker.logf("FAULT at the proxy of %s", d.workers[i].id)
 	return d.workerProxies[i]
 }
 
-// restartHost ends a host's process by a signal, and starts the next one after a while.
+// restartHost ends a host's process by a signal, and starts a new one after half of span.
 func (d *day) restartHost(h *host, s syscall.Signal, span time.Duration) {
 	ended := h.signal(s)
 	select {
 	case <-ended:
-	case <-time.After(faultPeriod): // one that stands still ends when it goes on
+	case <-time.After(faultPeriod): // a paused process handles the signal only when it is resumed
 		h.kill()
 	}
 	time.Sleep(span / 2)
@@ -146,7 +146,7 @@
 	}
 }
 
-// restartWorker ends a worker's life and starts the next one after a while.
+// restartWorker crashes a worker's incarnation and starts the next one after span.
 func (d *day) restartWorker(w *worker, span time.Duration) {
 	w.crash()
 	time.Sleep(span)
@@ -155,7 +155,7 @@
 	}
 }
 
-// setFaultUntil sets until when a worker has a fault.
+// setFaultUntil sets the end of a worker's fault to span from now, and waits until then.
 func (d *day) setFaultUntil(w *worker, span time.Duration, field func(w *worker) *time.Time) {
 	w.mu.Lock()
 	*field(w) = time.Now().Add(span)
--- a/test/soak/host_test.go
+++ b/test/soak/host_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// host is one entry host: a process after the other under one name.
+// host is one entry host. It runs one process at a time under the same name.
 type host struct {
 	name, hall string
 	callers    string
@@ -22,18 +22,18 @@
 	mu      sync.Mutex
 	process *exec.Cmd
 	ended   chan struct{}
-	// down is since when no process of it runs.
+	// down is when its last process ended.
 	down time.Time
 }
 
-// settings are written to the host's file.
+// settings writes the host's settings file.
 func (h *host) settings(halls, ready, control, figures, table string) error {
 	text := fmt.Sprintf(`{"name": %q, "hall": %q, "halls": [%s], "callers": %q, "ready": %q, "control": %q, "metrics": %q, "table": %q,
 		"retention": "5m", "grace": "4s", "processors": 0.5, "memoryMB": 256}`, h.name, h.hall, halls, h.callers, ready, control, figures, table)
 	return os.WriteFile(h.file, []byte(text), 0o600)
 }
 
-// start runs the next process.
+// start starts a process, unless one runs.
 func (h *host) start() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -48,7 +48,7 @@
 	ended := make(chan struct{})
 	h.process, h.ended = c, ended
 	go func() {
-		_ = c.Wait() // how it ended is in its log
+		_ = c.Wait() // the log has the cause of the end
 		h.mu.Lock()
 		if h.process == c {
 			h.process, h.down = nil, time.Now()
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// signal sends a signal to the process that runs, if one does, and returns what says that it
-// has ended.
+// signal sends a signal to the running process, if any. The returned channel is closed once no such
+// process runs.
 func (h *host) signal(s syscall.Signal) <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -69,9 +69,9 @@
 		close(gone)
 		return gone
 	}
-	_ = h.process.Process.Signal(s) // one that has just ended needs none
+	_ = h.process.Process.Signal(s) // fails only if the process has just ended
 	return h.ended
 }
 
-// kill ends the process at once.
+// kill kills the process and waits until it has ended.
 func (h *host) kill() { <-h.signal(syscall.SIGKILL) }
--- a/test/soak/proxy_test.go
+++ b/test/soak/proxy_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// proxy stands on the way between programs, and disturbs what goes through.
+// proxy forwards TCP connections between programs, and can delay, drop or cut them.
 type proxy struct {
 	listener net.Listener
 	to       string
@@ -15,21 +15,21 @@
 	mu    sync.Mutex
 	conns map[*proxied]bool
 	delay time.Duration
-	// cut lets no new connection through.
+	// cut means that new connections are closed at once.
 	cut bool
 }
 
-// proxied is one connection through a proxy. Once silent, it says nothing more for good.
+// proxied is one connection through a proxy.
 type proxied struct {
 	in, out net.Conn
 	mu      sync.Mutex
-	// silent each way: towards the server, and back.
+	// silent directions drop all further data: 0 is towards the server, 1 back. They stay silent.
 	silent [2]bool
 }
 
 const (
-	// maxListenTries and listenAgain bound the wait for a port that is still being closed, or that
-	// a process which is just being started still holds.
+	// maxListenTries and listenAgain bound the wait for a port that is still being closed, or
+	// that a process between fork and exec still holds.
 	maxListenTries      = 100
 	listenRetryInterval = 20 * time.Millisecond
 )
@@ -89,7 +89,7 @@
 	p.mu.Unlock()
 }
 
-// pump carries one way until an end closes.
+// pump forwards one direction until either end closes.
 func (p *proxy) pump(c *proxied, way int, to io.Writer, from io.Reader) {
 	defer c.close()
 	buffer := make([]byte, 32<<10)
@@ -119,7 +119,7 @@
 	_ = c.out.Close()
 }
 
-// each does something with all connections that are open.
+// each calls do for all open connections.
 func (p *proxy) each(do func(c *proxied)) {
 	p.mu.Lock()
 	list := make([]*proxied, 0, len(p.conns))
@@ -132,10 +132,10 @@
 	}
 }
 
-// reset closes what is open.
+// reset closes all open connections.
 func (p *proxy) reset() { p.each((*proxied).close) }
 
-// silence lets what is open say nothing more, one way or both.
+// silence makes open connections drop all further data in the given directions.
 func (p *proxy) silence(ways ...int) {
 	p.each(func(c *proxied) {
 		c.mu.Lock()
@@ -146,7 +146,8 @@
 	})
 }
 
-// setCut lets nothing through for a while, or something again.
+// setCut cuts the proxy: open connections drop their data, and new ones are closed. Ending the cut
+// closes the silent connections.
 func (p *proxy) setCut(cut bool) {
 	p.mu.Lock()
 	p.cut = cut
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,16 +1,12 @@
-// Package soak_test runs the real daemons as processes of their own against small stand-ins of
-// the store, the workers and the callers, and strikes them with faults that come in series and
-// overlap: processes killed, paused, stopped as planned and told to read their settings; the
-// store away, slow, losing answers and forgetting its history; connections reset, silent for
-// good, or cut; workers that start again under their ids, leave, carry orders out late, have less
-// room, and write rows that nobody understands; tasks that crash each worker that starts them. A checker states the promises from what workers and
-// callers saw.
+// Package soak_test runs the real daemons as processes against stand-ins of the store, the workers
+// and the callers, and injects overlapping faults (faults_test.go and troubles_test.go). A checker
+// tests the promises by the observations of workers and callers.
 //
-//	make soak SEEDS=50           days one after the other, from seed 0
-//	make soak SEED=17            one day again, with its story
+//	make soak SEEDS=50           plays days one after the other, from seed 0
+//	make soak SEED=17            replays one day and prints its log
 //
-// The same seed draws the same faults; processes on a machine don't keep exact time, so a day
-// is not the same to the millisecond.
+// The same seed samples the same faults. Processes on a machine don't keep exact time, so a replay
+// is not identical to the millisecond.
 package soak_test
 
 import (
@@ -49,15 +45,17 @@
 }
 
 const (
-	// faultPeriod is how long jobs come and faults strike, calm how long after that every
-	// accepted job may take to its last state: it is no verdict on speed.
+	// faultPeriod is the time in which jobs arrive and faults start, completionTimeout the time after it in
+	// which every accepted job must get a final state. It is generous, since speed is not checked.
 	faultPeriod       = 9 * time.Second
 	completionTimeout = 60 * time.Second
-	// defaultSeeds are played with the other tests.
+	// defaultSeeds is the number of seeds played without SEED and SEEDS.
 	defaultSeeds = 2
 	jobPause     = 60 * time.Millisecond
 )
 
+// intFromEnv returns the number in an environment variable and true, or usual and false if it is
+// empty.
 func intFromEnv(t *testing.T, name string, usual int) (int, bool) {
 	t.Helper()
 	text := os.Getenv(name)
@@ -84,7 +82,8 @@
 	}
 }
 
-// play plays one day and returns its story.
+// play plays one day and returns its log. It reports violations with the log lines of the first
+// one's job, and stores the logs of the entry hosts.
 func play(t *testing.T, seed uint64) []string {
 	t.Helper()
 	d := newDay(t, seed)
@@ -94,23 +93,23 @@
 	d.caller.traffic(rand.New(rand.NewPCG(seed, 2)), faultPeriod, completionTimeout, jobPause)
 	faults.Wait()
 	d.checker.checkRefused()
-	broken, story := d.checker.result()
+	broken, log := d.checker.result()
 	t.Log(d.checker.summary())
 	if len(broken) > 0 {
 		dir, err := os.MkdirTemp("", "wrenferry-soak-logs-")
 		must.NoError(t, err)
 		for _, h := range d.hosts {
-			_ = exec.Command("cp", h.log.Name(), dir).Run() // a log that is missing is seen there
+			_ = exec.Command("cp", h.log.Name(), dir).Run() // a failed copy shows as a missing file
 		}
-		_ = os.WriteFile(filepath.Join(dir, "story.txt"), []byte(strings.Join(story, "\n")), 0o600)
+		_ = os.WriteFile(filepath.Join(dir, "story.txt"), []byte(strings.Join(log, "\n")), 0o600)
 		t.Errorf("seed %d: %d broken, first: %s\nagain: make soak SEED=%d\nlogs: %s\n%s",
-			seed, len(broken), broken[0], seed, dir, strings.Join(relatedLines(broken[0], story), "\n"))
+			seed, len(broken), broken[0], seed, dir, strings.Join(relatedLines(broken[0], log), "\n"))
 	}
-	return story
+	return log
 }
 
-// relatedLines is the part of the story that is about the job of a broken promise, or a fault.
-func relatedLines(broken string, story []string) []string {
+// relatedLines returns the log lines about the job of a violation and about faults.
+func relatedLines(broken string, log []string) []string {
 	job := ""
 	for _, word := range strings.FieldsFunc(broken, func(r rune) bool { return strings.ContainsRune(" .,", r) }) {
 		if len(word) == 16 && job == "" {
@@ -118,7 +117,7 @@
 		}
 	}
 	var list []string
-	for _, line := range story {
+	for _, line := range log {
 		if (job != "" && strings.Contains(line, job)) || strings.Contains(line, "FAULT") {
 			list = append(list, line)
 		}
@@ -126,7 +125,7 @@
 	return list
 }
 
-// day is one seeded day: its processes, and who disturbs them.
+// day is one seeded day: the processes, their stand-ins and proxies, and the checker.
 type day struct {
 	t             *testing.T
 	mu            sync.Mutex // of rand
@@ -188,7 +187,7 @@
 	d.hosts = append(d.hosts, h)
 }
 
-// ready waits until some host takes a call: faults may strike before the others do.
+// ready waits until the first host answers calls. Faults may hit the others before they do.
 func (d *day) ready() {
 	for range 400 {
 		if status, _, err := d.caller.call(0, "GET", "00000000000000ff", ""); err == nil && status == 410 {
@@ -196,10 +195,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	d.t.Fatal("no host takes calls")
+	d.t.Fatal("the first host answers no calls")
 }
 
-// cleanUp ends what the day has started, by its ids.
+// cleanUp ends the processes, servers and proxies of the day.
 func (d *day) cleanUp() {
 	close(d.over)
 	for _, h := range d.hosts {
--- a/test/soak/troubles_test.go
+++ b/test/soak/troubles_test.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// What makes a worker crash, and what is left of its room.
+// Worker crashes caused by tasks, and faults of a worker's capacity.
 
 const (
-	// crashAfter is how soon after its start a task crashes its worker that does so.
+	// crashAfter is the time from the start of a crashing task to the crash of its worker.
 	crashAfter = 20 * time.Millisecond
-	// crashRestartDelay is how long the worker is away then.
+	// crashRestartDelay is the time from such a crash to the worker's next incarnation.
 	crashRestartDelay = 1500 * time.Millisecond
 )
 
-// crashDuring crashes a life under a task that does that, if it is still there, and begins the next one
-// after a while.
+// crashDuring crashes an incarnation if it still runs a task that crashes workers, and starts the next
+// incarnation after crashRestartDelay.
 func (w *worker) crashDuring(l *incarnation, task string) {
 	w.mu.Lock()
 	there := w.incarnation == l && l.runs[task] != nil
@@ -26,12 +26,12 @@
 		select {
 		case <-w.dayOver:
 		default:
-			_ = w.startIncarnation() // at the end of a day its address may be gone
+			_ = w.startIncarnation() // at the end of a day its address may be taken
 		}
 	})
 }
 
-// availableCPU is what the worker has of its processors now.
+// availableCPU returns the CPU capacity that the worker has now.
 func (w *worker) availableCPU() int64 {
 	now := time.Now()
 	switch {
--- a/test/soak/worker_test.go
+++ b/test/soak/worker_test.go
@@ -13,20 +13,21 @@
 	howDone     = "done"
 	workerCPU   = 8000
 	workerMemMB = 32000
-	// maxHold is the longest that a worker holds what runs without renewal.
+	// maxHold is the maximum time that a worker keeps its runs without a renewal of its lease.
 	maxHold   = 10 * time.Second
 	stopDelay = 100 * time.Millisecond
-	// failureOneIn of so many runs ends in failure.
+	// failureOneIn is the number of runs of which one, on average, fails.
 	failureOneIn = 60
-	// rowInterval is how often a worker writes its row; rowsKept is how long rows outlive it.
+	// rowInterval is the time between two writes of a worker's row. rowTTL is the time that a row
+	// remains after the worker's end.
 	rowInterval = 400 * time.Millisecond
 	rowTTL      = 1200 * time.Millisecond
 )
 
-// worker is a host of workers' lives: one after the other, at one address, under one id.
+// worker is a stand-in worker. It runs one incarnation at a time, at one address and under one id.
 type worker struct {
 	id, hall string
-	// address is where its lives listen, front what its row says: a proxy before it.
+	// address is where its incarnations listen, front the address in its row: that of its proxy.
 	address, front string
 	checker        *checker
 	put            func(key string, row any)
@@ -35,17 +36,18 @@
 	mu          sync.Mutex
 	rand        *rand.Rand
 	incarnation *incarnation
-	// incarnations counts them. late is until when some orders are carried out late and not answered,
-	// odd until when its row is nonsense, leaves until when it says that it leaves.
+	// incarnations is the number of incarnations so far. Until delayingUntil, some orders are executed
+	// late and not answered; until invalidRowUntil, the row is invalid; until leavingUntil, its state is
+	// draining.
 	incarnations                                 int
 	delayingUntil, invalidRowUntil, leavingUntil time.Time
-	// smallUntil is until when most of its room is away, none until when all of it is.
+	// Until smallUntil, the capacity is a single task's; until noRoomUntil, it is 0.
 	smallUntil, noRoomUntil time.Time
 	downSince               time.Time
 	dayOver                 chan struct{}
 }
 
-// incarnation is one process of a worker.
+// incarnation stands for one process of a worker.
 type incarnation struct {
 	name        string
 	startedAt   time.Time
@@ -74,11 +76,11 @@
 	run    int64
 	how    string
 	at     time.Time
-	// lapsed says that the lease ran out after the end.
+	// lapsed means that the lease expired after the end.
 	lapsed bool
 }
 
-// order is any message to a worker.
+// order has the fields of all messages to a worker.
 type order struct {
 	Task     string `json:"task"`
 	Run      int64  `json:"run-id"`
@@ -91,12 +93,12 @@
 
 func (l *incarnation) clock() time.Duration { return l.clockOffset + time.Since(l.startedAt) }
 
-// startIncarnation starts the next life.
+// startIncarnation starts the next incarnation, unless one runs.
 func (w *worker) startIncarnation() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.incarnation != nil {
-		return nil // two faults have overlapped
+		return nil // another fault has started one already
 	}
 	listener, err := listen(w.address)
 	if err != nil {
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// crash ends a life at once.
+// crash ends the incarnation with all its runs at once.
 func (w *worker) crash() {
 	w.mu.Lock()
 	l := w.incarnation
@@ -132,7 +134,8 @@
 	_ = l.server.Close()
 }
 
-// writeRows writes the worker's row until the soak is over.
+// writeRows writes the worker's row every rowInterval until the day is over, and removes it after the
+// worker has been down for rowTTL.
 func (w *worker) writeRows() {
 	for sequence := 1; ; sequence++ {
 		select {
@@ -176,7 +179,7 @@
 			}
 			if w.delaysOrder() {
 				time.AfterFunc(time.Second+time.Duration(o.Run%4)*time.Second, func() { w.execute(l, o, do) })
-				<-in.Context().Done() // it is never answered
+				<-in.Context().Done() // a delayed order gets no answer
 				return
 			}
 			status, answer := w.execute(l, o, do)
@@ -216,7 +219,7 @@
 func reply(out http.ResponseWriter, status int, answer map[string]any) {
 	out.Header().Set("Content-Type", "application/json")
 	out.WriteHeader(status)
-	_ = json.NewEncoder(out).Encode(answer) // a caller that has left needs none
+	_ = json.NewEncoder(out).Encode(answer) // fails only if the caller has closed the connection
 }
 
 func (w *worker) delaysOrder() bool {
@@ -236,7 +239,8 @@
 	}
 }
 
-// execute does what an order says, if its life and its fence allow it.
+// execute executes an order, unless its incarnation has ended or its fencing token is older than one
+// received before.
 func (w *worker) execute(l *incarnation, o order, do func(*incarnation, order) (int, map[string]any)) (int, map[string]any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -257,6 +261,7 @@
 	return status, answer
 }
 
+// extend extends the lease to a time of the worker's clock in milliseconds, at most maxHold from now.
 func (w *worker) extend(l *incarnation, ms int64) {
 	for i := range l.ended {
 		l.ended[i].lapsed = l.ended[i].lapsed || l.clock() > l.leaseUntil
@@ -274,7 +279,7 @@
 	})
 }
 
-// expireLease ends all that runs when the lease is over.
+// expireLease ends all runs if the lease has expired.
 func (w *worker) expireLease(l *incarnation) {
 	if l.clock() <= l.leaseUntil {
 		return
