--- a/test/tree/comments.go
+++ b/test/tree/comments.go
@@ -9,35 +9,35 @@
 	"strings"
 )
 
-// figure is a number that may be a result; 0 and 1 are mostly values of a field.
-const figure = `(?:[2-9]\d*|\d{2,}|\d+[.,]\d+)`
+// numberPattern is a number that may be a result; 0 and 1 are mostly values of a field.
+const numberPattern = `(?:[2-9]\d*|\d{2,}|\d+[.,]\d+)`
 
-// tellingWords tell of a result or a trial wherever they stand.
-var tellingWords = []*regexp.Regexp{
+// resultPhrases tell of a result or a trial wherever they stand.
+var resultPhrases = []*regexp.Regexp{
 	regexp.MustCompile(`\bFound (?:by|on|in|beside)\b`),
 	regexp.MustCompile(`(?i)\btried before\b`),
 	regexp.MustCompile(`(?i)\b(?:on|in|from|of|and) (?:an? |the )?(?:played|emulated|hunted|quiet|own) (?:quiet )?days?\b`),
 	regexp.MustCompile(`(?i)\b(?:known|grown) sites?\b`),
-	regexp.MustCompile(`(?i)\bof ` + figure + ` (?:days|plays|runs)\b`),
+	regexp.MustCompile(`(?i)\bof ` + numberPattern + ` (?:days|plays|runs)\b`),
 	regexp.MustCompile(`(?i)\bseeds? \d{2,}|\bSEED=\d+ of\b`),
 	regexp.MustCompile(`(?i)\bissue \d+`),
 	regexp.MustCompile(`\b20\d\d-\d\d-\d\d\b`),
 }
 
 var (
-	// besideFigure are words that tell of a result where a figure stands in the same clause.
-	besideFigure = regexp.MustCompile(`(?i)\b(?:against|instead of|measured|seen|played|tried|as was)\b`)
-	hasFigure    = regexp.MustCompile(`\b` + figure)
+	// resultWord are words that tell of a result where a figure stands in the same clause.
+	resultWord   = regexp.MustCompile(`(?i)\b(?:against|instead of|measured|seen|played|tried|as was)\b`)
+	resultNumber = regexp.MustCompile(`\b` + numberPattern)
 	clauseEnd    = regexp.MustCompile(`[.;!?](?:\s|$)`)
 	directive    = regexp.MustCompile(`^//[a-z]+:`)
 )
 
-// commentRemedy says what to do about a comment that is found.
-const commentRemedy = "say what the code is for; results belong in the commit and in docs/MEASUREMENTS.md"
+// resultRemedy says what to do about a comment that is found.
+const resultRemedy = "say what the code is for; results belong in the commit and in docs/MEASUREMENTS.md"
 
-// Telling finds comments that tell how a value was found, what was there before, or what a
+// ResultComments finds comments that tell how a value was found, what was there before, or what a
 // day showed.
-func Telling(root string) ([]Finding, error) {
+func ResultComments(root string) ([]Finding, error) {
 	files, err := goFiles(root)
 	if err != nil {
 		return nil, err
@@ -50,14 +50,14 @@
 			return nil, err
 		}
 		for _, group := range parsed.Comments {
-			found = append(found, tellingIn(file, fset, group)...)
+			found = append(found, resultClauses(file, fset, group)...)
 		}
 	}
 	return found, nil
 }
 
-// tellingIn checks a comment clause by clause; a clause may go over several lines.
-func tellingIn(file string, fset *token.FileSet, group *ast.CommentGroup) []Finding {
+// resultClauses checks a comment clause by clause; a clause may go over several lines.
+func resultClauses(file string, fset *token.FileSet, group *ast.CommentGroup) []Finding {
 	var text strings.Builder
 	var starts, lines []int // where in the text each line of the comment starts
 	for _, c := range group.List {
@@ -75,28 +75,28 @@
 		if loc := clauseEnd.FindStringIndex(rest); loc != nil {
 			end = loc[1]
 		}
-		if word, at := telling(rest[:end]); word != "" {
+		if word, at := resultPhrase(rest[:end]); word != "" {
 			line := lines[0]
 			for i, start := range starts {
 				if start <= begin+at {
 					line = lines[i]
 				}
 			}
-			found = append(found, Finding{file, line, "a comment tells of a result: " + strings.TrimSpace(rest[:end]), commentRemedy})
+			found = append(found, Finding{file, line, "a comment tells of a result: " + strings.TrimSpace(rest[:end]), resultRemedy})
 		}
 		begin, rest = begin+end, rest[end:]
 	}
 	return found
 }
 
-// telling returns the word by which a clause tells of a result, and where it stands.
-func telling(clause string) (word string, at int) {
-	for _, w := range tellingWords {
+// resultPhrase returns the word by which a clause tells of a result, and where it stands.
+func resultPhrase(clause string) (word string, at int) {
+	for _, w := range resultPhrases {
 		if loc := w.FindStringIndex(clause); loc != nil {
 			return clause[loc[0]:loc[1]], loc[0]
 		}
 	}
-	if loc := besideFigure.FindStringIndex(clause); loc != nil && hasFigure.MatchString(clause) {
+	if loc := resultWord.FindStringIndex(clause); loc != nil && resultNumber.MatchString(clause) {
 		return clause[loc[0]:loc[1]], loc[0]
 	}
 	return "", 0
--- a/test/tree/comments_test.go
+++ b/test/tree/comments_test.go
@@ -8,9 +8,9 @@
 	"github.com/wrenferry/wrenferry/test/tree"
 )
 
-// tellingAllowed is how many telling comments a file may have. A number may only go down:
+// allowedResultComments is how many telling comments a file may have. A number may only go down:
 // one that is too high is a failure, too.
-var tellingAllowed = map[string]int{
+var allowedResultComments = map[string]int{
 	"pkg/emulator/emulator_test.go":          4,
 	"pkg/emulator/touch_test.go":             2,
 	"pkg/process/poisontask/poisontask.go":   1,
@@ -18,30 +18,30 @@
 	"pkg/standin/platform_test.go":           1,
 }
 
-func TestNoCommentTellsOfResults(t *testing.T) {
+func TestCommentsStateNoResults(t *testing.T) {
 	t.Parallel()
-	found, err := tree.Telling(root)
+	found, err := tree.ResultComments(root)
 	must.NoError(t, err)
 	byFile := map[string][]tree.Finding{}
 	for _, f := range found {
 		byFile[f.File] = append(byFile[f.File], f)
 	}
 	for file, list := range byFile {
-		if len(list) <= tellingAllowed[file] {
+		if len(list) <= allowedResultComments[file] {
 			continue
 		}
 		for _, f := range list {
 			t.Errorf("%s:%d: %s: %s", f.File, f.Line, f.What, f.Remedy)
 		}
 	}
-	for file, n := range tellingAllowed {
+	for file, n := range allowedResultComments {
 		if left := len(byFile[file]); left < n {
 			t.Errorf("%s: %d telling comments are left: lower its number from %d", file, left, n)
 		}
 	}
 }
 
-func TestTellingCommentsAreFoundWithTheirLine(t *testing.T) {
+func TestResultCommentsAreFoundWithTheirLine(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		text string
@@ -61,7 +61,7 @@
 		{"//go:generate tried 25\n", 0},
 	} {
 		dir := writeTree(t, map[string]string{"pkg/a/a.go": "package a\n\n" + c.text + "\nvar A = 1\n"})
-		found, err := tree.Telling(dir)
+		found, err := tree.ResultComments(dir)
 		must.NoError(t, err)
 		if c.line == 0 {
 			must.Len(t, 0, found, must.Sprint(c.text))
--- a/test/tree/heads.go
+++ b/test/tree/heads.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// mostHeadLines bounds a package's head: it is read whole, or not at all.
-const mostHeadLines = 10
+// maxHeadLines bounds a package's head: it is read whole, or not at all.
+const maxHeadLines = 10
 
 // LongHeads finds packages whose heads have too many lines.
 func LongHeads(root string) ([]Finding, error) {
@@ -28,9 +28,9 @@
 			continue
 		}
 		line := fset.Position(parsed.Doc.Pos()).Line
-		if n := fset.Position(parsed.Doc.End()).Line - line + 1; n > mostHeadLines {
+		if n := fset.Position(parsed.Doc.End()).Line - line + 1; n > maxHeadLines {
 			found = append(found, Finding{
-				file, line, fmt.Sprintf("the head of package %s has %d lines of %d", parsed.Name.Name, n, mostHeadLines),
+				file, line, fmt.Sprintf("the head of package %s has %d lines of %d", parsed.Name.Name, n, maxHeadLines),
 				"say what it decides, who calls it and what it never does; the rest stands beside the type that it is about",
 			})
 		}
--- a/test/tree/heads_test.go
+++ b/test/tree/heads_test.go
@@ -9,9 +9,9 @@
 	"github.com/wrenferry/wrenferry/test/tree"
 )
 
-// longHeadsAllowed are the files whose package heads are too long. One that is short now has
+// allowedLongHeads are the files whose package heads are too long. One that is short now has
 // to leave the table.
-var longHeadsAllowed = map[string]bool{
+var allowedLongHeads = map[string]bool{
 	"pkg/emulator/emulator.go":             true,
 	"pkg/process/poisontask/poisontask.go": true,
 	"pkg/process/cell/state.go":            true,
@@ -24,18 +24,18 @@
 	seen := map[string]bool{}
 	for _, f := range found {
 		seen[f.File] = true
-		if !longHeadsAllowed[f.File] {
+		if !allowedLongHeads[f.File] {
 			t.Errorf("%s:%d: %s: %s", f.File, f.Line, f.What, f.Remedy)
 		}
 	}
-	for file := range longHeadsAllowed {
+	for file := range allowedLongHeads {
 		if !seen[file] {
 			t.Errorf("%s: its head is short, or gone: take it out of the table", file)
 		}
 	}
 }
 
-func TestALongHeadIsFound(t *testing.T) {
+func TestLongHeadIsFound(t *testing.T) {
 	t.Parallel()
 	dir := writeTree(t, map[string]string{
 		"pkg/a/a.go": strings.Repeat("// A line.\n", 11) + "package a\n",
--- a/test/tree/imports.go
+++ b/test/tree/imports.go
@@ -39,8 +39,8 @@
 	return 0, false
 }
 
-// Upward finds the imports of packages in a higher layer, and packages without a layer.
-func Upward(root string) ([]Finding, error) {
+// UpwardImports finds the imports of packages in a higher layer, and packages without a layer.
+func UpwardImports(root string) ([]Finding, error) {
 	files, err := goFiles(root)
 	if err != nil {
 		return nil, err
--- a/test/tree/imports_test.go
+++ b/test/tree/imports_test.go
@@ -12,24 +12,24 @@
 
 const root = "../.."
 
-// upwardAllowed are the upward imports that are known, each with its reason. One that is
+// allowedUpwardImports are the upward imports that are known, each with its reason. One that is
 // gone has to leave the table.
-var upwardAllowed = map[string]string{
+var allowedUpwardImports = map[string]string{
 	"platform/platform_test.go -> pkg/serve": "the adapter is tested beneath the whole program, which pkg/serve puts together",
 }
 
 func TestNoImportPointsUpwards(t *testing.T) {
 	t.Parallel()
-	found, err := tree.Upward(root)
+	found, err := tree.UpwardImports(root)
 	must.NoError(t, err)
 	seen := map[string]bool{}
 	for _, f := range found {
 		seen[f.What] = true
-		if upwardAllowed[f.What] == "" {
+		if allowedUpwardImports[f.What] == "" {
 			t.Errorf("%s:%d: %s: %s", f.File, f.Line, f.What, f.Remedy)
 		}
 	}
-	for edge := range upwardAllowed {
+	for edge := range allowedUpwardImports {
 		if !seen[edge] {
 			t.Errorf("%s is gone: take it out of the table", edge)
 		}
@@ -45,7 +45,7 @@
 		"pkg/novel/e.go":        "package novel\n",
 		"pkg/wire/w.pb.go":      "package wire\n\nimport \"github.com/wrenferry/wrenferry/pkg/process/b\"\n",
 	})
-	found, err := tree.Upward(dir)
+	found, err := tree.UpwardImports(dir)
 	must.NoError(t, err)
 	must.Len(t, 2, found)
 	must.Eq(t, "pkg/novel has no layer", found[0].What)
@@ -53,10 +53,10 @@
 	must.Eq(t, 6, found[1].Line)
 }
 
-func TestAFileThatIsNoGoIsAnError(t *testing.T) {
+func TestInvalidGoFileIsAnError(t *testing.T) {
 	t.Parallel()
 	dir := writeTree(t, map[string]string{"pkg/wire/bad.go": "no Go"})
-	_, err := tree.Upward(dir)
+	_, err := tree.UpwardImports(dir)
 	must.ErrorContains(t, err, "bad.go")
 }
 
