--- a/test/cases/cases_test.go
+++ b/test/cases/cases_test.go
@@ -1,6 +1,6 @@
-// Package cases_test runs the regression cases of the command line. A case is a
-// folder with a command and the output that is expected of it; to add one, add a
-// folder with a command and run the tests with -update once.
+// Package cases_test runs the regression cases of the command line. A case is a folder with the files
+// command, expected and, optionally, input. To add a case, create a folder with a command and run the
+// tests once with -update, which writes expected.
 package cases_test
 
 import (
@@ -29,6 +29,7 @@
 	}
 }
 
+// runCase runs a case's command and compares its output and exit code with the expected ones.
 func runCase(t *testing.T, path string) {
 	command, err := os.ReadFile(path)
 	must.NoError(t, err)
--- a/test/tree/comments.go
+++ b/test/tree/comments.go
@@ -9,10 +9,11 @@
 	"strings"
 )
 
-// numberPattern is a number that may be a result; 0 and 1 are mostly values of a field.
+// numberPattern matches a number that may be a result. It excludes 0 and 1, which are mostly values of
+// a field.
 const numberPattern = `(?:[2-9]\d*|\d{2,}|\d+[.,]\d+)`
 
-// resultPhrases tell of a result or a trial wherever they stand.
+// resultPhrases match phrases that state a result or a trial in any clause.
 var resultPhrases = []*regexp.Regexp{
 	regexp.MustCompile(`\bFound (?:by|on|in|beside)\b`),
 	regexp.MustCompile(`(?i)\btried before\b`),
@@ -25,18 +26,18 @@
 }
 
 var (
-	// resultWord are words that tell of a result where a figure stands in the same clause.
+	// resultWord matches words that state a result if the same clause has a number.
 	resultWord   = regexp.MustCompile(`(?i)\b(?:against|instead of|measured|seen|played|tried|as was)\b`)
 	resultNumber = regexp.MustCompile(`\b` + numberPattern)
 	clauseEnd    = regexp.MustCompile(`[.;!?](?:\s|$)`)
 	directive    = regexp.MustCompile(`^//[a-z]+:`)
 )
 
-// resultRemedy says what to do about a comment that is found.
+// resultRemedy is the remedy for a comment that states a result.
 const resultRemedy = "say what the code is for; results belong in the commit and in docs/MEASUREMENTS.md"
 
-// ResultComments finds comments that tell how a value was found, what was there before, or what a
-// day showed.
+// ResultComments finds comments that state how a value was determined, what the code was before, or
+// the results of a run. It returns an error if a file can't be read or parsed.
 func ResultComments(root string) ([]Finding, error) {
 	files, err := goFiles(root)
 	if err != nil {
@@ -56,10 +57,10 @@
 	return found, nil
 }
 
-// resultClauses checks a comment clause by clause; a clause may go over several lines.
+// resultClauses finds the clauses of a comment that state a result. A clause may span several lines.
 func resultClauses(file string, fset *token.FileSet, group *ast.CommentGroup) []Finding {
 	var text strings.Builder
-	var starts, lines []int // where in the text each line of the comment starts
+	var starts, lines []int // offset in the text and line number of each line of the comment
 	for _, c := range group.List {
 		if directive.MatchString(c.Text) {
 			continue
@@ -82,14 +83,15 @@
 					line = lines[i]
 				}
 			}
-			found = append(found, Finding{file, line, "a comment tells of a result: " + strings.TrimSpace(rest[:end]), resultRemedy})
+			found = append(found, Finding{file, line, "a comment states a result: " + strings.TrimSpace(rest[:end]), resultRemedy})
 		}
 		begin, rest = begin+end, rest[end:]
 	}
 	return found
 }
 
-// resultPhrase returns the word by which a clause tells of a result, and where it stands.
+// resultPhrase returns the phrase by which a clause states a result and its offset, or an empty
+// word if there is none.
 func resultPhrase(clause string) (word string, at int) {
 	for _, w := range resultPhrases {
 		if loc := w.FindStringIndex(clause); loc != nil {
--- a/test/tree/comments_test.go
+++ b/test/tree/comments_test.go
@@ -8,8 +8,8 @@
 	"github.com/wrenferry/wrenferry/test/tree"
 )
 
-// allowedResultComments is how many telling comments a file may have. A number may only go down:
-// one that is too high is a failure, too.
+// allowedResultComments is the number of comments in each file that may state results. Numbers may
+// only decrease: the test also fails if one is higher than needed.
 var allowedResultComments = map[string]int{
 	"pkg/emulator/emulator_test.go":          4,
 	"pkg/emulator/touch_test.go":             2,
@@ -36,7 +36,7 @@
 	}
 	for file, n := range allowedResultComments {
 		if left := len(byFile[file]); left < n {
-			t.Errorf("%s: %d telling comments are left: lower its number from %d", file, left, n)
+			t.Errorf("%s: %d comments state results: lower the allowed number from %d", file, left, n)
 		}
 	}
 }
--- a/test/tree/heads.go
+++ b/test/tree/heads.go
@@ -8,10 +8,11 @@
 	"strings"
 )
 
-// maxHeadLines bounds a package's head: it is read whole, or not at all.
+// maxHeadLines is the maximum number of lines of a package comment, so that readers read it whole.
 const maxHeadLines = 10
 
-// LongHeads finds packages whose heads have too many lines.
+// LongHeads finds package comments with more than maxHeadLines lines. It returns an error if a file
+// can't be read or parsed.
 func LongHeads(root string) ([]Finding, error) {
 	files, err := goFiles(root)
 	if err != nil {
@@ -30,8 +31,8 @@
 		line := fset.Position(parsed.Doc.Pos()).Line
 		if n := fset.Position(parsed.Doc.End()).Line - line + 1; n > maxHeadLines {
 			found = append(found, Finding{
-				file, line, fmt.Sprintf("the head of package %s has %d lines of %d", parsed.Name.Name, n, maxHeadLines),
-				"say what it decides, who calls it and what it never does; the rest stands beside the type that it is about",
+				file, line, fmt.Sprintf("the comment of package %s has %d lines, more than %d", parsed.Name.Name, n, maxHeadLines),
+				"state what the package decides, which packages call it and what it never does; move the rest to the types concerned",
 			})
 		}
 	}
--- a/test/tree/heads_test.go
+++ b/test/tree/heads_test.go
@@ -9,8 +9,8 @@
 	"github.com/wrenferry/wrenferry/test/tree"
 )
 
-// allowedLongHeads are the files whose package heads are too long. One that is short now has
-// to leave the table.
+// allowedLongHeads are the files whose package comments may be too long. The test fails if one is
+// short, so that the entry is removed.
 var allowedLongHeads = map[string]bool{
 	"pkg/emulator/emulator.go":             true,
 	"pkg/process/poisontask/poisontask.go": true,
@@ -30,7 +30,7 @@
 	}
 	for file := range allowedLongHeads {
 		if !seen[file] {
-			t.Errorf("%s: its head is short, or gone: take it out of the table", file)
+			t.Errorf("%s: its package comment is short or missing: remove it from allowedLongHeads", file)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 	dir := writeTree(t, map[string]string{
 		"pkg/a/a.go": strings.Repeat("// A line.\n", 11) + "package a\n",
 		"pkg/b/b.go": strings.Repeat("// A line.\n", 10) + "package b\n",
-		"pkg/c/c.go": strings.Repeat("// A line.\n", 11) + "\npackage c\n", // belongs to no package
+		"pkg/c/c.go": strings.Repeat("// A line.\n", 11) + "\npackage c\n", // not a package comment, since a blank line follows
 	})
 	found, err := tree.LongHeads(dir)
 	must.NoError(t, err)
--- a/test/tree/imports.go
+++ b/test/tree/imports.go
@@ -9,11 +9,12 @@
 	"strings"
 )
 
-// module is the prefix of the product's own import paths.
+// module is the prefix of import paths of this module.
 const module = "github.com/wrenferry/wrenferry/"
 
-// layers are the folders of packages from the lowest to the highest; a package imports
-// its own layer and lower ones. The longest folder that holds a package counts.
+// layers are the folders of packages from the lowest layer to the highest. A package may import
+// packages of its own layer and of lower ones. The longest folder that contains a package determines
+// its layer.
 var layers = [][]string{
 	{"pkg/wire", "pkg/fault", "pkg/container", "pkg/clock", "pkg/rows", "pkg/table", "pkg/eventlog", "pkg/configfile", "pkg/capacity", "examples"},
 	{"pkg/version"},
@@ -25,7 +26,7 @@
 	{"cmd", "standins", "test", "tools"},
 }
 
-// layerOf returns a folder's layer; false: the table does not have it.
+// layerOf returns the index of a folder's layer, or false if the folder has none.
 func layerOf(folder string) (int, bool) {
 	for dir := folder; dir != "."; dir = path.Dir(dir) {
 		for i, names := range layers {
@@ -39,7 +40,8 @@
 	return 0, false
 }
 
-// UpwardImports finds the imports of packages in a higher layer, and packages without a layer.
+// UpwardImports finds imports of packages in a higher layer, and packages without a layer. It returns
+// an error if a file can't be read or parsed.
 func UpwardImports(root string) ([]Finding, error) {
 	files, err := goFiles(root)
 	if err != nil {
@@ -58,7 +60,7 @@
 			continue
 		}
 		for _, spec := range parsed.Imports {
-			imported, _ := strconv.Unquote(spec.Path.Value) // the parser has checked it
+			imported, _ := strconv.Unquote(spec.Path.Value) // the parser accepts valid paths only
 			folder, ours := strings.CutPrefix(imported, module)
 			if other, known := layerOf(folder); ours && known && other > own {
 				found = append(found, Finding{
--- a/test/tree/imports_test.go
+++ b/test/tree/imports_test.go
@@ -12,8 +12,8 @@
 
 const root = "../.."
 
-// allowedUpwardImports are the upward imports that are known, each with its reason. One that is
-// gone has to leave the table.
+// allowedUpwardImports are the accepted upward imports, each with its reason. The test fails if one no
+// longer exists, so that the entry is removed.
 var allowedUpwardImports = map[string]string{
 	"platform/platform_test.go -> pkg/serve": "the adapter is tested beneath the whole program, which pkg/serve puts together",
 }
@@ -31,7 +31,7 @@
 	}
 	for edge := range allowedUpwardImports {
 		if !seen[edge] {
-			t.Errorf("%s is gone: take it out of the table", edge)
+			t.Errorf("%s no longer exists: remove it from allowedUpwardImports", edge)
 		}
 	}
 }
--- a/test/tree/tree.go
+++ b/test/tree/tree.go
@@ -1,6 +1,6 @@
-// Package tree checks the repository itself: which package imports which, what comments
-// say, and how long the heads of packages are. Its tests run the checks in CI; nothing of
-// the product calls it, and it changes no file.
+// Package tree checks the source of the repository: the imports between packages, comments that state
+// results, and the length of package comments. Its tests run the checks in CI. No package of the
+// product uses it, and it changes no files.
 package tree
 
 import (
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Finding is one place that a check does not accept.
+// Finding is a violation of a check, with its place and remedy.
 type Finding struct {
 	File   string // from the root, with slashes
 	Line   int
@@ -17,7 +17,8 @@
 	Remedy string
 }
 
-// goFiles lists the Go files under a root that people write, by their names from the root.
+// goFiles returns the paths, relative to root, of the Go files under root. It skips *.pb.go files,
+// hidden folders, testdata and bin.
 func goFiles(root string) ([]string, error) {
 	var files []string
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
