--- a/pkg/lab/draw.go
+++ b/pkg/lab/draw.go
@@ -90,14 +90,14 @@
 func (d *sampler) addInterference() {
 	p := d.workload.Interference
 	for s := range int(p.ServingImages) {
-		chance := d.randomStream(fmt.Sprintf("press %d", s))
-		heavy := p.StrongShare * (0.4 + 1.2*chance.Float64())
+		random := d.randomStream(fmt.Sprintf("press %d", s))
+		heavy := p.StrongShare * (0.4 + 1.2*random.Float64())
 		for f := range int(p.FillerImages) {
 			rise := p.Weak
-			if chance.Float64() < heavy {
+			if random.Float64() < heavy {
 				rise = p.Strong
 			}
-			d.load.Press[emulator.Pair{Serving: servingImage(s), Filler: fillerImage(f)}] = rise * (1 + interferenceSpread*(2*chance.Float64()-1))
+			d.load.Press[emulator.Pair{Serving: servingImage(s), Filler: fillerImage(f)}] = rise * (1 + interferenceSpread*(2*random.Float64()-1))
 		}
 	}
 }
@@ -107,12 +107,13 @@
 func fillerImage(n int) string { return fmt.Sprintf("filler-%d", n) }
 
 // addJobs samples the jobs of a kind: the initial jobs, then arrivals as a Poisson process whose
-// rate bursts raise. Both n, the index of the kind, and a serial number form the job's id.
+// rate bursts raise. The index n of the kind and a serial number form the
+// job's id.
 func (d *sampler) addJobs(n int, k Kind) {
-	chance := d.randomStream("kind " + k.Name)
+	random := d.randomStream("kind " + k.Name)
 	for i := range int(k.InitialJobs) {
-		at := electionTime + time.Duration(chance.Float64()*float64(initialJobsSpan))
-		d.load.Jobs = append(d.load.Jobs, d.sampleJob(chance, k, fmt.Sprintf("%04x%012x", n, i), at))
+		at := electionTime + time.Duration(random.Float64()*float64(initialJobsSpan))
+		d.load.Jobs = append(d.load.Jobs, d.sampleJob(random, k, fmt.Sprintf("%04x%012x", n, i), at))
 	}
 	begin := electionTime + arrivalsDelay
 	serial := int(k.InitialJobs)
@@ -121,11 +122,11 @@
 		if k.PerSecond <= 0 {
 			return
 		}
-		at += time.Duration(chance.ExpFloat64() / max(rate, 1e-6) * float64(time.Second))
+		at += time.Duration(random.ExpFloat64() / max(rate, 1e-6) * float64(time.Second))
 		if at > begin+d.workload.Traffic {
 			return
 		}
-		d.load.Jobs = append(d.load.Jobs, d.sampleJob(chance, k, fmt.Sprintf("%04x%012x", n, serial), at))
+		d.load.Jobs = append(d.load.Jobs, d.sampleJob(random, k, fmt.Sprintf("%04x%012x", n, serial), at))
 	}
 }
 
@@ -140,22 +141,22 @@
 	return times
 }
 
-// lognormal samples a lognormal value with the given mean, where stray is the standard deviation
-// of the logarithm. It clamps the value between an eighth of the mean and most.
-func lognormal(chance *rand.Rand, mean, stray, most float64) float64 {
-	v := mean * math.Exp(stray*chance.NormFloat64()-stray*stray/2)
-	return min(max(v, mean/8), most)
+// lognormal samples a lognormal value with the given mean, where sigma is the standard deviation
+// of the logarithm. It clamps the value between an eighth of the mean and limit.
+func lognormal(random *rand.Rand, mean, sigma, limit float64) float64 {
+	v := mean * math.Exp(sigma*random.NormFloat64()-sigma*sigma/2)
+	return min(max(v, mean/8), limit)
 }
 
 // sampleJob samples a job of a kind: its steps, its hall, when it is cancelled and what its tasks
 // really do.
-func (d *sampler) sampleJob(chance *rand.Rand, k Kind, id string, at time.Duration) emulator.Handin {
+func (d *sampler) sampleJob(random *rand.Rand, k Kind, id string, at time.Duration) emulator.Handin {
 	h := emulator.Handin{
-		At: at, Hall: d.load.Halls[chance.IntN(len(d.load.Halls))],
+		At: at, Hall: d.load.Halls[random.IntN(len(d.load.Halls))],
 		Spec: &wire.JobSpec{Id: id, Queue: k.Name, Service: serviceName, Body: "body of " + id},
 	}
-	steps := max(1, int(math.Round(lognormal(chance, k.MeanSteps, 0.4, 4*k.MeanSteps))))
-	saves, apart := chance.Float64() < k.CheckpointingShare, chance.Float64() < k.SpreadShare
+	steps := max(1, int(math.Round(lognormal(random, k.MeanSteps, 0.4, 4*k.MeanSteps))))
+	saves, apart := random.Float64() < k.CheckpointingShare, random.Float64() < k.SpreadShare
 	images := [2]int{int(d.workload.Interference.ServingImages), int(d.workload.Interference.FillerImages)}
 	if k.MeanSteps <= 1 {
 		steps = 1
@@ -166,9 +167,9 @@
 			most = 6 * k.MeanWidth
 		}
 		step := &wire.StepSpec{
-			Count:      int32(max(1, math.Round(lognormal(chance, k.MeanWidth, widthSigma, most)))),
-			Millicores: int64(lognormal(chance, k.Millicores, sizeSigma, min(3*k.Millicores, d.workload.Fleet.Millicores))),
-			MemoryMb:   int64(lognormal(chance, k.MemoryMB, sizeSigma, min(3*k.MemoryMB, d.workload.Fleet.MemoryMB))),
+			Count:      int32(max(1, math.Round(lognormal(random, k.MeanWidth, widthSigma, most)))),
+			Millicores: int64(lognormal(random, k.Millicores, sizeSigma, min(3*k.Millicores, d.workload.Fleet.Millicores))),
+			MemoryMb:   int64(lognormal(random, k.MemoryMB, sizeSigma, min(3*k.MemoryMB, d.workload.Fleet.MemoryMB))),
 			Filler:     k.Filler, Lasting: k.Lasting, Checkpointing: saves,
 		}
 		if i > 0 {
@@ -179,43 +180,43 @@
 		}
 		switch {
 		case k.Lasting:
-			step.Image, step.TailTargetMs = servingImage(skewedIndex(chance, images[0])), k.TailTarget.Milliseconds()
+			step.Image, step.TailTargetMs = servingImage(skewedIndex(random, images[0])), k.TailTarget.Milliseconds()
 		case k.Filler:
-			step.Image = fillerImage(chance.IntN(max(1, images[1])))
+			step.Image = fillerImage(random.IntN(max(1, images[1])))
 		}
 		h.Spec.Steps = append(h.Spec.Steps, step)
-		h.Tasks = append(h.Tasks, d.sampleTasks(chance, k, step))
+		h.Tasks = append(h.Tasks, d.sampleTasks(random, k, step))
 	}
 	if k.Lasting {
-		h.CancelAt = at + time.Duration(lognormal(chance, float64(k.MeanLifetime), timeSigma, 3*float64(k.MeanLifetime)))
+		h.CancelAt = at + time.Duration(lognormal(random, float64(k.MeanLifetime), timeSigma, 3*float64(k.MeanLifetime)))
 	}
-	if chance.Float64() < k.CancelledShare {
-		h.CancelAt = at + time.Duration(chance.Float64()*float64(maxCancelDelay))
+	if random.Float64() < k.CancelledShare {
+		h.CancelAt = at + time.Duration(random.Float64()*float64(maxCancelDelay))
 	}
 	return h
 }
 
 // skewedIndex samples an index below n. Lower indices are more frequent.
-func skewedIndex(chance *rand.Rand, n int) int {
-	return int(float64(max(1, n)) * math.Pow(chance.Float64(), 1.5))
+func skewedIndex(random *rand.Rand, n int) int {
+	return int(float64(max(1, n)) * math.Pow(random.Float64(), 1.5))
 }
 
 // sampleTasks samples the actual behaviour of a step's tasks, and sets the run time that their
 // caller declares.
-func (d *sampler) sampleTasks(chance *rand.Rand, k Kind, step *wire.StepSpec) []emulator.TaskTruth {
+func (d *sampler) sampleTasks(random *rand.Rand, k Kind, step *wire.StepSpec) []emulator.TaskTruth {
 	list := make([]emulator.TaskTruth, step.GetCount())
-	mean := lognormal(chance, k.MeanSeconds, timeSigma, 2.5*k.MeanSeconds)
+	mean := lognormal(random, k.MeanSeconds, timeSigma, 2.5*k.MeanSeconds)
 	for i := range list {
 		if k.Lasting {
-			list[i] = emulator.TaskTruth{Base: k.BaseLoad, Swing: k.LoadSwing, Phase: chance.Float64(), Period: k.LoadPeriod}
+			list[i] = emulator.TaskTruth{Base: k.BaseLoad, Swing: k.LoadSwing, Phase: random.Float64(), Period: k.LoadPeriod}
 			continue
 		}
-		list[i].Work = time.Duration(lognormal(chance, mean, k.taskTimeSigma(), 3*mean) * float64(time.Second))
-		if chance.Float64() < k.FailingShare {
+		list[i].Work = time.Duration(lognormal(random, mean, k.taskTimeSigma(), 3*mean) * float64(time.Second))
+		if random.Float64() < k.FailingShare {
 			list[i].Fails = 1
 		}
 	}
-	off := math.Exp(k.EstimateSigma * chance.NormFloat64())
+	off := math.Exp(k.EstimateSigma * random.NormFloat64())
 	if !k.Lasting {
 		step.EstimateMs = max(1, int64(1000*mean*off))
 	}
--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// traffic submits jobs for span, pause apart on average, and waits until each has a final state or
-// has been pending for wait after the span.
+// traffic submits jobs for span, with pauses of pause on average. It returns when each job has a final
+// state, at most about wait after span.
 func (c *caller) traffic(rnd *rand.Rand, span, wait time.Duration, pause time.Duration) {
 	var all sync.WaitGroup
 	end := time.Now().Add(span)
