--- a/test/promises/leaving_test.go
+++ b/test/promises/leaving_test.go
@@ -16,13 +16,13 @@
 	"github.com/wrenferry/wrenferry/pkg/standin"
 )
 
-// Promises about leaving: servers that leave, planned stops, streams that move.
+// Promises about leaving servers, planned stops, and streams that move to another server.
 
-// leaving makes a runner leave under load, and returns how many calls began
-// there more than three seconds after it said so.
-func leaving(f *fleet, say func()) int {
+// leaveUnderLoad announces under load that runner r1 leaves, by calling say. It returns the number
+// of calls that started on r1 more than three seconds later.
+func leaveUnderLoad(f *fleet, say func()) int {
 	var said time.Time
-	f.send(1500, "thumb", sleepy(60), func() {
+	f.sendRequests(1500, "thumb", sleepBody(60), func() {
 		said = time.Now()
 		say()
 		time.Sleep(4 * time.Second)
@@ -36,7 +36,7 @@
 	return late
 }
 
-func (f *fleet) listLeaving() {
+func (f *fleet) markLeavingInHostList() {
 	for _, h := range f.hosts {
 		if h.GetName() == "r1" {
 			h.Leaving = true
@@ -47,28 +47,28 @@
 
 func TestLeavingServerGetsNothingNew(t *testing.T) {
 	f := callsFleet(t)
-	must.Eq(t, 0, leaving(f, f.listLeaving))
+	must.Eq(t, 0, leaveUnderLoad(f, f.markLeavingInHostList))
 }
 
 func TestLeavingServerGetsNothingNewNeedsTheMark(t *testing.T) {
 	f := callsFleet(t, without("leaving"))
-	must.Positive(t, leaving(f, f.listLeaving))
+	must.Positive(t, leaveUnderLoad(f, f.markLeavingInHostList))
 }
 
-// A server that says so itself is known to all entry hosts at once, though the
-// list does not have it and only one host heard it.
+// A server announces in an answer to one entry host that it leaves. All entry hosts must learn it,
+// although the host list does not mark the server.
 func TestLeavingIsSpreadAmongEntryHosts(t *testing.T) {
 	f := callsFleet(t)
 	f.fault(f.runners["r1"], standin.Faults{Leaving: true})
-	f.until("one host hears of it", func() bool {
+	f.until("a1 knows that r1 leaves", func() bool {
 		f.entries["a1"].request("thumb", "", `{}`)
-		return f.entries["a1"].open() == 2
+		return f.entries["a1"].openServers() == 2
 	})
-	f.until("all know", func() bool { return f.entries["a2"].open() == 2 && f.entries["b1"].open() == 2 })
+	f.until("all entry hosts know that r1 leaves", func() bool { return f.entries["a2"].openServers() == 2 && f.entries["b1"].openServers() == 2 })
 }
 
-// open is how many servers take new work, as an entry host sees it.
-func (e *entry) open() int {
+// openServers returns how many servers accept new work by an entry host's status, or -1.
+func (e *entry) openServers() int {
 	for _, s := range e.status().Services {
 		if s.Service == "desk" {
 			return s.Open
@@ -77,17 +77,17 @@
 	return -1
 }
 
-// plannedStop stops an entry host under load, with a stream open, and returns
-// how many calls were cut off and the events of the stream before and after.
+// plannedStop stops an entry host under load, with a stream open. It returns the number of
+// interrupted calls and the stream's events, which a client continues at another entry host.
 func plannedStop(f *fleet) (cut int, events []int) {
 	e := f.entries["a1"]
 	var wait sync.WaitGroup
 	first := make(chan []int, 1)
-	go func() { first <- f.watch(e, "") }()
+	go func() { first <- f.watchStream(e, "") }()
 	var mu sync.Mutex
 	for i := range 40 {
 		wait.Go(func() {
-			a := e.request("thumb", fmt.Sprintf("k%d", i), sleepy(1500)("x"))
+			a := e.request("thumb", fmt.Sprintf("k%d", i), sleepBody(1500)("x"))
 			mu.Lock()
 			defer mu.Unlock()
 			if a.outcome != "done" {
@@ -104,13 +104,14 @@
 	if len(events) > 0 {
 		last = events[len(events)-1]
 	}
-	return cut, append(events, f.watchSome(f.entries["a2"], strconv.Itoa(last), 10)...)
+	return cut, append(events, f.watchEvents(f.entries["a2"], strconv.Itoa(last), 10)...)
 }
 
-// watch reads a stream to its end.
-func (f *fleet) watch(e *entry, last string) []int { return f.watchSome(e, last, -1) }
+// watchStream reads a stream to its end and returns the event ids.
+func (f *fleet) watchStream(e *entry, last string) []int { return f.watchEvents(e, last, -1) }
 
-func (f *fleet) watchSome(e *entry, last string, most int) []int {
+// watchEvents reads a stream after the event last and returns up to most event ids.
+func (f *fleet) watchEvents(e *entry, last string, most int) []int {
 	req, err := http.NewRequest(http.MethodGet, "http://"+e.callers+"/v1/streams/desk/feed", http.NoBody)
 	must.NoError(f.t, err)
 	req.Header.Set("Last-Event-ID", last)
@@ -153,12 +154,11 @@
 	must.Positive(t, cut)
 }
 
-// A stream moves from a server that leaves, and from one that dies, with no
-// event lost or doubled.
+// A stream moves away from a leaving server and from a dead one without lost or duplicate events.
 func TestStreamMoves(t *testing.T) {
 	f := callsFleet(t)
 	got := make(chan []int, 1)
-	go func() { got <- f.watchSome(f.entries["a1"], "", 150) }()
+	go func() { got <- f.watchEvents(f.entries["a1"], "", 150) }()
 	time.Sleep(500 * time.Millisecond)
 	f.fault(f.runners["r0"], standin.Faults{Leaving: true})
 	time.Sleep(500 * time.Millisecond)
--- a/test/promises/settings_test.go
+++ b/test/promises/settings_test.go
@@ -17,20 +17,20 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// The promise about settings: what was accepted is in force everywhere within
-// seconds, and never reverts.
+// The promise about settings: an accepted version is in force on all hosts within seconds and never
+// reverts.
 
-// watchVersions reads every host's version all the time, and notes if one ever
+// versionWatch reads every host's version all the time, and notes if one ever
 // goes back.
-type watchVersions struct {
+type versionWatch struct {
 	mu      sync.Mutex
 	reverts []string
 	stop    chan struct{}
 	done    sync.WaitGroup
 }
 
-func (f *fleet) watchVersions() *watchVersions {
-	w := &watchVersions{stop: make(chan struct{})}
+func (f *fleet) watchVersions() *versionWatch {
+	w := &versionWatch{stop: make(chan struct{})}
 	for name, e := range f.entries {
 		w.done.Go(func() {
 			high := int64(0)
@@ -53,18 +53,21 @@
 	return w
 }
 
-func (w *watchVersions) end() []string {
+// end stops the watch and returns the reverts.
+func (w *versionWatch) end() []string {
 	close(w.stop)
 	w.done.Wait()
 	return w.reverts
 }
 
+// deadline returns the settings with another deadline.
 func deadline(ms int) string {
 	return strings.Replace(settings, `"deadline": "5s"`, fmt.Sprintf(`"deadline": "%dms"`, ms), 1)
 }
 
-// race lets two operators edit at two hosts, each from the version it sees.
-func (f *fleet) race(edits int) (accepted map[int64]string) {
+// editConcurrently makes two operators edit at two hosts, each based on the version that its host
+// has. It returns the host that accepted each version, and fails the test if two did.
+func (f *fleet) editConcurrently(edits int) (accepted map[int64]string) {
 	accepted = map[int64]string{}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
@@ -95,7 +98,7 @@
 	f.ready()
 	w := f.watchVersions()
 	f.fault(f.platform, standin.Faults{LoseAnswers: 6, LoseKey: "settings/", DelayMS: 5})
-	accepted := f.race(25)
+	accepted := f.editConcurrently(25)
 	f.fault(f.platform, standin.Faults{})
 	must.Greater(t, 20, len(accepted))
 	highest := int64(1)
@@ -106,9 +109,9 @@
 	must.SliceEmpty(t, w.end())
 }
 
-// An edit whose answer was lost is asked again with the same id: it is accepted
+// The answer to an edit is lost, and the operator retries with the same id: the edit is accepted
 // once.
-func TestEditAskedAgain(t *testing.T) {
+func TestRetriedEditIsAcceptedOnce(t *testing.T) {
 	f := newFleet(t, []string{"a1"})
 	f.ready()
 	e := f.entries["a1"]
@@ -119,9 +122,9 @@
 	must.Eq(t, int64(2), e.status().Settings)
 }
 
-// A hall that is cut from the platform but not from its peers has a new version
-// too; a new process that starts in an outage gets it from its peers.
-func TestSettingsReachACutHallAndANewProcess(t *testing.T) {
+// A hall that can't reach the platform gets a new version from its peers. A restarted process has
+// the new version, too.
+func TestSettingsReachAPartitionedHallAndANewProcess(t *testing.T) {
 	f := newFleet(t, []string{"a1", "a2", "b1"})
 	f.ready()
 	f.fault(f.platform, standin.Faults{Cut: []string{"entry-b1"}})
@@ -133,16 +136,16 @@
 	f.until("the new process reads the host list", func() bool { return f.entries["a2"].status().Settings == 2 })
 }
 
-// A process that is handed an old version keeps the new one. The old one comes
-// from a host that was cut off from everything meanwhile.
-func offerOld(f *fleet) []string {
+// offerOldVersion partitions host b1 while a new version is accepted, then makes a2 hear from b1
+// alone, which has the old version. It returns the reverts.
+func offerOldVersion(f *fleet) []string {
 	w := f.watchVersions()
 	b1 := f.entries["b1"]
 	f.fault(f.platform, standin.Faults{Cut: []string{"entry-b1", "entry-a2"}})
 	b1.relay.setCut(true)
 	must.Eq(f.t, http.StatusOK, f.entries["a1"].edit(deadline(3000), 1, "x").status)
 	f.until("a2 has it from its peer", func() bool { return f.entries["a2"].status().Settings == 2 })
-	f.entries["a1"].relay.setCut(true) // a2 now hears b1 alone
+	f.entries["a1"].relay.setCut(true) // a2 now reaches b1 only
 	b1.relay.setCut(false)
 	time.Sleep(5 * time.Second)
 	return w.end()
@@ -151,14 +154,14 @@
 func TestSettingsNeverRevert(t *testing.T) {
 	f := newFleet(t, []string{"a1", "a2", "b1"})
 	f.ready()
-	must.SliceEmpty(t, offerOld(f))
+	must.SliceEmpty(t, offerOldVersion(f))
 	f.fault(f.platform, standin.Faults{})
 	f.awaitVersion(2)
 }
 
-// offerLate hands every host an offer of the first version that was held up in the
-// network while the second was accepted.
-func offerLate(f *fleet) []string {
+// offerDelayedVersion sends every host an offer of the first version after the second was accepted,
+// like a message delayed by the network. It returns the reverts.
+func offerDelayedVersion(f *fleet) []string {
 	must.Eq(f.t, http.StatusOK, f.entries["a1"].edit(deadline(3000), 1, "x").status)
 	f.awaitVersion(2)
 	var reverts []string
@@ -178,17 +181,17 @@
 func TestSettingsNeverRevertByALateOffer(t *testing.T) {
 	f := newFleet(t, []string{"a1", "a2", "b1"})
 	f.ready()
-	must.SliceEmpty(t, offerLate(f))
+	must.SliceEmpty(t, offerDelayedVersion(f))
 }
 
 func TestSettingsNeverRevertByALateOfferNeedsTheCheck(t *testing.T) {
 	f := newFleet(t, []string{"a1", "a2", "b1"}, without("monotonic"))
 	f.ready()
-	must.SliceNotEmpty(t, offerLate(f))
+	must.SliceNotEmpty(t, offerDelayedVersion(f))
 }
 
-// A refused tree changes nothing.
-func TestMalformedSettingsAreRefusedWhole(t *testing.T) {
+// Rejected settings change nothing.
+func TestMalformedSettingsAreRejected(t *testing.T) {
 	f := newFleet(t, []string{"a1"})
 	f.ready()
 	a := f.entries["a1"].edit(`{"lease": "2s", "teams": {"x": {"deadlne": "1s"}}}`, 1, "bad")
--- a/test/soak/troubles_test.go
+++ b/test/soak/troubles_test.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// What makes a worker crash, and what is left of its room.
+// Worker crashes caused by tasks, and faults of a worker's capacity.
 
 const (
-	// crashAfter is how soon after its start a task crashes its worker that does so.
+	// crashAfter is the time from the start of a crashing task to the crash of its worker.
 	crashAfter = 20 * time.Millisecond
-	// crashBack is how long the worker is away then.
-	crashBack = 1500 * time.Millisecond
+	// crashRestartDelay is the time from such a crash to the worker's next incarnation.
+	crashRestartDelay = 1500 * time.Millisecond
 )
 
-// crashUnder crashes a life under a task that does that, if it is still there, and begins the next one
-// after a while.
-func (w *worker) crashUnder(l *life, task string) {
+// crashDuring crashes an incarnation if it still runs a task that crashes workers, and starts the next
+// incarnation after crashRestartDelay.
+func (w *worker) crashDuring(l *incarnation, task string) {
 	w.mu.Lock()
-	there := w.life == l && l.runs[task] != nil
+	there := w.incarnation == l && l.runs[task] != nil
 	w.mu.Unlock()
 	if !there {
 		return
 	}
 	w.checker.crashed(task)
 	w.crash()
-	time.AfterFunc(crashBack, func() {
+	time.AfterFunc(crashRestartDelay, func() {
 		select {
-		case <-w.over:
+		case <-w.dayOver:
 		default:
-			_ = w.begin() // at the end of a day its address may be gone
+			_ = w.startIncarnation() // at the end of a day its address may be taken
 		}
 	})
 }
 
-// room is what the worker has of its processors now.
-func (w *worker) room() int64 {
+// availableCPU returns the CPU capacity that the worker has now.
+func (w *worker) availableCPU() int64 {
 	now := time.Now()
 	switch {
-	case now.Before(w.none):
+	case now.Before(w.noRoomUntil):
 		return 0
-	case now.Before(w.small):
+	case now.Before(w.smallUntil):
 		return taskCPU
 	}
 	return workerCPU
