--- a/pkg/cli/client.go
+++ b/pkg/cli/client.go
@@ -44,7 +44,7 @@
 }
 
 func (c *client) callOne(ctx context.Context, address, method, path string, header http.Header, body []byte, out any) error {
-	ctx, mark := sent.Watch(ctx)
+	ctx, mark := sent.TraceHTTP(ctx)
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return fault.New(fault.BadInput, address, "not an address", "check --address").WithCause(err)
@@ -55,7 +55,7 @@
 	req.Header.Set(operators.ActorHeader, c.actor)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		if mark.Maybe() {
+		if mark.MaybeSent() {
 			return fault.New(fault.Unknown, address, "no whole answer", "ask again").WithCause(err)
 		}
 		return fault.New(fault.NotRun, address, "no entry host answers there", "check --address or "+addressVariable).WithCause(err)
--- a/pkg/cli/lab.go
+++ b/pkg/cli/lab.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		sure := "not clear"
-		if d.Clear() {
+		if d.Significant() {
 			sure = "clear"
 		}
 		lines = append(lines, []any{
--- a/pkg/cli/settings_keys.go
+++ b/pkg/cli/settings_keys.go
@@ -19,7 +19,7 @@
 	if len(s.args) == 0 {
 		return show(s, settings.Keys, "SETTING TYPE RANGE DEFAULT EXAMPLE", keyLines)
 	}
-	k, ok := settings.KeyNamed(s.args[0])
+	k, ok := settings.FindKey(s.args[0])
 	if !ok {
 		return fault.New(fault.NotFound, s.args[0], "no such setting", "wrenferry settings keys lists them")
 	}
--- a/pkg/clock/boottime_linux.go
+++ b/pkg/clock/boottime_linux.go
@@ -45,7 +45,7 @@
 	if previous == nil {
 		previous = firstReading
 	}
-	r.suspended = max(previous.suspended, Slept(r.boot-firstReading.boot, now.Sub(firstReading.at)))
+	r.suspended = max(previous.suspended, SuspendedFor(r.boot-firstReading.boot, now.Sub(firstReading.at)))
 	lastReading.Store(r)
 	return r
 }
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -24,8 +24,8 @@
 
 func TestSleptIsTimeNotCountedByMonotonicClock(t *testing.T) {
 	t.Parallel()
-	must.Eq(t, 0, clock.Slept(10*time.Second, 10*time.Second-20*time.Millisecond))
-	must.Eq(t, 5*time.Second, clock.Slept(5250*time.Millisecond, 250*time.Millisecond))
+	must.Eq(t, 0, clock.SuspendedFor(10*time.Second, 10*time.Second-20*time.Millisecond))
+	must.Eq(t, 5*time.Second, clock.SuspendedFor(5250*time.Millisecond, 250*time.Millisecond))
 }
 
 // Packages that make decisions must take the time from this package, not from package time.
--- a/pkg/clock/watch.go
+++ b/pkg/clock/watch.go
@@ -13,18 +13,18 @@
 	minSuspension = 50 * time.Millisecond
 )
 
-// Slept returns the time for which the host was suspended between two moments, or 0 if it is less than minSuspension.
+// SuspendedFor returns the time for which the host was suspended between two moments, or 0 if it is less than minSuspension.
 // passed is the time between them by a clock that counts suspensions, steady by one that doesn't.
-func Slept(passed, steady time.Duration) time.Duration {
+func SuspendedFor(passed, steady time.Duration) time.Duration {
 	if passed-steady < minSuspension {
 		return 0
 	}
 	return passed - steady
 }
 
-// Watch calls woke with the length of each suspension of the host, soon after the host wakes. It returns when the
+// WatchSuspensions calls woke with the length of each suspension of the host, soon after the host wakes. It returns when the
 // context ends.
-func Watch(ctx context.Context, woke func(slept time.Duration)) {
+func WatchSuspensions(ctx context.Context, woke func(slept time.Duration)) {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	last, steady := Now(), time.Now()
@@ -34,7 +34,7 @@
 			return
 		case <-ticker.C:
 			now, steadyNow := Now(), time.Now()
-			if slept := Slept(now.Sub(last), steadyNow.Sub(steady)); slept > 0 {
+			if slept := SuspendedFor(now.Sub(last), steadyNow.Sub(steady)); slept > 0 {
 				woke(slept)
 			}
 			last, steady = now, steadyNow
--- a/pkg/configfile/configfile.go
+++ b/pkg/configfile/configfile.go
@@ -92,9 +92,9 @@
 	return []string{fmt.Sprintf("%sunknown setting %q; there are %s", r.position(m.Value), name, strings.Join(known, ", "))}
 }
 
-// Rows returns a parser for a list of objects, each described by fields. at returns the
+// ObjectList returns a parser for a list of objects, each described by fields. at returns the
 // address of the list to append to.
-func Rows[T, E any](fields []Field[E], at func(*T) *[]E) func(*T, *sourceFile, hujson.Value) []string {
+func ObjectList[T, E any](fields []Field[E], at func(*T) *[]E) func(*T, *sourceFile, hujson.Value) []string {
 	return func(c *T, r *sourceFile, v hujson.Value) []string {
 		list, ok := v.Value.(*hujson.Array)
 		if !ok {
@@ -143,8 +143,8 @@
 	}
 }
 
-// Span returns a parser for a duration such as "1.5s".
-func Span[T any](at func(*T) *time.Duration) func(*T, []byte) error {
+// Duration returns a parser for a duration such as "1.5s".
+func Duration[T any](at func(*T) *time.Duration) func(*T, []byte) error {
 	return func(c *T, b []byte) error {
 		var s string
 		if err := json.Unmarshal(b, &s); err != nil {
@@ -156,8 +156,8 @@
 	}
 }
 
-// Count returns a parser for a number from least to most, both included.
-func Count[T any](least, most float64, at func(*T) *float64) func(*T, []byte) error {
+// NumberBetween returns a parser for a number from least to most, both included.
+func NumberBetween[T any](least, most float64, at func(*T) *float64) func(*T, []byte) error {
 	return func(c *T, b []byte) error {
 		if err := json.Unmarshal(b, at(c)); err != nil {
 			return err
--- a/pkg/connection/fleetpeer/client.go
+++ b/pkg/connection/fleetpeer/client.go
@@ -35,8 +35,8 @@
 	return &Clients{dial: dial, conns: map[string]*grpc.ClientConn{}}
 }
 
-// To returns the client of the peer at the address, and opens its connection when first used.
-func (c *Clients) To(address string) (*Peer, error) {
+// PeerClient returns the client of the peer at the address, and opens its connection when first used.
+func (c *Clients) PeerClient(address string) (*Peer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn := c.conns[address]
@@ -87,20 +87,20 @@
 
 // CommitFor asks the peer to commit a transaction on behalf of this host. The error has the
 // code NotRun if the request was certainly not sent to the peer.
-func (p *Peer) CommitFor(ctx context.Context, t table.Transaction) (table.Committed, error) {
-	ctx, mark := sent.WatchRPC(ctx)
+func (p *Peer) CommitFor(ctx context.Context, t table.Transaction) (table.CommitResult, error) {
+	ctx, mark := sent.TraceRPC(ctx)
 	reply, err := p.Commit(ctx, encodeTransaction(t))
-	if err != nil && !mark.Maybe() {
-		return table.Committed{}, fault.New(fault.NotRun, p.address, "no connection to the peer", "").WithCause(err)
+	if err != nil && !mark.MaybeSent() {
+		return table.CommitResult{}, fault.New(fault.NotRun, p.address, "no connection to the peer", "").WithCause(err)
 	}
 	if err != nil {
-		return table.Committed{}, fault.New(fault.Unknown, p.address, "the peer did not answer", "").WithCause(err)
+		return table.CommitResult{}, fault.New(fault.Unknown, p.address, "the peer did not answer", "").WithCause(err)
 	}
 	if reply.GetFailure() != "" {
-		return table.Committed{}, fault.New(fault.Code(reply.GetFailure()), p.address, "the peer's table call failed", "")
+		return table.CommitResult{}, fault.New(fault.Code(reply.GetFailure()), p.address, "the peer's table call failed", "")
 	}
-	return table.Committed{
-		Conflict: reply.GetConflict(), Found: decodeRows(reply.GetRows()), Version: reply.GetVersion(),
+	return table.CommitResult{
+		Conflict: reply.GetConflict(), Current: decodeRows(reply.GetRows()), Version: reply.GetVersion(),
 		StoreTime: time.Duration(reply.GetStoreMs()) * time.Millisecond,
 	}, nil
 }
--- a/pkg/connection/fleetpeer/client_test.go
+++ b/pkg/connection/fleetpeer/client_test.go
@@ -32,7 +32,7 @@
 	t.Helper()
 	clients := fleetpeer.NewClients((&net.Dialer{}).DialContext)
 	defer clients.Keep(nil)
-	p, err := clients.To(address)
+	p, err := clients.PeerClient(address)
 	must.NoError(t, err)
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
--- a/pkg/connection/fleetpeer/server.go
+++ b/pkg/connection/fleetpeer/server.go
@@ -11,19 +11,19 @@
 
 // Control is the part of the control thread that peers call.
 type Control interface {
-	Accepted(spec *wire.JobSpec)
-	Cancelled(cell, id string)
-	Returned(r *wire.ReturnedTasks)
+	JobAccepted(spec *wire.JobSpec)
+	CancelRequested(cell, id string)
+	TasksReturned(r *wire.ReturnedTasks)
 	Phase(ctx context.Context, cell, id string) (wire.JobPhase, bool)
 	LoadFor(ctx context.Context, ref *wire.CellRef) *wire.CellLoad
 	TakeOver(cell string)
-	Yield(cell string)
+	ReleaseForHomeHall(cell string)
 }
 
 // Table is the table service, called directly by this host.
 type Table interface {
 	table.Reader
-	Commit(ctx context.Context, t table.Transaction) (table.Committed, error)
+	Commit(ctx context.Context, t table.Transaction) (table.CommitResult, error)
 }
 
 // Server serves the calls of peers.
@@ -35,19 +35,19 @@
 
 // Accepted passes on a job that another host has written to the table, and returns the cell's load.
 func (s *Server) Accepted(ctx context.Context, m *wire.AcceptedJob) (*wire.CellLoad, error) {
-	s.Control.Accepted(m.GetSpec())
+	s.Control.JobAccepted(m.GetSpec())
 	return s.Control.LoadFor(ctx, &wire.CellRef{Cell: m.GetSpec().GetCell()}), nil
 }
 
 // Cancelled passes on that a cancellation of a job is in the table.
 func (s *Server) Cancelled(_ context.Context, m *wire.JobRef) (*wire.Empty, error) {
-	s.Control.Cancelled(m.GetCell(), m.GetId())
+	s.Control.CancelRequested(m.GetCell(), m.GetId())
 	return &wire.Empty{}, nil
 }
 
 // Returned passes on the results of tasks that a cell of this host has delegated.
 func (s *Server) Returned(_ context.Context, m *wire.ReturnedTasks) (*wire.Empty, error) {
-	s.Control.Returned(m)
+	s.Control.TasksReturned(m)
 	return &wire.Empty{}, nil
 }
 
@@ -70,7 +70,7 @@
 
 // Yield asks this host to release the leadership of a cell of another hall.
 func (s *Server) Yield(_ context.Context, m *wire.CellRef) (*wire.Empty, error) {
-	s.Control.Yield(m.GetCell())
+	s.Control.ReleaseForHomeHall(m.GetCell())
 	return &wire.Empty{}, nil
 }
 
@@ -81,7 +81,7 @@
 		return &wire.TableCommitReply{Failure: string(fault.CodeOf(err))}, nil
 	}
 	return &wire.TableCommitReply{
-		Version: done.Version, StoreMs: int64(done.StoreTime / time.Millisecond), Conflict: done.Conflict, Rows: encodeRows(done.Found),
+		Version: done.Version, StoreMs: int64(done.StoreTime / time.Millisecond), Conflict: done.Conflict, Rows: encodeRows(done.Current),
 	}, nil
 }
 
--- a/pkg/connection/life/life.go
+++ b/pkg/connection/life/life.go
@@ -20,26 +20,26 @@
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
-// ErrOther reports that a request was not sent: its connection leads to another incarnation,
+// ErrOtherIncarnation reports that a request was not sent: its connection leads to another incarnation,
 // or the incarnation is not known.
-var ErrOther = fault.New(fault.NotRun, "", "another incarnation answers at the address", "poll the worker again")
+var ErrOtherIncarnation = fault.New(fault.NotRun, "", "another incarnation answers at the address", "poll the worker again")
 
-// Ask returns the incarnation at the other end of a new connection, identified by the time at
+// QueryFunc returns the incarnation at the other end of a new connection, identified by the time at
 // which its process was born, or 0 when the process does not report it.
-type Ask func(ctx context.Context, c net.Conn) (born int64, err error)
+type QueryFunc func(ctx context.Context, c net.Conn) (born int64, err error)
 
 // DialFunc opens a connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 const (
-	// Any is the incarnation of a call that any incarnation may answer, and of a process that
+	// AnyIncarnation is the incarnation of a call that any incarnation may answer, and of a process that
 	// does not report its incarnation.
-	Any = 0
+	AnyIncarnation = 0
 	// unknownIncarnation marks a connection on which no answer has named the incarnation yet.
 	unknownIncarnation = -1
-	// Refused marks a connection whose process refused to name its incarnation: no call that
+	// RefusedToTell marks a connection whose process refused to name its incarnation: no call that
 	// is bound to a certain incarnation is sent on it.
-	Refused = -2
+	RefusedToTell = -2
 )
 
 // incarnationConn is a connection together with the incarnation at its other end.
@@ -50,8 +50,8 @@
 
 // Binding is the incarnation that one call is bound to, and the state of this call.
 type Binding struct {
-	born         int64
-	ask          Ask
+	incarnation  int64
+	ask          QueryFunc
 	otherReached atomic.Bool
 	// chosen is the connection that net/http has chosen for the call.
 	chosen atomic.Pointer[incarnationConn]
@@ -61,14 +61,14 @@
 
 // Bind returns a context that binds the call made with it to an incarnation, or to none if born
 // is Any.
-func Bind(ctx context.Context, born int64, ask Ask) (context.Context, *Binding) {
-	b := &Binding{born: born, ask: ask}
+func Bind(ctx context.Context, born int64, ask QueryFunc) (context.Context, *Binding) {
+	b := &Binding{incarnation: born, ask: ask}
 	ctx = context.WithValue(ctx, key{}, b)
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: b.connChosen}), b
 }
 
-// Of returns the binding in a call's context, or nil.
-func Of(ctx context.Context) *Binding {
+// FromContext returns the binding in a call's context, or nil.
+func FromContext(ctx context.Context) *Binding {
 	b, _ := ctx.Value(key{}).(*Binding)
 	return b
 }
@@ -78,19 +78,19 @@
 	b.chosen.Store(c)
 }
 
-// Other returns whether the call was not sent because its connection does not lead to the
+// OtherIncarnation returns whether the call was not sent because its connection does not lead to the
 // incarnation that the call is bound to.
-func (b *Binding) Other() bool { return b.otherReached.Load() }
+func (b *Binding) OtherIncarnation() bool { return b.otherReached.Load() }
 
-// Unasked returns whether the incarnation at the other end of the chosen connection is still
+// IncarnationUnknown returns whether the incarnation at the other end of the chosen connection is still
 // unknown. A retry may get another connection.
-func (b *Binding) Unasked() bool {
+func (b *Binding) IncarnationUnknown() bool {
 	c := b.chosen.Load()
 	return c != nil && c.born.Load() == unknownIncarnation
 }
 
-// Learn records for the chosen connection which incarnation has answered the call.
-func (b *Binding) Learn(born int64) {
+// SetIncarnation records for the chosen connection which incarnation has answered the call.
+func (b *Binding) SetIncarnation(born int64) {
 	if c := b.chosen.Load(); c != nil {
 		c.born.CompareAndSwap(unknownIncarnation, born)
 	}
@@ -99,11 +99,11 @@
 // reachesBoundIncarnation returns whether the call may be sent on the chosen connection.
 func (b *Binding) reachesBoundIncarnation() bool {
 	c := b.chosen.Load()
-	if b.born == Any || c == nil {
-		return b.born == Any
+	if b.incarnation == AnyIncarnation || c == nil {
+		return b.incarnation == AnyIncarnation
 	}
 	reached := c.born.Load()
-	return reached == b.born || reached == Any
+	return reached == b.incarnation || reached == AnyIncarnation
 }
 
 // Dialer returns a dial function that records the incarnation at the other end of a connection.
@@ -111,13 +111,13 @@
 func Dialer(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		plain, err := dial(ctx, network, address)
-		b := Of(ctx)
+		b := FromContext(ctx)
 		if err != nil || b == nil {
 			return plain, err
 		}
 		c := &incarnationConn{Conn: plain}
 		c.born.Store(unknownIncarnation)
-		if b.born == Any {
+		if b.incarnation == AnyIncarnation {
 			return c, nil
 		}
 		born, err := b.ask(ctx, plain)
@@ -147,7 +147,7 @@
 func (r *body) Read(p []byte) (int, error) {
 	if !r.binding.reachesBoundIncarnation() {
 		r.binding.otherReached.Store(true)
-		return 0, ErrOther
+		return 0, ErrOtherIncarnation
 	}
 	return r.Reader.Read(p)
 }
--- a/pkg/connection/patience/patience.go
+++ b/pkg/connection/patience/patience.go
@@ -13,9 +13,9 @@
 
 type key struct{}
 
-// WithSilence returns a context that ends when Heard has not been called for the time
+// WithIdleTimeout returns a context that ends when Heard has not been called for the time
 // idle, and after the time total in any case.
-func WithSilence(ctx context.Context, idle, total time.Duration) (context.Context, context.CancelFunc) {
+func WithIdleTimeout(ctx context.Context, idle, total time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, total)
 	timer := time.AfterFunc(idle, cancel)
 	restart := func() { timer.Reset(idle) }
@@ -25,9 +25,9 @@
 	}
 }
 
-// Heard restarts the idle timeout of a context that WithSilence returned. It does nothing
+// DataReceived restarts the idle timeout of a context that WithSilence returned. It does nothing
 // for any other context.
-func Heard(ctx context.Context) {
+func DataReceived(ctx context.Context) {
 	if restart, ok := ctx.Value(key{}).(func()); ok {
 		restart()
 	}
--- a/pkg/connection/patience/patience_test.go
+++ b/pkg/connection/patience/patience_test.go
@@ -12,21 +12,21 @@
 
 func TestReceivedDataExtendsTheCall(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := patience.WithSilence(context.Background(), 300*time.Millisecond, time.Minute)
+	ctx, cancel := patience.WithIdleTimeout(context.Background(), 300*time.Millisecond, time.Minute)
 	defer cancel()
 	for range 10 {
 		time.Sleep(50 * time.Millisecond)
 		must.NoError(t, ctx.Err())
-		patience.Heard(ctx)
+		patience.DataReceived(ctx)
 	}
 	<-ctx.Done() // ended by the idle timeout
 }
 
 func TestTotalTimeIsBounded(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := patience.WithSilence(context.Background(), time.Minute, 20*time.Millisecond)
+	ctx, cancel := patience.WithIdleTimeout(context.Background(), time.Minute, 20*time.Millisecond)
 	defer cancel()
 	<-ctx.Done()
 	must.ErrorIs(t, ctx.Err(), context.DeadlineExceeded)
-	patience.Heard(context.Background()) // has no effect
+	patience.DataReceived(context.Background()) // has no effect
 }
--- a/pkg/connection/peer/peers.go
+++ b/pkg/connection/peer/peers.go
@@ -124,27 +124,27 @@
 
 // ------------------------------------------------------------------- keys
 
-// Asked summarizes the answers of the other entry hosts about an idempotency key.
-type Asked struct {
+// KeyAnswers summarizes the answers of the other entry hosts about an idempotency key.
+type KeyAnswers struct {
 	// MaybeRan: at least one host has or had a request with the key that may have run.
 	MaybeRan bool
-	// Unsure: at least one host could not be reached, or its process is younger than the
+	// Incomplete: at least one host could not be reached, or its process is younger than the
 	// key's window.
-	Unsure bool
+	Incomplete bool
 }
 
 // Ask asks all peers about a key. It sets q.Asker to this host.
-func (p *Peers) Ask(ctx context.Context, q *wire.AskRequest) Asked {
+func (p *Peers) Ask(ctx context.Context, q *wire.AskRequest) KeyAnswers {
 	var mu sync.Mutex
 	window := time.Duration(q.GetWindowMs()) * time.Millisecond
-	answers := Asked{Unsure: p.membershipIncomplete(time.Now(), window)}
+	answers := KeyAnswers{Incomplete: p.membershipIncomplete(time.Now(), window)}
 	q.Asker = p.name
 	p.callEach(ctx, keyAnswerTimeout, func(ctx context.Context, known *peer) {
 		reply, err := known.client.Ask(ctx, q)
 		mu.Lock()
 		defer mu.Unlock()
 		young := reply.GetSeen() == wire.Seen_SEEN_PROMISED && reply.GetAgeMs() < window.Milliseconds()
-		answers.Unsure = answers.Unsure || err != nil || young
+		answers.Incomplete = answers.Incomplete || err != nil || young
 		answers.MaybeRan = answers.MaybeRan || reply.GetSeen() == wire.Seen_SEEN_MAYBE_RAN
 	})
 	return answers
@@ -175,8 +175,8 @@
 	p.notify(func(ctx context.Context, known *peer) { _, _ = known.client.Offer(ctx, row) })
 }
 
-// SpreadLeaving notifies all peers that a backend server is leaving.
-func (p *Peers) SpreadLeaving(service, name string) {
+// AnnounceLeaving notifies all peers that a backend server is leaving.
+func (p *Peers) AnnounceLeaving(service, name string) {
 	notice := &wire.LeavingNotice{Service: service, Name: name, ReportedBy: p.name}
 	p.notify(func(ctx context.Context, known *peer) { _, _ = known.client.Leaving(ctx, notice) })
 }
--- a/pkg/connection/peer/server.go
+++ b/pkg/connection/peer/server.go
@@ -20,9 +20,9 @@
 
 // Control is the part of the control loop that the server calls.
 type Control interface {
-	Wake()
-	Leads() bool
-	Facts(ctx context.Context, name string) ([]*wire.Fact, error)
+	ReadInboxNow()
+	Leading() bool
+	ExplainForPeer(ctx context.Context, name string) ([]*wire.Fact, error)
 }
 
 // Keys answers peers' questions about idempotency keys from this host's records.
@@ -70,18 +70,18 @@
 
 // Wake makes this process read its inbox, if it leads its hall.
 func (s *Server) Wake(_ context.Context, _ *wire.Have) (*wire.Have, error) {
-	if s.Control.Leads() {
-		s.Control.Wake()
+	if s.Control.Leading() {
+		s.Control.ReadInboxNow()
 	}
 	return &wire.Have{}, nil
 }
 
 // Explain returns the facts about a name if this process leads its hall, and else an empty answer.
 func (s *Server) Explain(ctx context.Context, q *wire.Question) (*wire.Answer, error) {
-	if !s.Control.Leads() {
+	if !s.Control.Leading() {
 		return &wire.Answer{}, nil
 	}
-	facts, err := s.Control.Facts(ctx, q.GetName())
+	facts, err := s.Control.ExplainForPeer(ctx, q.GetName())
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/connection/runner/call.go
+++ b/pkg/connection/runner/call.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// MostStreams returns the maximum number of open streams to one server.
-func (c *Client) MostStreams() int { return c.maxStreams }
+// MaxStreams returns the maximum number of open streams to one server.
+func (c *Client) MaxStreams() int { return c.maxStreams }
 
 // newHTTPClient returns an HTTP client with at most the given number of connections to one
 // server, which does not follow redirects.
@@ -63,7 +63,7 @@
 // On failure the fault's code is NotRun if the server certainly did not start the request,
 // and Unknown otherwise.
 func (c *Client) Call(ctx context.Context, address, service, kind, key string, header http.Header, body []byte) (*Answer, error) {
-	ctx, mark := sent.Watch(ctx)
+	ctx, mark := sent.TraceHTTP(ctx)
 	url := "http://" + address + CallPath + service + "/" + kind
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, singleReadBody{bytes.NewReader(body)})
 	if err != nil {
@@ -93,7 +93,7 @@
 // sendError returns the fault of a request that got no answer: NotRun if it was certainly not
 // sent, and else Unknown.
 func sendError(mark *sent.Mark, address string, err error) error {
-	if mark.Maybe() {
+	if mark.MaybeSent() {
 		return fault.New(fault.Unknown, address, "no whole answer", "").WithCause(err)
 	}
 	return fault.New(fault.NotRun, address, "the request was not sent", "").WithCause(err)
--- a/pkg/connection/runner/candidate.go
+++ b/pkg/connection/runner/candidate.go
@@ -12,10 +12,10 @@
 	Local bool // in this entry host's own hall
 	// Slots is the number of requests that the server runs at once.
 	Slots int
-	// Own is the number of this host's outstanding requests to the server.
-	Own int
-	// Others is the number of other requests that the server reported at ReportedAt.
-	Others     int
+	// Outstanding is the number of this host's outstanding requests to the server.
+	Outstanding int
+	// OtherLoad is the number of other requests that the server reported at ReportedAt.
+	OtherLoad  int
 	ReportedAt time.Time
 	// Latency is the moving average of the server's answer times, as of LatencyAt.
 	Latency   time.Duration
@@ -37,10 +37,10 @@
 // Load returns the estimated number of requests at the server.
 func (c Candidate) Load(now time.Time) float64 {
 	if c.ReportedAt.IsZero() {
-		return float64(c.Own)
+		return float64(c.Outstanding)
 	}
 	halves := float64(now.Sub(c.ReportedAt)) / float64(reportHalfLife)
-	return float64(c.Own) + float64(c.Others)*math.Exp2(-halves)
+	return float64(c.Outstanding) + float64(c.OtherLoad)*math.Exp2(-halves)
 }
 
 // Full returns whether the estimated load leaves no free slot at the server.
--- a/pkg/connection/runner/pool.go
+++ b/pkg/connection/runner/pool.go
@@ -68,9 +68,9 @@
 	return &Pool{hall: hall, pickers: pickers, servers: map[string]*server{}, random: random, freed: make(chan struct{})}
 }
 
-// SetHosts updates the pool from the host list's entries of the service. A server that is
+// SetServers updates the pool from the host list's entries of the service. A server that is
 // no longer in the list gets no new requests; requests in flight there continue.
-func (p *Pool) SetHosts(hosts []*wire.Host) {
+func (p *Pool) SetServers(hosts []*wire.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.servers {
@@ -125,10 +125,10 @@
 	return all, open
 }
 
-// Room returns estimates for the concurrency limits: this host's share of the service's slots,
+// ShareOfCapacity returns estimates for the concurrency limits: this host's share of the service's slots,
 // and the mean latency of a request. A full service still completes requests, so this host's
 // share of the slots is taken to be its share of the load.
-func (p *Pool) Room(now time.Time) (slots int, latency time.Duration) {
+func (p *Pool) ShareOfCapacity(now time.Time) (slots int, latency time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var total, own int
@@ -248,7 +248,7 @@
 
 func (s *server) candidate() Candidate {
 	return Candidate{
-		Name: s.name, Local: s.local, Slots: s.slots, Own: s.outstanding, Others: s.otherLoad,
+		Name: s.name, Local: s.local, Slots: s.slots, Outstanding: s.outstanding, OtherLoad: s.otherLoad,
 		ReportedAt: s.reportedAt, Latency: s.latency, LatencyAt: s.latencyAt, Sent: s.sent,
 	}
 }
@@ -292,9 +292,9 @@
 	Leaving bool
 }
 
-// Done ends the lease and applies the report to the server. It returns whether the report
+// Release ends the lease and applies the report to the server. It returns whether the report
 // is the first to say that the server is leaving.
-func (l *Lease) Done(now time.Time, r Report) bool {
+func (l *Lease) Release(now time.Time, r Report) bool {
 	p := l.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/connection/sent/rpc.go
+++ b/pkg/connection/sent/rpc.go
@@ -12,9 +12,9 @@
 
 type rpcKey struct{}
 
-// WatchRPC returns a context for one gRPC call, and the mark of this call. The connection
+// TraceRPC returns a context for one gRPC call, and the mark of this call. The connection
 // must have a Handler as its stats handler.
-func WatchRPC(ctx context.Context) (context.Context, *Mark) {
+func TraceRPC(ctx context.Context) (context.Context, *Mark) {
 	m := &Mark{}
 	return context.WithValue(ctx, rpcKey{}, m), m
 }
--- a/pkg/connection/sent/sent.go
+++ b/pkg/connection/sent/sent.go
@@ -14,11 +14,11 @@
 // Mark records whether a request may have reached the server.
 type Mark struct{ wrote atomic.Bool }
 
-// Maybe returns whether the server may have received the request.
-func (m *Mark) Maybe() bool { return m.wrote.Load() }
+// MaybeSent returns whether the server may have received the request.
+func (m *Mark) MaybeSent() bool { return m.wrote.Load() }
 
-// Watch returns a context for one HTTP request, and the mark of this request.
-func Watch(ctx context.Context) (context.Context, *Mark) {
+// TraceHTTP returns a context for one HTTP request, and the mark of this request.
+func TraceHTTP(ctx context.Context) (context.Context, *Mark) {
 	m := &Mark{}
 	trace := &httptrace.ClientTrace{
 		// net/http calls this hook before the headers leave the write buffer, so the
--- a/pkg/connection/store/store.go
+++ b/pkg/connection/store/store.go
@@ -23,13 +23,13 @@
 // Direct is the client that calls the table service itself.
 type Direct interface {
 	table.Reader
-	Commit(ctx context.Context, t table.Transaction) (table.Committed, error)
+	Commit(ctx context.Context, t table.Transaction) (table.CommitResult, error)
 	Changes(ctx context.Context, tableName string, after int64, wait time.Duration) (table.Page, error)
 }
 
 // Peer is another entry host, which calls the table on behalf of this one.
 type Peer interface {
-	CommitFor(ctx context.Context, t table.Transaction) (table.Committed, error)
+	CommitFor(ctx context.Context, t table.Transaction) (table.CommitResult, error)
 	ReadFor(ctx context.Context, r table.Range) (table.Page, error)
 }
 
@@ -78,8 +78,8 @@
 	return &Client{direct: direct, peers: peers, metrics: registry, start: now}
 }
 
-// Now returns the store's clock, extrapolated from the newest answer, or 0 before the first answer.
-func (c *Client) Now(now time.Time) time.Duration {
+// StoreTime returns the store's clock, extrapolated from the newest answer, or 0 before the first answer.
+func (c *Client) StoreTime(now time.Time) time.Duration {
 	r := c.clock.Load()
 	if r == nil {
 		return 0
@@ -87,9 +87,9 @@
 	return r.storeTime + now.Sub(r.readAt)
 }
 
-// SinceWorked returns the time since the last answered call, or since the client's start if there
+// SinceLastAnswer returns the time since the last answered call, or since the client's start if there
 // is none.
-func (c *Client) SinceWorked(now time.Time) time.Duration {
+func (c *Client) SinceLastAnswer(now time.Time) time.Duration {
 	return now.Sub(c.start) - time.Duration(c.lastAnswerAt.Load())
 }
 
@@ -100,8 +100,8 @@
 	c.lastAnswerAt.Store(int64(now.Sub(c.start)))
 }
 
-// Avoiding returns whether the last failuresToAvoid direct calls have failed.
-func (c *Client) Avoiding() bool {
+// DirectFailing returns whether the last failuresToAvoid direct calls have failed.
+func (c *Client) DirectFailing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failures >= failuresToAvoid
@@ -128,8 +128,8 @@
 }
 
 // Commit executes a transaction, directly or through a peer.
-func (c *Client) Commit(ctx context.Context, t table.Transaction) (table.Committed, error) {
-	var done table.Committed
+func (c *Client) Commit(ctx context.Context, t table.Transaction) (table.CommitResult, error) {
+	var done table.CommitResult
 	err := c.directThenPeers(ctx, "commit", peerTimeout,
 		func(ctx context.Context) (time.Duration, error) {
 			var err error
@@ -164,7 +164,7 @@
 // Changes returns the changes of a table after a version. It waits up to wait for a change,
 // so it is called directly only.
 func (c *Client) Changes(ctx context.Context, tableName string, after int64, wait time.Duration) (table.Page, error) {
-	ctx, cancel := patience.WithSilence(ctx, wait+directTimeout, wait+directLimit)
+	ctx, cancel := patience.WithIdleTimeout(ctx, wait+directTimeout, wait+directLimit)
 	defer cancel()
 	page, err := c.direct.Changes(ctx, tableName, after, wait)
 	c.countCall("changes", err)
@@ -218,7 +218,7 @@
 // callDirect makes a call to the table service itself. The call goes on while data arrives, up to
 // directLimit.
 func (c *Client) callDirect(ctx context.Context, call func(context.Context) (time.Duration, error)) error {
-	ctx, cancel := patience.WithSilence(ctx, directTimeout, directLimit)
+	ctx, cancel := patience.WithIdleTimeout(ctx, directTimeout, directLimit)
 	defer cancel()
 	return c.recordOutcome(call(ctx))
 }
--- a/pkg/connection/store/store_test.go
+++ b/pkg/connection/store/store_test.go
@@ -17,8 +17,8 @@
 // answerLosingTable is a table that executes commits but loses their answers. Reads succeed.
 type answerLosingTable struct{ reads int }
 
-func (l *answerLosingTable) Commit(context.Context, table.Transaction) (table.Committed, error) {
-	return table.Committed{}, fault.New(fault.Unknown, "table", "the answer was lost", "read it")
+func (l *answerLosingTable) Commit(context.Context, table.Transaction) (table.CommitResult, error) {
+	return table.CommitResult{}, fault.New(fault.Unknown, "table", "the answer was lost", "read it")
 }
 
 func (l *answerLosingTable) Read(context.Context, table.Range) (table.Page, error) {
@@ -40,7 +40,7 @@
 		_, err := c.Commit(t.Context(), table.Transaction{})
 		must.Eq(t, fault.Unknown, fault.CodeOf(err))
 	}
-	must.True(t, c.Avoiding())
+	must.True(t, c.DirectFailing())
 	_, err := c.Read(t.Context(), table.Range{})
 	must.NoError(t, err)
 	must.Eq(t, 1, l.reads)
--- a/pkg/container/expiring.go
+++ b/pkg/container/expiring.go
@@ -51,10 +51,10 @@
 	m.entries[key] = m.order.PushBack(&expiringEntry[K, V]{key: key, value: value, putAt: now, expiresAt: now.Add(span)})
 }
 
-// LostUntil returns the Put time of the newest unexpired entry evicted to make
+// NewestDropped returns the Put time of the newest unexpired entry evicted to make
 // room, or the zero time if none was evicted. No unexpired
 // entry put after that time was evicted.
-func (m *Expiring[K, V]) LostUntil() time.Time { return m.lostUntil }
+func (m *Expiring[K, V]) NewestDropped() time.Time { return m.lostUntil }
 
 // Len returns the number of entries, including expired ones not yet removed.
 func (m *Expiring[K, V]) Len() int { return len(m.entries) }
--- a/pkg/emulator/checker.go
+++ b/pkg/emulator/checker.go
@@ -37,8 +37,8 @@
 	broken           []string
 	brokenAt         map[string]time.Duration // first break of each rule
 	acceptedJobs     map[string]bool
-	asked            map[string]bool
-	cancels          map[string]time.Time
+	cancelAsked      map[string]bool
+	cancelledAt      map[string]time.Time
 	running          map[string]map[string]*worker // by task and "worker id#run number"
 	done             map[string]bool
 	doneAcknowledged map[string]bool      // tasks with an acknowledged done end
@@ -49,11 +49,11 @@
 	phases   map[string]wire.JobPhase
 	// crashes counts the worker crashes under each task that causes them, startsMore the task's starts after
 	// too many of these.
-	crashes, startsMore map[string]int
+	crashes, startsAfterLimit map[string]int
 	// failures holds the numbers of failed runs of each task or gang, mostFailures the highest count within a
 	// job.
-	failures     map[string]map[int64]bool
-	mostFailures map[string]int
+	failures    map[string]map[int64]bool
+	maxFailures map[string]int
 	// acceptedAt is when each job was first accepted, lastEndAt the last end of a run of each task,
 	// lastingWaits the waits of lasting tasks without a run.
 	acceptedAt, lastEndAt map[string]time.Time
@@ -62,9 +62,9 @@
 
 func newChecker(w *World) *checker {
 	return &checker{
-		world: w, acceptedJobs: map[string]bool{}, asked: map[string]bool{}, cancels: map[string]time.Time{}, running: map[string]map[string]*worker{},
+		world: w, acceptedJobs: map[string]bool{}, cancelAsked: map[string]bool{}, cancelledAt: map[string]time.Time{}, running: map[string]map[string]*worker{},
 		startedAt: map[string]time.Time{}, done: map[string]bool{}, doneAcknowledged: map[string]bool{}, failed: map[string]map[string]bool{}, failedAt: map[string]map[string]time.Time{}, phases: map[string]wire.JobPhase{},
-		crashes: map[string]int{}, startsMore: map[string]int{}, failures: map[string]map[int64]bool{}, mostFailures: map[string]int{},
+		crashes: map[string]int{}, startsAfterLimit: map[string]int{}, failures: map[string]map[int64]bool{}, maxFailures: map[string]int{},
 		acceptedAt: map[string]time.Time{}, lastEndAt: map[string]time.Time{}, lastingWaits: map[string]*lastingWait{},
 		brokenAt: map[string]time.Duration{},
 	}
@@ -89,27 +89,27 @@
 func (c *checker) isAccepted(id string) bool { return c.acceptedJobs[id] }
 
 func (c *checker) isCancelled(id string) bool {
-	_, known := c.cancels[id]
+	_, known := c.cancelledAt[id]
 	return known
 }
 
 // cancelled takes note that a caller was told that a cancel is recorded.
 func (c *checker) cancelled(id string) {
-	if _, known := c.cancels[id]; !known {
-		c.cancels[id] = c.world.now
+	if _, known := c.cancelledAt[id]; !known {
+		c.cancelledAt[id] = c.world.now
 	}
 }
 
-// parts splits the name of a task. It is written apart from the product's own parser.
-func parts(task string) (job string, time, step int) {
+// parseTaskName splits the name of a task. It is written apart from the product's own parser.
+func parseTaskName(task string) (job string, time, step int) {
 	f := strings.Split(task, ".")
 	time, _ = strconv.Atoi(f[1])
 	step, _ = strconv.Atoi(f[2])
 	return f[0], time, step
 }
 
-// name returns the name of a task: job, repetition, step and index.
-func name(job string, time, step, index int) string {
+// taskName returns the name of a task: job, repetition, step and index.
+func taskName(job string, time, step, index int) string {
 	return fmt.Sprintf("%s.%d.%d.%d", job, time, step, index)
 }
 
@@ -122,7 +122,7 @@
 
 // started checks each start that a worker carries out.
 func (c *checker) started(k *worker, s workers.Start) {
-	job, time, step := parts(s.Task)
+	job, time, step := parseTaskName(s.Task)
 	spec := c.world.jobs[job].GetSteps()[step]
 	if due := c.dueAt(job, time); c.world.now.Before(due) {
 		c.breakRule("ORDER", "%s starts %s ahead of its time", s.Task, due.Sub(c.world.now))
@@ -134,7 +134,7 @@
 	if c.doneAcknowledged[s.Task] {
 		c.breakRule("TWICE", "%s was done when %s starts it", s.Task, k.id())
 	}
-	c.checkCrasher(s.Task)
+	c.checkCrashBudget(s.Task)
 	c.startedAt[s.Task] = c.world.now
 	if c.running[s.Task] == nil {
 		c.running[s.Task] = map[string]*worker{}
@@ -152,7 +152,7 @@
 	if len(c.failed[s.Task]) >= c.world.attempts(job) && !spec.GetLasting() {
 		c.breakRule("BUDGET", "%s starts after %d failures", s.Task, len(c.failed[s.Task]))
 	}
-	if at, ok := c.cancels[job]; ok && c.world.now.Sub(at) > cancelGrace && (c.calm() || c.inTouch(k)) {
+	if at, ok := c.cancelledAt[job]; ok && c.world.now.Sub(at) > cancelGrace && (c.calm() || c.orderedInContact(k)) {
 		c.breakRule("UNASKED", "%s starts %s after its cancel was acknowledged", s.Task, c.world.now.Sub(at))
 	}
 	if s.Checkpoint != "" && s.Checkpoint != "save of "+taskOf(s.Task) {
@@ -173,10 +173,10 @@
 func (c *checker) unitDone(job string, time, step, index int) bool {
 	spec := c.world.jobs[job].GetSteps()[step]
 	if !spec.GetGang() {
-		return c.done[name(job, time, step, index)]
+		return c.done[taskName(job, time, step, index)]
 	}
 	for i := range int(spec.GetCount()) {
-		if c.done[name(job, time, step, i)] {
+		if c.done[taskName(job, time, step, i)] {
 			return true
 		}
 	}
@@ -200,7 +200,7 @@
 }
 
 // ended takes note of each end of a run, also of one that no leader learns of.
-func (c *checker) ended(k *worker, r *workerRun, how workers.How) {
+func (c *checker) ended(k *worker, r *workerRun, how workers.Outcome) {
 	c.world.logf("%s ends %s run %d: %s", k.id(), r.task, r.number, how)
 	delete(c.running[r.task], fmt.Sprintf("%s#%d", k.id(), r.number))
 	c.lastEndAt[r.task] = c.world.now
@@ -222,7 +222,7 @@
 		c.failures[of] = map[int64]bool{}
 	}
 	c.failures[of][r.number] = true
-	c.mostFailures[jobOf(r.task)] = max(c.mostFailures[jobOf(r.task)], len(c.failures[of]))
+	c.maxFailures[jobOf(r.task)] = max(c.maxFailures[jobOf(r.task)], len(c.failures[of]))
 }
 
 // acknowledged takes note that a leader's poll acknowledged an end, and checks the starts of the task against
@@ -231,7 +231,7 @@
 	if k.endedAfterLease[e.Number] {
 		return
 	}
-	switch e.How {
+	switch e.Outcome {
 	case workers.EndedDone:
 		c.doneAcknowledged[e.Task] = true
 		if at := c.startedAt[e.Task]; at.After(k.endedAt[e.Number]) {
@@ -254,7 +254,7 @@
 		c.failedAt[e.Task] = map[string]time.Time{}
 	}
 	c.failedAt[e.Task][fmt.Sprintf("%s#%d", k.id(), e.Run)] = k.endedAt[e.Number]
-	job, _, step := parts(e.Task)
+	job, _, step := parseTaskName(e.Task)
 	spec := c.world.jobs[job].GetSteps()[step]
 	ends := slices.SortedFunc(maps.Values(c.failedAt[e.Task]), time.Time.Compare)
 	most := c.world.attempts(job)
@@ -294,7 +294,7 @@
 			c.checkAllDone(id, time)
 		}
 	case wire.JobPhase_JOB_PHASE_FAILED:
-		if !c.mayFail(id) {
+		if !c.failureHasCause(id) {
 			c.breakRule("MIXED", "%s is recorded as failed without cause: %s", id, p.GetReason())
 		}
 	case wire.JobPhase_JOB_PHASE_CANCELLED:
@@ -310,7 +310,7 @@
 	for step, spec := range c.world.jobs[id].GetSteps() {
 		for i := range int(spec.GetCount()) {
 			if !c.unitDone(id, time, step, i) {
-				c.breakRule("MIXED", "%s is completed, %s is not done", id, name(id, time, step, i))
+				c.breakRule("MIXED", "%s is completed, %s is not done", id, taskName(id, time, step, i))
 			}
 		}
 	}
@@ -328,10 +328,10 @@
 
 // cancelSent returns whether a caller has sent a cancel of a job, accepted or not.
 func (c *checker) cancelSent(id string) bool {
-	if c.asked[id] {
+	if c.cancelAsked[id] {
 		return true
 	}
-	_, sent := c.cancels[id]
+	_, sent := c.cancelledAt[id]
 	_, row := c.world.table.rows[rows.CancelKey(c.world.jobs[id].GetCell(), id)]
 	return sent || row
 }
--- a/pkg/emulator/crashers.go
+++ b/pkg/emulator/crashers.go
@@ -20,9 +20,9 @@
 	crashTaskSeedStream = 11
 )
 
-// drawCrasher picks one task of a job as a crash task. It is one in each occurrence of a repeated job.
-func (w *World) drawCrasher(spec *wire.JobSpec) *Crash {
-	r := rand.New(rand.NewPCG(w.plan.Seed^uint64(len(w.crashers)), crashTaskSeedStream))
+// drawCrashTask picks one task of a job as a crash task. It is one in each occurrence of a repeated job.
+func (w *World) drawCrashTask(spec *wire.JobSpec) *Crash {
+	r := rand.New(rand.NewPCG(w.plan.Seed^uint64(len(w.crashTaskDelays)), crashTaskSeedStream))
 	step := r.IntN(len(spec.GetSteps()))
 	index := r.IntN(int(spec.GetSteps()[step].GetCount()))
 	after := minCrashDelay + time.Duration(r.Int64N(int64(maxCrashDelay-minCrashDelay)))
@@ -31,21 +31,21 @@
 
 // crashTaskKey returns the key of a task in World.crashers: the task's name without the occurrence of its job.
 func crashTaskKey(task string) string {
-	job, _, step := parts(task)
+	job, _, step := parseTaskName(task)
 	return fmt.Sprintf("%s.%d%s", job, step, task[len(taskOf(task)):])
 }
 
-// crashAfter schedules a crash of the worker if the run is of a crash task.
-func (k *worker) crashAfter(r *workerRun) {
+// scheduleTaskCrash schedules a crash of the worker if the run is of a crash task.
+func (k *worker) scheduleTaskCrash(r *workerRun) {
 	w := k.world
-	after, crashes := w.crashers[crashTaskKey(r.task)]
+	after, crashes := w.crashTaskDelays[crashTaskKey(r.task)]
 	if !crashes {
 		return
 	}
 	span := minDowntime + w.extraDowntime(r)
 	w.after(after, func() {
 		if k.up && k.runs[r.task] == r {
-			k.crashLoudly(span)
+			k.crashWithReset(span)
 		}
 	})
 }
@@ -53,7 +53,7 @@
 // extraDowntime returns the time that a worker stays down beyond minDowntime after a crash by a run. On a generated day
 // it has a generator of its own, so that the other draws of the day don't depend on it.
 func (w *World) extraDowntime(r *workerRun) time.Duration {
-	span := w.draws.take("away "+r.task, func(*rand.Rand) uint64 {
+	span := w.draws.next("away "+r.task, func(*rand.Rand) uint64 {
 		return uint64(rand.New(rand.NewPCG(w.plan.Seed, uint64(r.number))).Int64N(int64(maxDowntime - minDowntime)))
 	})
 	return time.Duration(span % uint64(maxDowntime-minDowntime))
@@ -67,32 +67,32 @@
 	minCrashesOfFailedJob = 2
 )
 
-// crashed counts a crash of worker k for each crash task that runs there.
-func (c *checker) crashed(k *worker) {
+// countTaskCrashes counts a crash of worker k for each crash task that runs there.
+func (c *checker) countTaskCrashes(k *worker) {
 	for task := range k.runs {
-		if _, guilty := c.world.crashers[crashTaskKey(task)]; guilty {
+		if _, guilty := c.world.crashTaskDelays[crashTaskKey(task)]; guilty {
 			c.crashes[task]++
 		}
 	}
 }
 
-// checkCrasher checks the rule BUDGET at a start of a task that has crashed workers.
-func (c *checker) checkCrasher(task string) {
+// checkCrashBudget checks the rule BUDGET at a start of a task that has crashed workers.
+func (c *checker) checkCrashBudget(task string) {
 	if c.crashes[task] < crashesUntilPoisonous {
 		return
 	}
-	c.startsMore[task]++
-	if c.startsMore[task] >= excessStarts {
-		c.breakRule("BUDGET", "%s is started %d times more after %d workers crashed under it", task, c.startsMore[task], crashesUntilPoisonous)
+	c.startsAfterLimit[task]++
+	if c.startsAfterLimit[task] >= excessStarts {
+		c.breakRule("BUDGET", "%s is started %d times more after %d workers crashed under it", task, c.startsAfterLimit[task], crashesUntilPoisonous)
 	}
 }
 
-// mayFail returns whether a job has had enough crashes or failed runs to be recorded as failed.
-func (c *checker) mayFail(id string) bool {
+// failureHasCause returns whether a job has had enough crashes or failed runs to be recorded as failed.
+func (c *checker) failureHasCause(id string) bool {
 	for task, n := range c.crashes {
 		if jobOf(task) == id && n >= minCrashesOfFailedJob {
 			return true
 		}
 	}
-	return c.mostFailures[id] >= c.world.attempts(id)
+	return c.maxFailures[id] >= c.world.attempts(id)
 }
--- a/pkg/emulator/draws.go
+++ b/pkg/emulator/draws.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// draws is the source of the random draws that are made while a day is played. Each draw names its stream by a purpose
+// randomStreams is the source of the random draws that are made while a day is played. Each draw names its stream by a purpose
 // and an entity. In a script the draws of one entity therefore don't depend on the number of draws of others.
-type draws struct {
+type randomStreams struct {
 	// rand is the generator of a day that is generated from its seed; nil when a script is played.
 	rand *rand.Rand
 	// tapes are the recorded draws by stream; nil if a generated day is not recorded. read is the number of draws that
@@ -21,8 +21,8 @@
 }
 
 // generatorDraws returns draws of a generator. With keep, they are recorded.
-func generatorDraws(r *rand.Rand, keep bool) *draws {
-	d := &draws{rand: r}
+func generatorDraws(r *rand.Rand, keep bool) *randomStreams {
+	d := &randomStreams{rand: r}
 	if keep {
 		d.tapes = map[string][]uint64{}
 	}
@@ -30,13 +30,13 @@
 }
 
 // tapeDraws returns draws that are read from tapes.
-func tapeDraws(tapes map[string][]uint64, beyond uint64) *draws {
-	return &draws{tapes: tapes, read: map[string]int{}, beyond: beyond}
+func tapeDraws(tapes map[string][]uint64, beyond uint64) *randomStreams {
+	return &randomStreams{tapes: tapes, read: map[string]int{}, beyond: beyond}
 }
 
-// take returns the next draw of a stream, from the generator or from the tape. After the end of a tape the draw is
+// next returns the next draw of a stream, from the generator or from the tape. After the end of a tape the draw is
 // computed from the stream's name, the position and the script's Beyond.
-func (d *draws) take(stream string, draw func(r *rand.Rand) uint64) uint64 {
+func (d *randomStreams) next(stream string, draw func(r *rand.Rand) uint64) uint64 {
 	if d.rand != nil {
 		v := draw(d.rand)
 		if d.tapes != nil {
@@ -63,15 +63,15 @@
 }
 
 // below returns a number from 0 to n-1.
-func (d *draws) below(stream string, n int64) int64 {
-	return int64(d.take(stream, func(r *rand.Rand) uint64 { return uint64(r.Int64N(n)) }) % uint64(n))
+func (d *randomStreams) below(stream string, n int64) int64 {
+	return int64(d.next(stream, func(r *rand.Rand) uint64 { return uint64(r.Int64N(n)) }) % uint64(n))
 }
 
 // oneIn returns true with a probability of 1/n.
-func (d *draws) oneIn(stream string, n int64) bool { return d.below(stream, n) == 0 }
+func (d *randomStreams) oneIn(stream string, n int64) bool { return d.below(stream, n) == 0 }
 
 // between returns a duration from a to b.
-func (d *draws) between(stream string, a, b time.Duration) time.Duration {
+func (d *randomStreams) between(stream string, a, b time.Duration) time.Duration {
 	return a + time.Duration(d.below(stream, int64(b-a)+1))
 }
 
@@ -79,20 +79,20 @@
 const fractionBits = 53
 
 // fraction returns a number from 0 up to, but not including, 1.
-func (d *draws) fraction(stream string) float64 {
-	v := d.take(stream, func(r *rand.Rand) uint64 { return uint64(r.Float64() * (1 << fractionBits)) })
+func (d *randomStreams) fraction(stream string) float64 {
+	v := d.next(stream, func(r *rand.Rand) uint64 { return uint64(r.Float64() * (1 << fractionBits)) })
 	return float64(v%(1<<fractionBits)) / (1 << fractionBits)
 }
 
 // normal returns a number of the standard normal distribution, or 0 after the end of a tape.
-func (d *draws) normal(stream string) float64 {
+func (d *randomStreams) normal(stream string) float64 {
 	if d.rand == nil && d.read[stream] >= len(d.tapes[stream]) {
 		return 0
 	}
-	return math.Float64frombits(d.take(stream, func(r *rand.Rand) uint64 { return math.Float64bits(r.NormFloat64()) }))
+	return math.Float64frombits(d.next(stream, func(r *rand.Rand) uint64 { return math.Float64bits(r.NormFloat64()) }))
 }
 
-// hop returns the network delay of one message.
-func (d *draws) hop(stream string) time.Duration {
+// messageDelay returns the network delay of one message.
+func (d *randomStreams) messageDelay(stream string) time.Duration {
 	return d.between(stream, 200*time.Microsecond, 3*time.Millisecond)
 }
--- a/pkg/emulator/effects.go
+++ b/pkg/emulator/effects.go
@@ -41,7 +41,7 @@
 	case cell.Load:
 		h.load(e.Epoch, 0, cell.Loaded{Epoch: e.Epoch, Fences: map[string]int64{}, Wall: w.now})
 	case cell.WriteProgress:
-		h.commit(e.Transaction, func(c table.Committed, ok bool) {
+		h.commit(e.Transaction, func(c table.CommitResult, ok bool) {
 			answered := cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: c}
 			if !ok {
 				answered.Err = fault.New(fault.Unknown, "table", "no answer", "")
@@ -180,7 +180,7 @@
 	h.commit(table.Transaction{
 		Conditions: []table.Condition{{Key: key, Version: before.Version}},
 		Puts:       []table.Row{rows.Row(key, &wire.CellFence{Epoch: epoch})},
-	}, func(c table.Committed, ok bool) {
+	}, func(c table.CommitResult, ok bool) {
 		if !ok || c.Conflict {
 			retry()
 			return
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -30,8 +30,8 @@
 // World is the state of one emulated day.
 type World struct {
 	plan    Plan
-	rand    *rand.Rand // plans the day: fleet, traffic and faults
-	draws   *draws     // all other random draws, by named stream
+	rand    *rand.Rand     // plans the day: fleet, traffic and faults
+	draws   *randomStreams // all other random draws, by named stream
 	now     time.Time
 	start   time.Time
 	events  eventHeap
@@ -49,12 +49,12 @@
 	troubleUntil time.Time
 	// impairedAt is the last time at which a fault was active. It is kept only on days that check lasting
 	// tasks.
-	impairedAt time.Time
-	truths     map[string]*TaskTruth // actual behaviour of the tasks of plan.Load, by task name
-	saved      map[string]time.Duration
-	crashers   map[string]time.Duration // delay from start to worker crash, by task without its repetition
-	results    map[string]*JobResult
-	script     *Script // records the day, nil if it is not recorded
+	impairedAt      time.Time
+	truths          map[string]*TaskBehavior // actual behaviour of the tasks of plan.Load, by task name
+	saved           map[string]time.Duration
+	crashTaskDelays map[string]time.Duration // delay from start to worker crash, by task without its repetition
+	results         map[string]*JobResult
+	script          *Script // records the day, nil if it is not recorded
 	// Noted counts the notes of all hosts by kind.
 	Noted map[cell.NoteKind]int
 	// Log holds the log lines of the day, to explain a seed that failed.
@@ -63,7 +63,7 @@
 
 // Play runs the day of a plan. It returns the final state and the rules that were broken, one text each.
 func Play(plan Plan) (*World, []string) {
-	w := drawnWorld(plan, false)
+	w := seededWorld(plan, false)
 	return w, w.playDrawn()
 }
 
@@ -75,7 +75,7 @@
 	} else {
 		w.planLoad()
 	}
-	w.planFaults()
+	w.scheduleFaults()
 	return w.run()
 }
 
@@ -110,7 +110,7 @@
 		w.hosts = append(w.hosts, newHost(w, fmt.Sprintf("host-%d", i), w.cells[i%len(w.cells)]))
 	}
 	if w.script != nil {
-		w.script.takeFleet(w)
+		w.script.recordFleet(w)
 	}
 }
 
@@ -173,9 +173,9 @@
 	return a + time.Duration(w.rand.Int64N(int64(b-a)+1))
 }
 
-// cut returns whether a partition separates two hosts or workers, or a host and the table.
-func (w *World) cut(a, b string) bool {
-	if len(w.hallCuts) > 0 && b != "table" && w.apart(w.hallOf(a), w.hallOf(b)) {
+// unreachable returns whether a partition separates two hosts or workers, or a host and the table.
+func (w *World) unreachable(a, b string) bool {
+	if len(w.hallCuts) > 0 && b != "table" && w.hallsDisconnected(w.hallOf(a), w.hallOf(b)) {
 		return true
 	}
 	return w.now.Before(w.cuts[[2]string{a, b}]) || w.now.Before(w.cuts[[2]string{b, a}])
@@ -205,16 +205,16 @@
 		spec := w.newJob(id)
 		var crash *Crash
 		if i < w.plan.CrashTasks {
-			crash = w.drawCrasher(spec)
+			crash = w.drawCrashTask(spec)
 		}
 		at := w.between(2*time.Second, w.plan.Traffic)
-		w.planJob(ScriptJob{At: at, Spec: JobSpec{spec}, Crash: crash})
+		w.scheduleJob(ScriptJob{At: at, Spec: JobSpec{spec}, Crash: crash})
 		if spec.GetSteps()[0].GetLasting() {
-			w.planCancel(Cancel{At: at + w.between(time.Second, w.plan.Trouble), Job: id, Surely: true})
+			w.scheduleCancel(Cancel{At: at + w.between(time.Second, w.plan.Trouble), Job: id, Surely: true})
 			continue
 		}
 		if w.rand.IntN(8) == 0 || (w.plan.Touch && w.rand.IntN(3) == 0) {
-			w.planCancel(Cancel{At: at + w.between(100*time.Millisecond, 4*time.Second), Job: id})
+			w.scheduleCancel(Cancel{At: at + w.between(100*time.Millisecond, 4*time.Second), Job: id})
 		}
 	}
 	w.planLasting()
@@ -269,7 +269,7 @@
 
 // submit submits a job at some host. A caller without an answer retries, up to maxSubmitRetries times.
 func (w *World) submit(spec *wire.JobSpec, tries int) {
-	h := w.hostFor(spec.GetId())
+	h := w.entryHostFor(spec.GetId())
 	h.submit(spec, func(taken bool) {
 		if taken {
 			w.checker.accepted(spec)
@@ -281,14 +281,14 @@
 	})
 }
 
-// cancelSurely cancels a job with lasting tasks once it is accepted, and retries every 2 s until a host has
+// cancelUntilAccepted cancels a job with lasting tasks once it is accepted, and retries every 2 s until a host has
 // accepted the cancel: a host that is killed while it is frozen never answers.
-func (w *World) cancelSurely(id string) {
+func (w *World) cancelUntilAccepted(id string) {
 	if w.checker.isCancelled(id) {
 		return
 	}
 	w.cancel(id)
-	w.after(2*time.Second, func() { w.cancelSurely(id) })
+	w.after(2*time.Second, func() { w.cancelUntilAccepted(id) })
 }
 
 // cancel cancels an accepted job at some host, and retries until a host has accepted it. It does nothing for a
@@ -297,8 +297,8 @@
 	if !w.checker.isAccepted(id) {
 		return
 	}
-	h := w.hostFor(id)
-	w.checker.asked[id] = true
+	h := w.entryHostFor(id)
+	w.checker.cancelAsked[id] = true
 	h.cancel(id, func(taken bool) {
 		if taken {
 			w.checker.cancelled(id)
@@ -323,9 +323,9 @@
 // manifest returns the queues and services of the day.
 func (w *World) manifest() *manifest.Manifest {
 	if w.plan.Load != nil {
-		return manifest.New(1, w.plan.Load.Queues, []manifest.Service{{Name: serviceName, Guards: true}}, manifest.Limits{})
+		return manifest.New(1, w.plan.Load.Queues, []manifest.Service{{Name: serviceName, GuardsCapacity: true}}, manifest.Limits{})
 	}
 	return manifest.New(1, []manifest.Queue{{
 		Name: queueName, Service: serviceName, MaxAttempts: maxAttempts, Stretch: 2, Slack: time.Second,
-	}}, []manifest.Service{{Name: serviceName, Guards: !w.plan.Unguarded}}, manifest.Limits{})
+	}}, []manifest.Service{{Name: serviceName, GuardsCapacity: !w.plan.Unguarded}}, manifest.Limits{})
 }
--- a/pkg/emulator/faults.go
+++ b/pkg/emulator/faults.go
@@ -10,8 +10,8 @@
 	earliestHallCut = 4 * time.Second
 )
 
-// planFaults schedules all faults of the plan.
-func (w *World) planFaults() {
+// scheduleFaults schedules all faults of the plan.
+func (w *World) scheduleFaults() {
 	for range w.plan.Faults {
 		w.after(w.between(earliestFault, w.plan.Trouble), w.injectRandomFault)
 	}
@@ -25,7 +25,7 @@
 		w.after(w.between(earliestHallCut, w.plan.Trouble), w.cutOffFirstHall)
 	}
 	for range w.plan.Rooms {
-		w.after(w.between(earliestFault, w.plan.Trouble), w.shrinkRoom)
+		w.after(w.between(earliestFault, w.plan.Trouble), w.shrinkWorker)
 	}
 	for range w.plan.Suspends {
 		w.after(w.between(earliestFault, w.plan.Trouble), w.suspendHost)
@@ -44,7 +44,7 @@
 	for _, k := range w.workers {
 		if w.rand.IntN(2) == 0 {
 			span := w.between(50*time.Millisecond, 1500*time.Millisecond)
-			w.after(w.between(0, 300*time.Millisecond), func() { w.strikeWith(Fault{Kind: CrashWorker, Target: k.name, For: span}) })
+			w.after(w.between(0, 300*time.Millisecond), func() { w.injectFault(Fault{Kind: CrashWorker, Target: k.name, For: span}) })
 			w.troubleUntil = w.now.Add(span)
 		}
 	}
@@ -65,7 +65,7 @@
 		span = w.between(longerThanTenure, longerThanTenure+5*time.Second)
 		w.isolateWithTwoWorkers(h, span+w.between(time.Second, 4*time.Second))
 	}
-	w.strikeWith(Fault{Kind: SuspendHost, Target: h.name, For: span})
+	w.injectFault(Fault{Kind: SuspendHost, Target: h.name, For: span})
 	if until := w.now.Add(span); until.After(w.troubleUntil) {
 		w.troubleUntil = until
 	}
@@ -79,7 +79,7 @@
 	span := w.between(1500*time.Millisecond, 11*time.Second)
 	switch kind := w.rand.IntN(3); kind {
 	case 0:
-		w.strikeWith(Fault{Kind: TableDown, For: span})
+		w.injectFault(Fault{Kind: TableDown, For: span})
 	case 1:
 		w.cutLeader(name, span)
 	default:
@@ -117,28 +117,28 @@
 	w.cutOffHall(w.cells[0], w.between(6*time.Second, 11*time.Second))
 	w.after(w.between(500*time.Millisecond, 6*time.Second), func() {
 		if h := w.leaderOf(w.cells[1]); h != nil && h.hall != w.cells[0] {
-			w.strikeWith(Fault{Kind: KillHost, Target: h.name, For: time.Second})
+			w.injectFault(Fault{Kind: KillHost, Target: h.name, For: time.Second})
 		}
 	})
 	for _, k := range w.workers {
 		if k.Hall != w.cells[0] {
-			w.after(w.between(0, 5*time.Second), func() { w.strikeWith(Fault{Kind: CrashWorker, Target: k.name, For: time.Second}) })
+			w.after(w.between(0, 5*time.Second), func() { w.injectFault(Fault{Kind: CrashWorker, Target: k.name, For: time.Second}) })
 		}
 	}
 }
 
 // cutOffHall cuts a hall's hosts and workers off from other halls, and its hosts from the table.
 func (w *World) cutOffHall(hall string, span time.Duration) {
-	w.strikeWith(Fault{Kind: CutCell, Target: hall, For: span})
+	w.injectFault(Fault{Kind: CutCell, Target: hall, For: span})
 }
 
 // cutLink cuts the link between two hosts, between a host and a worker, or between a host and the table.
 func (w *World) cutLink(from, to string, span time.Duration) {
-	w.strikeWith(Fault{Kind: CutLink, Target: from, Peer: to, For: span})
+	w.injectFault(Fault{Kind: CutLink, Target: from, Peer: to, For: span})
 }
 
-// apart returns whether two halls are cut off from each other now.
-func (w *World) apart(a, b string) bool {
+// hallsDisconnected returns whether two halls are cut off from each other now.
+func (w *World) hallsDisconnected(a, b string) bool {
 	return a != b && (w.now.Before(w.hallCuts[a]) || w.now.Before(w.hallCuts[b]))
 }
 
@@ -172,7 +172,7 @@
 func (w *World) crashOneWorker() {
 	k := w.workers[w.rand.IntN(len(w.workers))]
 	span := w.between(50*time.Millisecond, 3*time.Second)
-	w.strikeWith(Fault{Kind: CrashWorker, Target: k.name, For: span})
+	w.injectFault(Fault{Kind: CrashWorker, Target: k.name, For: span})
 	if until := w.now.Add(span); until.After(w.troubleUntil) {
 		w.troubleUntil = until
 	}
@@ -189,19 +189,19 @@
 	k := w.workers[w.rand.IntN(len(w.workers))]
 	switch w.rand.IntN(12) {
 	case 0:
-		w.strikeWith(Fault{Kind: KillHost, Target: h.name, For: span})
+		w.injectFault(Fault{Kind: KillHost, Target: h.name, For: span})
 	case 1:
-		w.strikeWith(Fault{Kind: FreezeHost, Target: h.name, For: span})
+		w.injectFault(Fault{Kind: FreezeHost, Target: h.name, For: span})
 	case 2:
 		for _, each := range w.hosts {
-			w.strikeWith(Fault{Kind: KillHost, Target: each.name, For: w.between(500*time.Millisecond, 1500*time.Millisecond)})
+			w.injectFault(Fault{Kind: KillHost, Target: each.name, For: w.between(500*time.Millisecond, 1500*time.Millisecond)})
 		}
 	case 3:
-		w.strikeWith(Fault{Kind: TableDown, For: span})
+		w.injectFault(Fault{Kind: TableDown, For: span})
 	case 4:
-		w.strikeWith(Fault{Kind: TableLoses, For: span})
+		w.injectFault(Fault{Kind: TableLoses, For: span})
 	case 5:
-		w.strikeWith(Fault{Kind: TableSlow, For: span})
+		w.injectFault(Fault{Kind: TableSlow, For: span})
 	case 6:
 		w.cutLink(h.name, "table", span)
 	case 7:
@@ -211,11 +211,11 @@
 			w.cutLink(each.name, k.name, span)
 		}
 	case 9:
-		w.strikeWith(Fault{Kind: LateWorker, Target: k.name, For: span})
+		w.injectFault(Fault{Kind: LateWorker, Target: k.name, For: span})
 	case 10:
-		w.strikeWith(Fault{Kind: CrashWorker, Target: k.name, For: span})
+		w.injectFault(Fault{Kind: CrashWorker, Target: k.name, For: span})
 	case 11:
-		w.strikeWith(Fault{Kind: [...]FaultKind{sickHangs: HangRuns, sickFails: FailRuns}[w.rand.IntN(2)], Target: k.name, For: span})
+		w.injectFault(Fault{Kind: [...]FaultKind{runsHang: HangRuns, runsFail: FailRuns}[w.rand.IntN(2)], Target: k.name, For: span})
 	}
 	if until := w.now.Add(span); until.After(w.troubleUntil) {
 		w.troubleUntil = until
--- a/pkg/emulator/host.go
+++ b/pkg/emulator/host.go
@@ -64,7 +64,7 @@
 	h.incarnation++
 	h.up, h.bootedAt, h.connected = true, w.now, map[string]bool{}
 	self := election.Self{
-		Life: h.incarnationID(), Host: h.name, Hall: h.hall, Address: h.name, Since: h.clock(),
+		Incarnation: h.incarnationID(), Host: h.name, Hall: h.hall, Address: h.name, Since: h.clock(),
 		Delay: w.draws.between("delay "+h.name, 0, 150*time.Millisecond),
 	}
 	h.seats = nil
@@ -107,18 +107,18 @@
 			h.world.after(interval, repeat)
 		}
 	}
-	h.on(repeat)
+	h.whenRunning(repeat)
 }
 
-// on calls a function now or, if the host is frozen, when it thaws, provided that the same incarnation is up
+// whenRunning calls a function now or, if the host is frozen, when it thaws, provided that the same incarnation is up
 // then.
-func (h *host) on(do func()) {
+func (h *host) whenRunning(do func()) {
 	w := h.world
 	incarnation := h.incarnation
 	if w.now.Before(h.frozenUntil) {
 		w.after(h.frozenUntil.Sub(w.now), func() {
 			if h.up && h.incarnation == incarnation {
-				h.on(do)
+				h.whenRunning(do)
 			}
 		})
 		return
@@ -139,7 +139,7 @@
 	incarnation := h.incarnation
 	return func(do func()) {
 		if h.up && h.incarnation == incarnation {
-			h.on(do)
+			h.whenRunning(do)
 		}
 	}
 }
@@ -208,12 +208,12 @@
 		h.carryOut(e)
 	}
 	if h.state.Settled() {
-		h.seat.Settled()
+		h.seat.PredecessorsSettled()
 	}
 	if h.seat.Role() == election.Leader && h.state.ReadyToHandOver() {
 		h.seat.Release()
 	}
-	write := h.seat.Next(h.clock(), h.state.Members(), 0, false)
+	write := h.seat.NextWrite(h.clock(), h.state.Members(), 0, false)
 	if write == nil {
 		return
 	}
@@ -221,17 +221,17 @@
 		Conditions: []table.Condition{{Key: rows.LeadKey(h.cell), Version: write.Version}},
 		Puts:       []table.Row{rows.Row(rows.LeadKey(h.cell), write.Row)},
 	}
-	if write.Roster != nil {
-		tx.Puts = append(tx.Puts, rows.Row(rows.RosterKey(h.cell), write.Roster))
+	if write.Membership != nil {
+		tx.Puts = append(tx.Puts, rows.Row(rows.RosterKey(h.cell), write.Membership))
 	}
-	h.commit(tx, func(c table.Committed, ok bool) {
+	h.commit(tx, func(c table.CommitResult, ok bool) {
 		version := int64(0)
 		if ok && !c.Conflict {
 			version = c.Version
 		}
-		h.takeChange(h.seat.TakeWritten(h.clock(), version))
-		if version != 0 && write.Roster != nil {
-			h.state.Take(h.clock(), cell.MembershipRecorded{IDs: rosterIDs(write.Roster.GetEntries())})
+		h.takeChange(h.seat.RowWritten(h.clock(), version))
+		if version != 0 && write.Membership != nil {
+			h.state.Take(h.clock(), cell.MembershipRecorded{IDs: rosterIDs(write.Membership.GetEntries())})
 		}
 		h.act()
 	})
@@ -246,10 +246,10 @@
 }
 
 // commit sends a transaction to the table over the host's link; done runs only in this incarnation.
-func (h *host) commit(tx table.Transaction, done func(c table.Committed, ok bool)) {
+func (h *host) commit(tx table.Transaction, done func(c table.CommitResult, ok bool)) {
 	here := h.bindIncarnation()
 	send := func() {
-		h.world.table.commit(h.name, tx, func(c table.Committed, ok bool) { here(func() { done(c, ok) }) })
+		h.world.table.commit(h.name, tx, func(c table.CommitResult, ok bool) { here(func() { done(c, ok) }) })
 	}
 	queued := h.uploadDelay(transactionBytes(tx))
 	if queued == 0 {
@@ -289,14 +289,14 @@
 func (h *seat) takeChange(c election.Change) {
 	now := h.clock()
 	switch {
-	case c.Led:
+	case c.Gained:
 		h.world.logf("%s leads epoch %d", h.name, h.seat.Row().GetEpoch())
 		h.state.Take(now, cell.NewLeadershipGained(now, h.seat.Row().GetEpoch(), c))
 		for _, p := range c.Predecessors {
 			h.awaitPredecessor(h.seat.Row().GetEpoch(), p)
 		}
 	case c.Lost:
-		h.state.Take(now, cell.LeadershipLost{Why: c.Why})
+		h.state.Take(now, cell.LeadershipLost{Why: c.Reason})
 	}
 }
 
@@ -316,7 +316,7 @@
 					row, version = read, r.Version
 				}
 			}
-			h.takeChange(h.seat.TakeRead(h.clock(), askedAt, row, version, at))
+			h.takeChange(h.seat.RowRead(h.clock(), askedAt, row, version, at))
 			h.act()
 		})
 	})
@@ -324,7 +324,7 @@
 
 // listWorkers gives the state the worker registry of its hall, unless the table cannot be reached.
 func (h *seat) listWorkers() {
-	if h.world.cut(h.name, "table") || h.world.now.Before(h.world.table.downUntil) {
+	if h.world.unreachable(h.name, "table") || h.world.now.Before(h.world.table.downUntil) {
 		h.listFailedAt = h.world.now
 		return
 	}
@@ -335,7 +335,7 @@
 		}
 	}
 	list, readAt := h.world.acceptedRecords(list, h.cell), h.world.now
-	h.on(func() {
+	h.whenRunning(func() {
 		h.listReadAt = readAt
 		h.state.Take(h.clock(), cell.WorkersListed{Records: list})
 	})
@@ -369,11 +369,11 @@
 	})
 }
 
-// holds returns whether this host may still give orders in a cell: its state holds the leadership, or its seat
+// mayOrder returns whether this host may still give orders in a cell: its state holds the leadership, or its seat
 // claims it.
-func (h *host) holds(name string) bool {
+func (h *host) mayOrder(name string) bool {
 	for _, s := range h.seats {
-		if s.cell == name && (s.state.HoldsLeadership() || s.seat.Claiming()) {
+		if s.cell == name && (s.state.HoldsLeadership() || s.seat.ClaimPending()) {
 			return true
 		}
 	}
--- a/pkg/emulator/intake.go
+++ b/pkg/emulator/intake.go
@@ -48,14 +48,14 @@
 	w := h.world
 	for _, each := range w.hosts {
 		other := each.leads(name)
-		if other == nil || w.cut(h.name, each.name) {
+		if other == nil || w.unreachable(h.name, each.name) {
 			continue
 		}
 		withBeliefs := h.clock().Sub(h.beliefsAskedAt[name]) >= beliefsInterval
 		if withBeliefs {
 			h.beliefsAskedAt[name] = h.clock()
 		}
-		w.after(w.draws.hop("word "+h.name+" "+each.name), each.ifSameIncarnation(func() { h.sendLoad(other, withBeliefs) }))
+		w.after(w.draws.messageDelay("word "+h.name+" "+each.name), each.ifSameIncarnation(func() { h.sendLoad(other, withBeliefs) }))
 	}
 }
 
@@ -66,8 +66,8 @@
 		return
 	}
 	load := from.state.Load(from.clock(), withBeliefs)
-	w.after(w.draws.hop("word "+from.name+" "+h.name), h.ifSameIncarnation(func() {
-		h.board.Take(h.clock(), load)
+	w.after(w.draws.messageDelay("word "+from.name+" "+h.name), h.ifSameIncarnation(func() {
+		h.board.SetLoad(h.clock(), load)
 		for _, s := range h.seats {
 			if len(load.GetBeliefs()) > 0 || s.state.Leading() {
 				s.state.Take(h.clock(), cell.PeerLoad{Load: load})
@@ -80,7 +80,7 @@
 func (h *host) chooseCell(spec *wire.JobSpec) {
 	cells := map[string]cellchoice.Cell{}
 	for _, name := range h.world.cells {
-		cells[name] = cellchoice.Cell{Hall: name, Led: h.world.hasLeader(name)}
+		cells[name] = cellchoice.Cell{Hall: name, HasLeader: h.world.hasLeader(name)}
 	}
 	h.askLoadsOlderThan(loadAgeForChoice)
 	spec.Cell = h.board.Choose(h.clock(), spec, cells).Cell
@@ -113,17 +113,17 @@
 	}
 	w.jobs[spec.GetId()] = spec
 	anchor := rows.AnchorKey(spec.GetId())
-	h.on(func() {
+	h.whenRunning(func() {
 		h.commit(table.Transaction{
 			Conditions: []table.Condition{{Key: anchor}},
 			Puts: []table.Row{
 				rows.Row(anchor, &wire.JobAnchor{Cell: spec.GetCell()}), rows.Row(rows.SpecKey(spec.GetCell(), spec.GetId()), spec),
 			},
-		}, func(_ table.Committed, ok bool) {
+		}, func(_ table.CommitResult, ok bool) {
 			done(ok) // a conflict means that an earlier try wrote the job
 			for _, each := range w.hosts {
-				if other := each.leads(spec.GetCell()); ok && other != nil && !w.cut(h.name, each.name) && h.believesLeader(spec.GetCell(), each) {
-					other.on(func() {
+				if other := each.leads(spec.GetCell()); ok && other != nil && !w.unreachable(h.name, each.name) && h.believesLeader(spec.GetCell(), each) {
+					other.whenRunning(func() {
 						other.state.Take(other.clock(), cell.JobAccepted{Spec: spec, StoreNow: other.storeTime()})
 						other.act()
 						h.sendLoad(other, false)
@@ -140,13 +140,13 @@
 		done(false)
 		return
 	}
-	h.on(func() {
+	h.whenRunning(func() {
 		var tx table.Transaction
 		for _, name := range h.world.cells {
 			tx.Puts = append(tx.Puts, rows.Row(rows.CancelKey(name, id), &wire.JobRef{Id: id}))
 		}
 		h.commit(tx,
-			func(_ table.Committed, ok bool) {
+			func(_ table.CommitResult, ok bool) {
 				done(ok)
 				if ok && h.world.plan.Touch {
 					h.notifyCancel(id)
--- a/pkg/emulator/lasting.go
+++ b/pkg/emulator/lasting.go
@@ -44,7 +44,7 @@
 		step := spec.GetSteps()[0]
 		left -= int64(step.GetCount()) * step.GetMillicores()
 		w.after(w.between(time.Second, lastingSubmittedBy), func() { w.submit(spec, 0) })
-		w.after(w.plan.Trouble+lastingStaysAfterTrouble, func() { w.cancelSurely(spec.GetId()) })
+		w.after(w.plan.Trouble+lastingStaysAfterTrouble, func() { w.cancelUntilAccepted(spec.GetId()) })
 	}
 	w.after(lastingCheckEvery, w.checker.watchLasting)
 }
@@ -82,11 +82,11 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.acceptedJobs)) {
 		for step, spec := range w.jobs[id].GetSteps() {
-			if !spec.GetLasting() || c.asked[id] || c.phases[id] >= wire.JobPhase_JOB_PHASE_COMPLETED {
+			if !spec.GetLasting() || c.cancelAsked[id] || c.phases[id] >= wire.JobPhase_JOB_PHASE_COMPLETED {
 				continue
 			}
 			for i := range int(spec.GetCount()) {
-				c.watchTask(id, name(id, 0, step, i), spec)
+				c.watchTask(id, taskName(id, 0, step, i), spec)
 			}
 		}
 	}
@@ -128,10 +128,10 @@
 // workers.
 func (w *World) capacityFor(task string, spec *wire.StepSpec) (where []string, fits int64) {
 	for _, k := range w.workers {
-		if !k.up || k.leave.leaves() || w.now.Before(k.sickUntil) || w.now.Before(k.oddUntil) {
+		if !k.up || k.leave.isLeaving() || w.now.Before(k.faultyUntil) || w.now.Before(k.spoiledUntil) {
 			continue
 		}
-		free := k.freeIn(k.room())
+		free := k.freeIn(k.capacity())
 		n := fittingTasks(free, spec)
 		if most := int64(spec.GetSpread()); most > 0 {
 			n = min(n, most-k.runningOf(taskOf(task)))
@@ -181,7 +181,7 @@
 		}
 	}
 	for _, k := range w.workers {
-		if (!k.up && !k.leave.leaves()) || w.now.Before(k.sickUntil) || w.now.Before(k.lateUntil) || w.now.Before(k.oddUntil) || k.shrunk > 0 {
+		if (!k.up && !k.leave.isLeaving()) || w.now.Before(k.faultyUntil) || w.now.Before(k.lateUntil) || w.now.Before(k.spoiledUntil) || k.removedQuarters > 0 {
 			return true
 		}
 	}
--- a/pkg/emulator/leaving.go
+++ b/pkg/emulator/leaving.go
@@ -61,19 +61,19 @@
 	scaledInDivisor = 5
 )
 
-// leave is the state of a worker that leaves. The zero value means that the worker stays.
-type leave struct {
+// departure is the state of a worker that leaves. The zero value means that the worker stays.
+type departure struct {
 	// begunAt is the time at which the worker began to leave, endsAt the time at which it ends.
 	begunAt, endsAt time.Time
 	// unannounced means that the worker's row is removed at begunAt, without an announcement.
 	unannounced bool
-	// over means that the worker has ended for good. Its row stays until rowUntil.
-	over     bool
+	// ended means that the worker has ended for good. Its row stays until rowUntil.
+	ended    bool
 	rowUntil time.Time
 }
 
-// leaves returns whether the worker has begun to leave.
-func (l leave) leaves() bool { return !l.begunAt.IsZero() }
+// isLeaving returns whether the worker has begun to leave.
+func (l departure) isLeaving() bool { return !l.begunAt.IsZero() }
 
 // scheduleLeaving schedules the plan's series of leaving workers.
 func (w *World) scheduleLeaving() {
@@ -155,7 +155,7 @@
 func (w *World) leaveOneByOne(kind LeaveKind, count int) {
 	var stay []*worker
 	for _, k := range w.workers {
-		if k.up && !k.leave.leaves() {
+		if k.up && !k.leave.isLeaving() {
 			stay = append(stay, k)
 		}
 	}
@@ -169,16 +169,16 @@
 	k.beginLeave(kind)
 	switch kind {
 	case LeaveSpot:
-		w.after(spotReplacementDelay, func() { w.join(k.Machine) })
+		w.after(spotReplacementDelay, func() { w.startReplacement(k.Machine) })
 	case LeaveReleased, LeaveUnannounced:
-		w.join(k.Machine)
+		w.startReplacement(k.Machine)
 	case LeaveScaledIn:
 	}
 	w.after(leaveInterval, func() { w.leaveOneByOne(kind, count-1) })
 }
 
-// join starts a worker on a new machine, after a random start-up time.
-func (w *World) join(m Machine) {
+// startReplacement starts a worker on a new machine, after a random start-up time.
+func (w *World) startReplacement(m Machine) {
 	w.after(w.between(minStartupTime, maxStartupTime), func() {
 		k := newWorker(w, fmt.Sprintf("worker-%d", len(w.workers)), m)
 		w.workers = append(w.workers, k)
@@ -205,29 +205,29 @@
 // endDeparted ends a leaving worker with all its runs. No incarnation follows.
 func (k *worker) endDeparted() {
 	w := k.world
-	if k.leave.over {
+	if k.leave.ended {
 		return
 	}
-	k.leave.over = true
+	k.leave.ended = true
 	if k.up {
 		w.logf("%s is gone", k.id())
 		k.leave.rowUntil = w.now.Add(w.between(0, maxRowRetention))
-		k.endLife("gone")
-		k.breakCalls()
+		k.endIncarnation("gone")
+		k.failPendingCalls()
 	}
 }
 
 // hasRow returns whether the worker registry has a row of the worker.
 func (k *worker) hasRow() bool {
-	if k.leave.leaves() && k.leave.unannounced {
+	if k.leave.isLeaving() && k.leave.unannounced {
 		return false
 	}
 	return k.up || k.world.now.Before(k.leave.rowUntil)
 }
 
-// sayLeave sets the fields of the worker's row that announce that it leaves.
-func (k *worker) sayLeave(r *workers.Record) {
-	if !k.leave.leaves() || k.leave.unannounced {
+// setLeavingFields sets the fields of the worker's row that announce that it leaves.
+func (k *worker) setLeavingFields(r *workers.Record) {
+	if !k.leave.isLeaving() || k.leave.unannounced {
 		return
 	}
 	r.Ready, r.Leaving = false, true
--- a/pkg/emulator/link_test.go
+++ b/pkg/emulator/link_test.go
@@ -42,12 +42,12 @@
 	return plan
 }
 
-func wideJob(i int, at time.Duration) emulator.Handin {
-	truths := make([]emulator.TaskTruth, wideJobTasks)
+func wideJob(i int, at time.Duration) emulator.SubmittedJob {
+	truths := make([]emulator.TaskBehavior, wideJobTasks)
 	for k := range truths {
-		truths[k] = emulator.TaskTruth{Work: 700 * time.Millisecond}
+		truths[k] = emulator.TaskBehavior{Work: 700 * time.Millisecond}
 	}
-	return emulator.Handin{At: at, Hall: "hall-0", Tasks: [][]emulator.TaskTruth{truths}, Spec: &wire.JobSpec{
+	return emulator.SubmittedJob{At: at, CallerHall: "hall-0", Tasks: [][]emulator.TaskBehavior{truths}, Spec: &wire.JobSpec{
 		Id: fmt.Sprintf("%016x", i+1), Queue: "wide", Service: "service", Cell: "hall-0", Body: strings.Repeat("x", bodyBytes),
 		Steps: []*wire.StepSpec{{Count: wideJobTasks, Millicores: 2000, MemoryMb: 1000, EstimateMs: 700}},
 	}}
--- a/pkg/emulator/lives.go
+++ b/pkg/emulator/lives.go
@@ -37,9 +37,9 @@
 func (k *worker) record() workers.Record {
 	r := workers.Record{
 		ID: k.key(), Born: k.born(), Host: k.name, Service: serviceName, Address: k.name, Hall: k.Hall, Ready: true, Rack: k.Rack,
-		Capacity: k.room(),
+		Capacity: k.capacity(),
 	}
-	k.sayLeave(&r)
+	k.setLeavingFields(&r)
 	return r
 }
 
@@ -82,17 +82,17 @@
 		}
 	}
 	w.after(limit, func() { answer(none, workers.NotRefused, false) })
-	if w.cut(from, k.name) {
+	if w.unreachable(from, k.name) {
 		return
 	}
 	if !k.up && k.refusesConnections {
-		w.after(w.draws.hop(stream), func() { answer(none, workers.NotRefused, false) })
+		w.after(w.draws.messageDelay(stream), func() { answer(none, workers.NotRefused, false) })
 		return
 	}
 	if w.plan.CrashTasks > 0 || w.plan.Leaving.Series > 0 {
-		k.broken = append(k.broken, func() { answer(none, workers.NotRefused, false) })
+		k.pendingCalls = append(k.pendingCalls, func() { answer(none, workers.NotRefused, false) })
 	}
-	delay := queued + w.draws.hop(stream)
+	delay := queued + w.draws.messageDelay(stream)
 	late := w.now.Before(k.lateUntil) && w.draws.oneIn("late "+k.name, 4)
 	if late {
 		delay = w.draws.between("late "+k.name, 2*time.Second, 12*time.Second)
@@ -103,7 +103,7 @@
 	}
 	k.deliver(delay, sentAt, reached, func() {
 		if k.key() != workerID {
-			w.after(w.draws.hop(stream), func() { answer(none, workers.RefusedIncarnation, true) })
+			w.after(w.draws.messageDelay(stream), func() { answer(none, workers.RefusedOtherWorker, true) })
 			return
 		}
 		k.expireLease()
@@ -112,8 +112,8 @@
 			if wait > 0 {
 				v, refusal = execute()
 			}
-			if !late && !w.cut(from, k.name) {
-				w.after(w.draws.hop(stream), func() { answer(v, refusal, true) })
+			if !late && !w.unreachable(from, k.name) {
+				w.after(w.draws.messageDelay(stream), func() { answer(v, refusal, true) })
 			}
 		})
 	})
--- a/pkg/emulator/load.go
+++ b/pkg/emulator/load.go
@@ -17,11 +17,11 @@
 	Halls    []string
 	Machines []Machine
 	Queues   []manifest.Queue
-	Jobs     []Handin
-	// Press is the load that a filler image adds to the tasks of a serving image when it uses the whole worker.
-	Press map[Pair]float64
-	// Unloaded is the tail latency of a serving task without load.
-	Unloaded time.Duration
+	Jobs     []SubmittedJob
+	// Pressure is the load that a filler image adds to the tasks of a serving image when it uses the whole worker.
+	Pressure map[Pair]float64
+	// UnloadedTail is the tail latency of a serving task without load.
+	UnloadedTail time.Duration
 }
 
 // Pair is a serving image and a filler image.
@@ -33,24 +33,24 @@
 	Millicores, MemoryMB int64
 }
 
-// Handin is a job that a caller submits.
-type Handin struct {
+// SubmittedJob is a job that a caller submits.
+type SubmittedJob struct {
 	// At is when it is submitted and CancelAt when it is cancelled, since the start of the day; CancelAt 0
 	// means never.
 	At, CancelAt time.Duration
-	// Hall is the hall of the caller.
-	Hall string
-	Spec *wire.JobSpec
+	// CallerHall is the hall of the caller.
+	CallerHall string
+	Spec       *wire.JobSpec
 	// Tasks are the actual behaviours of the job's tasks, by step and index.
-	Tasks [][]TaskTruth
+	Tasks [][]TaskBehavior
 }
 
-// TaskTruth is the actual behaviour of a task.
-type TaskTruth struct {
+// TaskBehavior is the actual behaviour of a task.
+type TaskBehavior struct {
 	// Work is the run time at full speed.
 	Work time.Duration
-	// Fails is how many of the first runs fail, each half way.
-	Fails int
+	// FailingRuns is how many of the first runs fail, each half way.
+	FailingRuns int
 	// The load of a serving task by its own users is Base * (1 + Swing * sin), with a sine wave of the period
 	// Period that starts at Phase, in turns.
 	Base, Swing, Phase float64
@@ -61,7 +61,7 @@
 
 // JobResult is the outcome of a job.
 type JobResult struct {
-	Handin Handin
+	Submitted SubmittedJob
 	// Phase is the last phase that callers were told, and EndedAt when, since the start of the day.
 	Phase   wire.JobPhase
 	EndedAt time.Duration
@@ -74,7 +74,7 @@
 
 // Window sums up over the lasting tasks of a job how long they served, how long their tail latency was over the
 // target by their own load, and how long it was so only because of fillers beside them.
-type Window struct{ AtWork, Over, OverByOthers time.Duration }
+type Window struct{ AtWork, OverTarget, OverTargetByFillers time.Duration }
 
 // Results returns the outcome of each job of a given load, in the order of the load.
 func (w *World) Results() []*JobResult {
@@ -89,7 +89,7 @@
 func (w *World) planLoad() {
 	for _, h := range w.plan.Load.Jobs {
 		id := h.Spec.GetId()
-		w.results[id] = &JobResult{Handin: h}
+		w.results[id] = &JobResult{Submitted: h}
 		for step, tasks := range h.Tasks {
 			for i := range tasks {
 				w.truths[fmt.Sprintf("%s.0.%d.%d", id, step, i)] = &tasks[i]
@@ -102,13 +102,13 @@
 	}
 }
 
-// hostFor draws the host that a caller connects to: on a day of a given load one of the caller's hall that is
+// entryHostFor draws the host that a caller connects to: on a day of a given load one of the caller's hall that is
 // up if there is any, else any host.
-func (w *World) hostFor(job string) *host {
+func (w *World) entryHostFor(job string) *host {
 	if w.plan.Load != nil {
 		var near []*host
 		for _, h := range w.hosts {
-			if h.up && h.hall == w.results[job].Handin.Hall {
+			if h.up && h.hall == w.results[job].Submitted.CallerHall {
 				near = append(near, h)
 			}
 		}
@@ -145,7 +145,7 @@
 
 // window returns the window of a job into which a time of the day falls.
 func (r *JobResult) window(now time.Duration) *Window {
-	n := int((now - r.Handin.At) / WindowSpan)
+	n := int((now - r.Submitted.At) / WindowSpan)
 	for len(r.Windows) <= n {
 		r.Windows = append(r.Windows, Window{})
 	}
--- a/pkg/emulator/machine.go
+++ b/pkg/emulator/machine.go
@@ -61,7 +61,7 @@
 		r.totalWork = lastingStartTime
 		return
 	}
-	r.fails = r.truth.runs < r.truth.Fails
+	r.fails = r.truth.runs < r.truth.FailingRuns
 	r.truth.runs++
 	if r.fails {
 		r.totalWork /= 2
@@ -172,15 +172,15 @@
 	own := r.ownLoad(w)
 	busy := own
 	for _, filler := range slices.Sorted(maps.Keys(uses)) { // sorted, since a sum of floats depends on its order
-		busy += w.plan.Load.Press[Pair{k.image(r), filler}] * uses[filler]
+		busy += w.plan.Load.Pressure[Pair{k.image(r), filler}] * uses[filler]
 	}
 	r.reading.add(float64(w.tail(busy).Milliseconds()), k.readingNoise())
 	switch {
 	case w.tail(own) > target:
-		window.Over += sampleEvery
+		window.OverTarget += sampleEvery
 		r.reading.overTargetSince = time.Time{}
 	case w.tail(busy) > target:
-		window.OverByOthers += sampleEvery
+		window.OverTargetByFillers += sampleEvery
 		if r.reading.overTargetSince.IsZero() {
 			r.reading.overTargetSince = w.now
 		}
@@ -195,7 +195,7 @@
 
 // tail returns the tail latency of a serving task at a load, as of a queue.
 func (w *World) tail(busy float64) time.Duration {
-	return time.Duration(float64(w.plan.Load.Unloaded) / (1 - min(busy, maxBusy)))
+	return time.Duration(float64(w.plan.Load.UnloadedTail) / (1 - min(busy, maxBusy)))
 }
 
 // readingNoise draws the factor by which a reading deviates.
@@ -218,7 +218,7 @@
 
 // jobOf returns the job id in a task's name.
 func jobOf(task string) string {
-	job, _, _ := parts(task)
+	job, _, _ := parseTaskName(task)
 	return job
 }
 
@@ -230,7 +230,7 @@
 	k.fence = p.Fence
 	r := k.runs[p.Task]
 	if r == nil || r.number != p.Run {
-		return k.clock(), workers.RefusedMissing
+		return k.clock(), workers.RefusedNoSuchRun
 	}
 	r.pace = p.Percent
 	k.updateSpeeds()
--- a/pkg/emulator/predecessors.go
+++ b/pkg/emulator/predecessors.go
@@ -25,8 +25,8 @@
 		}
 		h.world.after(predecessorAskEvery, h.ifSameIncarnation(func() {
 			w := h.world
-			answers := other.up && !w.now.Before(other.frozenUntil) && !w.cut(h.name, other.name)
-			if answers && !other.holds(h.cell) {
+			answers := other.up && !w.now.Before(other.frozenUntil) && !w.unreachable(h.name, other.name)
+			if answers && !other.mayOrder(h.cell) {
 				if p.Holder == other.incarnationID() {
 					ended.Grants, ended.GrantsKnown = other.leaseGrants(h.cell)
 				} else {
@@ -48,7 +48,7 @@
 	if h.seat.Role() != election.Leader || h.seat.Row().GetEpoch() != ended.Epoch {
 		return
 	}
-	h.seat.Over(ended.Holder)
+	h.seat.PredecessorEnded(ended.Holder)
 	h.state.Take(h.clock(), ended)
 }
 
--- a/pkg/emulator/rooms.go
+++ b/pkg/emulator/rooms.go
@@ -22,22 +22,22 @@
 	until time.Time
 }
 
-// shrinkRoom takes one to four quarters of a worker's capacity away for a while.
-func (w *World) shrinkRoom() {
+// shrinkWorker takes one to four quarters of a worker's capacity away for a while.
+func (w *World) shrinkWorker() {
 	k := w.workers[w.rand.IntN(len(w.workers))]
 	parts := 1 + w.rand.IntN(quarters)
-	w.strikeWith(Fault{Kind: ShrinkWorker, Target: k.name, How: parts, For: w.between(500*time.Millisecond, 8*time.Second)})
+	w.injectFault(Fault{Kind: ShrinkWorker, Target: k.name, How: parts, For: w.between(500*time.Millisecond, 8*time.Second)})
 }
 
-// setShrunk takes away a number of quarters of the capacity, 0 for none.
-func (k *worker) setShrunk(parts int64) {
-	k.rooms = append(k.rooms, pastRoom{k.room(), k.world.now})
-	k.shrunk = parts
+// setRemovedQuarters takes away a number of quarters of the capacity, 0 for none.
+func (k *worker) setRemovedQuarters(parts int64) {
+	k.pastCapacities = append(k.pastCapacities, pastRoom{k.capacity(), k.world.now})
+	k.removedQuarters = parts
 }
 
-// room returns the capacity that the worker reports.
-func (k *worker) room() ledger.Size {
-	left := quarters - k.shrunk
+// capacity returns the capacity that the worker reports.
+func (k *worker) capacity() ledger.Size {
+	left := quarters - k.removedQuarters
 	return ledger.Size{Millicores: k.Millicores * left / quarters, MemoryMB: k.MemoryMB * left / quarters}
 }
 
@@ -48,10 +48,10 @@
 		return
 	}
 	none := ledger.Size{}
-	if none.Fits(k.freeIn(k.room())) {
+	if none.Fits(k.freeIn(k.capacity())) {
 		return
 	}
-	for _, past := range k.rooms {
+	for _, past := range k.pastCapacities {
 		if c.world.now.Sub(past.until) < capacityChangeGrace && none.Fits(k.freeIn(past.size)) {
 			return
 		}
@@ -59,5 +59,5 @@
 	if by := k.orderedBy; c.world.now.Sub(by.listFailedAt) < capacityChangeGrace || c.world.now.Sub(by.frozenUntil) < capacityChangeGrace {
 		return // a host that was frozen or cut off from the table may not know the new capacity
 	}
-	c.breakRule("LIMIT", "%s brings the free capacity of %s to %v", task, k.id(), k.freeIn(k.room()))
+	c.breakRule("LIMIT", "%s brings the free capacity of %s to %v", task, k.id(), k.freeIn(k.capacity()))
 }
--- a/pkg/emulator/rows.go
+++ b/pkg/emulator/rows.go
@@ -21,17 +21,17 @@
 )
 
 // spoilings are the ways in which a row is altered.
-var spoilings = []func(a *workers.Account){
-	func(a *workers.Account) { a.Service = nil },
-	func(a *workers.Account) { a.Address = nil },
-	func(a *workers.Account) { a.Address = stringPointer("nowhere at all") },
-	func(a *workers.Account) { a.Hall = stringPointer("attic") },
-	func(a *workers.Account) { a.State = stringPointer("dancing") },
-	func(a *workers.Account) { a.Sequence = intPointer(-1) },
-	func(a *workers.Account) { a.Capacity = nil },
-	func(a *workers.Account) { a.Capacity.Millicores = intPointer(-9) },
-	func(a *workers.Account) { a.Labels = nil },
-	func(a *workers.Account) { a.Service = stringPointer("somebody else's") },
+var spoilings = []func(a *workers.RegistryRow){
+	func(a *workers.RegistryRow) { a.Service = nil },
+	func(a *workers.RegistryRow) { a.Address = nil },
+	func(a *workers.RegistryRow) { a.Address = stringPointer("nowhere at all") },
+	func(a *workers.RegistryRow) { a.Hall = stringPointer("attic") },
+	func(a *workers.RegistryRow) { a.State = stringPointer("dancing") },
+	func(a *workers.RegistryRow) { a.Sequence = intPointer(-1) },
+	func(a *workers.RegistryRow) { a.Capacity = nil },
+	func(a *workers.RegistryRow) { a.Capacity.Millicores = intPointer(-9) },
+	func(a *workers.RegistryRow) { a.Labels = nil },
+	func(a *workers.RegistryRow) { a.Service = stringPointer("somebody else's") },
 }
 
 func stringPointer(s string) *string { return &s }
@@ -43,22 +43,22 @@
 	for range spoiledRowsPerDay {
 		w.after(w.between(2*time.Second, w.plan.Trouble), func() {
 			k := w.workers[w.rand.IntN(len(w.workers))]
-			if w.now.Before(k.oddUntil) {
+			if w.now.Before(k.spoiledUntil) {
 				return
 			}
 			span := w.between(500*time.Millisecond, maxSpoiledSpan)
-			w.strikeWith(Fault{Kind: SpoilRow, Target: k.name, For: span, How: w.rand.IntN(len(spoilings))})
+			w.injectFault(Fault{Kind: SpoilRow, Target: k.name, For: span, How: w.rand.IntN(len(spoilings))})
 		})
 	}
 }
 
 // accountFromRecord returns the row that a worker would write for a record.
-func accountFromRecord(r workers.Record) workers.Account {
+func accountFromRecord(r workers.Record) workers.RegistryRow {
 	state := workers.StateReady
 	if r.Leaving {
 		state = workers.StateLeaving
 	}
-	a := workers.Account{
+	a := workers.RegistryRow{
 		ID: r.ID, Host: &r.Host, Service: &r.Service, Address: stringPointer(r.Address + ":80"), Hall: &r.Hall, State: &state,
 		Software: stringPointer("v1"), Slots: intPointer(8), Sequence: intPointer(1), Labels: []string{"a"}, Version: r.Version,
 		Capacity: &workers.Capacity{Millicores: &r.Capacity.Millicores, MemoryMB: &r.Capacity.MemoryMB},
@@ -74,24 +74,24 @@
 	if !w.plan.OddRows {
 		return list
 	}
-	known := workers.Known{
+	known := workers.KnownNames{
 		Service: func(name string) bool { return name == serviceName },
 		Hall:    func(name string) bool { return name == hall },
 	}
 	var good []workers.Record
 	for _, r := range list {
 		a := accountFromRecord(r)
-		if k := w.workerAt(r.Address); k != nil && w.now.Before(k.oddUntil) {
+		if k := w.workerAt(r.Address); k != nil && w.now.Before(k.spoiledUntil) {
 			k.spoil(&a)
 		}
-		if _, err := workers.Judge(a, known); err == nil {
+		if _, err := workers.ValidateRow(a, known); err == nil {
 			good = append(good, r)
 		}
 	}
 	for i := range unknownRows {
 		a := accountFromRecord(workers.Record{ID: fmt.Sprintf("stranger-%d", i), Host: "s", Service: serviceName, Address: "nobody", Hall: hall})
 		spoilings[i](&a)
-		if r, err := workers.Judge(a, known); err == nil {
+		if r, err := workers.ValidateRow(a, known); err == nil {
 			good = append(good, r)
 		}
 	}
@@ -112,5 +112,5 @@
 // registry at the given time.
 func (w *World) rowWasValid(address string, readAt time.Time) bool {
 	k := w.workerAt(address)
-	return k != nil && (!w.now.Before(k.oddUntil) || readAt.Before(k.oddSince))
+	return k != nil && (!w.now.Before(k.spoiledUntil) || readAt.Before(k.spoiledSince))
 }
--- a/pkg/emulator/script.go
+++ b/pkg/emulator/script.go
@@ -69,7 +69,7 @@
 	if plan.Lasting > 0 || plan.Leaving.Series > 0 {
 		return nil, nil, nil, fault.New(fault.BadInput, "Plan.Leaving", "a day of workers that leave can't be recorded", "play it by its seed")
 	}
-	w := drawnWorld(plan, true)
+	w := seededWorld(plan, true)
 	w.script = &Script{Version: ScriptVersion, Plan: plan}
 	broken := w.playDrawn()
 	w.script.Tapes = w.draws.tapes
@@ -88,24 +88,24 @@
 		w.hosts = append(w.hosts, newHost(w, p.Name, p.Cell))
 	}
 	for _, j := range s.Jobs {
-		w.planJob(j)
+		w.scheduleJob(j)
 	}
 	for _, c := range s.Cancels {
-		w.planCancel(c)
+		w.scheduleCancel(c)
 	}
 	for _, f := range s.Faults {
-		w.after(f.At, func() { w.strikeWith(f) })
+		w.after(f.At, func() { w.injectFault(f) })
 	}
 	return w, w.run()
 }
 
 // newWorld returns a world without hosts, workers and jobs.
-func newWorld(plan Plan, d *draws) *World {
+func newWorld(plan Plan, d *randomStreams) *World {
 	w := &World{
 		plan: plan, draws: d, start: time.Unix(1_000_000, 0),
 		jobs: map[string]*wire.JobSpec{}, cuts: map[[2]string]time.Time{}, hallCuts: map[string]time.Time{},
-		truths: map[string]*TaskTruth{}, saved: map[string]time.Duration{}, results: map[string]*JobResult{},
-		crashers: map[string]time.Duration{}, Noted: map[cell.NoteKind]int{},
+		truths: map[string]*TaskBehavior{}, saved: map[string]time.Duration{}, results: map[string]*JobResult{},
+		crashTaskDelays: map[string]time.Duration{}, Noted: map[cell.NoteKind]int{},
 	}
 	w.now, w.impairedAt = w.start, w.start
 	w.checker = newChecker(w)
@@ -113,8 +113,8 @@
 	return w
 }
 
-// drawnWorld returns the empty world of a day that is generated from its seed. With keep, the draws are recorded.
-func drawnWorld(plan Plan, keep bool) *World {
+// seededWorld returns the empty world of a day that is generated from its seed. With keep, the draws are recorded.
+func seededWorld(plan Plan, keep bool) *World {
 	r := rand.New(rand.NewPCG(plan.Seed, 7))
 	w := newWorld(plan, generatorDraws(r, keep))
 	w.rand = r
@@ -130,8 +130,8 @@
 	return names
 }
 
-// planJob schedules the submission of a job.
-func (w *World) planJob(j ScriptJob) {
+// scheduleJob schedules the submission of a job.
+func (w *World) scheduleJob(j ScriptJob) {
 	spec, ok := proto.Clone(j.Spec.JobSpec).(*wire.JobSpec)
 	if !ok {
 		return
@@ -140,27 +140,27 @@
 		w.script.Jobs = append(w.script.Jobs, j)
 	}
 	if c := j.Crash; c != nil {
-		task := name(spec.GetId(), 0, c.Step, c.Index)
-		w.crashers[crashTaskKey(task)] = c.After
+		task := taskName(spec.GetId(), 0, c.Step, c.Index)
+		w.crashTaskDelays[crashTaskKey(task)] = c.After
 		w.logf("%s crashes its worker after %s", task, c.After)
 	}
 	w.after(j.At, func() { w.submit(spec, 0) })
 }
 
-// planCancel schedules the cancel of a job.
-func (w *World) planCancel(c Cancel) {
+// scheduleCancel schedules the cancel of a job.
+func (w *World) scheduleCancel(c Cancel) {
 	if w.script != nil {
 		w.script.Cancels = append(w.script.Cancels, c)
 	}
 	do := w.cancel
 	if c.Surely {
-		do = w.cancelSurely
+		do = w.cancelUntilAccepted
 	}
 	w.after(c.At, func() { do(c.Job) })
 }
 
-// takeFleet records the hosts and workers of a day as it begins.
-func (s *Script) takeFleet(w *World) {
+// recordFleet records the hosts and workers of a day as it begins.
+func (s *Script) recordFleet(w *World) {
 	for _, h := range w.hosts {
 		s.Hosts = append(s.Hosts, Node{h.name, h.hall})
 	}
--- a/pkg/emulator/scriptcheck.go
+++ b/pkg/emulator/scriptcheck.go
@@ -98,7 +98,7 @@
 
 func (j ScriptJob) check() (field, problem string) {
 	spec := j.Spec.JobSpec
-	if _, ok := jobs.ParseTask(name(spec.GetId(), 0, 0, 0)); !ok || spec.GetId() == "" {
+	if _, ok := jobs.ParseTaskName(taskName(spec.GetId(), 0, 0, 0)); !ok || spec.GetId() == "" {
 		return "Spec.id", quote(spec.GetId()) + " is not a job's id"
 	}
 	switch {
--- a/pkg/emulator/strikes.go
+++ b/pkg/emulator/strikes.go
@@ -95,14 +95,14 @@
 	CutCell:      {targetCell, 1, func(w *World, f Fault, until time.Time) { w.cutOffCell(f.Target, until) }},
 	LateWorker:   {targetWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).lateUntil = until }},
 	CrashWorker:  {targetWorker, 1, func(w *World, f Fault, _ time.Time) { w.workerAt(f.Target).crash(f.For) }},
-	HangRuns:     {targetWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).impairRuns(sickHangs, until) }},
-	FailRuns:     {targetWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).impairRuns(sickFails, until) }},
+	HangRuns:     {targetWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).impairRuns(runsHang, until) }},
+	FailRuns:     {targetWorker, 1, func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).impairRuns(runsFail, until) }},
 	ShrinkWorker: {targetWorker, quarters + 1, func(w *World, f Fault, _ time.Time) { w.workerAt(f.Target).shrinkCapacity(int64(f.How), f.For) }},
 	SpoilRow:     {targetWorker, len(spoilings), func(w *World, f Fault, until time.Time) { w.workerAt(f.Target).startSpoilingRow(f.How, until) }},
 }
 
-// strikeWith injects a fault now, logs it, and records it in the script of a recorded day.
-func (w *World) strikeWith(f Fault) {
+// injectFault injects a fault now, logs it, and records it in the script of a recorded day.
+func (w *World) injectFault(f Fault) {
 	f.At = w.now.Sub(w.start)
 	if w.script != nil {
 		w.script.Faults = append(w.script.Faults, f)
@@ -132,20 +132,20 @@
 
 // Values of worker.sickHow: runs that the worker starts hang, or fail.
 const (
-	sickHangs = iota
-	sickFails
+	runsHang = iota
+	runsFail
 )
 
 // impairRuns makes runs that the worker starts before until hang or fail.
-func (k *worker) impairRuns(how int, until time.Time) { k.sickUntil, k.sickHow = until, how }
+func (k *worker) impairRuns(how int, until time.Time) { k.faultyUntil, k.faultyMode = until, how }
 
 // shrinkCapacity removes a number of quarters of the worker's capacity for a time.
 func (k *worker) shrinkCapacity(parts int64, span time.Duration) {
-	k.setShrunk(parts)
-	k.world.after(span, func() { k.setShrunk(0) })
+	k.setRemovedQuarters(parts)
+	k.world.after(span, func() { k.setRemovedQuarters(0) })
 }
 
 // startSpoilingRow makes the worker's registry row invalid until a time, by the change of index how in spoilings.
 func (k *worker) startSpoilingRow(how int, until time.Time) {
-	k.oddSince, k.oddUntil, k.spoil = k.world.now, until, spoilings[how]
+	k.spoiledSince, k.spoiledUntil, k.spoil = k.world.now, until, spoilings[how]
 }
--- a/pkg/emulator/table.go
+++ b/pkg/emulator/table.go
@@ -47,13 +47,13 @@
 
 // commit sends a transaction from a host. done gets ok false if no answer arrives in time; the transaction may
 // be applied all the same.
-func (t *tableService) commit(from string, tx table.Transaction, done func(c table.Committed, ok bool)) {
+func (t *tableService) commit(from string, tx table.Transaction, done func(c table.CommitResult, ok bool)) {
 	w := t.world
-	if w.cut(from, "table") || w.now.Before(t.downUntil) {
-		w.after(tableTimeout, func() { done(table.Committed{}, false) })
+	if w.unreachable(from, "table") || w.now.Before(t.downUntil) {
+		w.after(tableTimeout, func() { done(table.CommitResult{}, false) })
 		return
 	}
-	delay := w.draws.hop("table "+from) + tableServiceTime
+	delay := w.draws.messageDelay("table "+from) + tableServiceTime
 	if w.now.Before(t.slowUntil) {
 		delay = w.draws.between("slow table "+from, 200*time.Millisecond, 1200*time.Millisecond)
 	}
@@ -67,7 +67,7 @@
 		if lost {
 			return
 		}
-		w.after(w.draws.hop("table "+from), func() {
+		w.after(w.draws.messageDelay("table "+from), func() {
 			if !answered {
 				answered = true
 				done(c, true)
@@ -77,13 +77,13 @@
 	w.after(tableTimeout, func() {
 		if !answered {
 			answered = true
-			done(table.Committed{}, false)
+			done(table.CommitResult{}, false)
 		}
 	})
 }
 
 // apply applies a transaction if all its conditions hold, and returns a conflict otherwise.
-func (t *tableService) apply(tx table.Transaction) table.Committed {
+func (t *tableService) apply(tx table.Transaction) table.CommitResult {
 	for _, c := range tx.Conditions {
 		if t.rows[c.Key].Version != c.Version {
 			return t.conflict(tx)
@@ -103,17 +103,17 @@
 		delete(t.rows, k)
 		delete(t.tables[k.Table], k)
 	}
-	return table.Committed{Version: t.version, StoreTime: t.storeTime()}
+	return table.CommitResult{Version: t.version, StoreTime: t.storeTime()}
 }
 
 // conflict returns the answer to a transaction whose conditions don't hold, with the rows found.
-func (t *tableService) conflict(tx table.Transaction) table.Committed {
-	c := table.Committed{Conflict: true, Version: t.version, StoreTime: t.storeTime()}
+func (t *tableService) conflict(tx table.Transaction) table.CommitResult {
+	c := table.CommitResult{Conflict: true, Version: t.version, StoreTime: t.storeTime()}
 	for _, cond := range tx.Conditions {
 		if r, ok := t.rows[cond.Key]; ok {
-			c.Found = append(c.Found, r)
+			c.Current = append(c.Current, r)
 		} else {
-			c.Found = append(c.Found, table.Row{Key: cond.Key})
+			c.Current = append(c.Current, table.Row{Key: cond.Key})
 		}
 	}
 	return c
@@ -123,11 +123,11 @@
 // was no answer.
 func (t *tableService) scan(from, name string, done func(rows []table.Row, at time.Duration, ok bool)) {
 	w := t.world
-	if w.cut(from, "table") || w.now.Before(t.downUntil) {
+	if w.unreachable(from, "table") || w.now.Before(t.downUntil) {
 		w.after(tableTimeout, func() { done(nil, 0, false) })
 		return
 	}
-	delay := w.draws.hop("table "+from) + tableServiceTime
+	delay := w.draws.messageDelay("table "+from) + tableServiceTime
 	if w.now.Before(t.slowUntil) {
 		delay = w.draws.between("slow table "+from, 200*time.Millisecond, 800*time.Millisecond)
 	}
@@ -138,6 +138,6 @@
 		}
 		sort.Slice(list, func(a, b int) bool { return list[a].Key.Part+list[a].Key.Key < list[b].Key.Part+list[b].Key.Key })
 		at := t.storeTime()
-		w.after(w.draws.hop("table "+from), func() { done(list, at, true) })
+		w.after(w.draws.messageDelay("table "+from), func() { done(list, at, true) })
 	})
 }
--- a/pkg/emulator/touch.go
+++ b/pkg/emulator/touch.go
@@ -13,9 +13,9 @@
 	maxOrderAge = time.Second
 )
 
-// inTouch returns whether the order that a worker executes is younger than maxOrderAge and comes from a host in contact.
+// orderedInContact returns whether the order that a worker executes is younger than maxOrderAge and comes from a host in contact.
 // It returns false on days without Plan.Touch.
-func (c *checker) inTouch(k *worker) bool {
+func (c *checker) orderedInContact(k *worker) bool {
 	w, by := c.world, k.orderedBy
 	return w.plan.Touch && by != nil && w.now.Sub(k.orderedAt) < maxOrderAge && w.tableInContact() && by.inContact()
 }
--- a/pkg/emulator/words.go
+++ b/pkg/emulator/words.go
@@ -33,7 +33,7 @@
 		}
 		h.toLeader(name, func(other *seat) {
 			load := other.state.Load(other.clock(), true)
-			h.world.after(h.world.draws.hop("word "+other.name+" "+h.name), h.ifSameIncarnation(func() {
+			h.world.after(h.world.draws.messageDelay("word "+other.name+" "+h.name), h.ifSameIncarnation(func() {
 				h.state.Take(h.clock(), cell.PeerLoad{Load: load})
 			}))
 		})
@@ -46,10 +46,10 @@
 	w := h.world
 	for _, each := range w.hosts {
 		other := each.leads(name)
-		if other == nil || w.cut(h.name, each.name) || !h.believesLeader(name, each) {
+		if other == nil || w.unreachable(h.name, each.name) || !h.believesLeader(name, each) {
 			continue
 		}
-		w.after(w.draws.hop("word "+h.name+" "+each.name), each.ifSameIncarnation(func() {
+		w.after(w.draws.messageDelay("word "+h.name+" "+each.name), each.ifSameIncarnation(func() {
 			if other.state.Leading() {
 				do(other)
 				other.act()
--- a/pkg/emulator/worker.go
+++ b/pkg/emulator/worker.go
@@ -38,27 +38,27 @@
 	leaseSerial     int
 
 	// The registry row of the worker is altered by spoil from oddSince to oddUntil.
-	oddSince, oddUntil time.Time
-	spoil              func(a *workers.Account)
+	spoiledSince, spoiledUntil time.Time
+	spoil                      func(a *workers.RegistryRow)
 
 	// refusesConnections says that the last incarnation crashed as a process, not as a host: connections break
 	// at once, and new ones are refused. broken holds callbacks that fail the calls made to this incarnation.
 	refusesConnections bool
-	broken             []func()
+	pendingCalls       []func()
 
-	// shrunk is how many quarters of the capacity are taken away; rooms holds former capacities with the time
+	// removedQuarters is how many quarters of the capacity are taken away; rooms holds former capacities with the time
 	// at which each ended.
-	shrunk int64
-	rooms  []pastRoom
+	removedQuarters int64
+	pastCapacities  []pastRoom
 
 	// orderedBy is the seat that sent the order being executed, orderedAt when it was sent.
 	orderedBy *seat
 	orderedAt time.Time
 
-	leave     leave
-	lateUntil time.Time
-	sickUntil time.Time
-	sickHow   int
+	leave       departure
+	lateUntil   time.Time
+	faultyUntil time.Time
+	faultyMode  int
 }
 
 // workerRun is a run of a task at a worker.
@@ -76,7 +76,7 @@
 	speed               float64
 	pace                int // throttled speed in percent
 	timer               int // counts the scheduled ends, so that only the last one counts
-	truth               *TaskTruth
+	truth               *TaskBehavior
 	reading             reading
 }
 
@@ -98,22 +98,22 @@
 
 func newWorker(w *World, name string, m Machine) *worker {
 	k := &worker{world: w, name: name, Machine: m}
-	k.begin()
+	k.startIncarnation()
 	if w.plan.Load != nil {
 		w.after(w.draws.between("sample "+k.name, 0, sampleEvery), k.sample)
 	}
 	return k
 }
 
-// begin starts the next incarnation with a new clock and no runs, unless the worker leaves.
-func (k *worker) begin() {
+// startIncarnation starts the next incarnation with a new clock and no runs, unless the worker leaves.
+func (k *worker) startIncarnation() {
 	w := k.world
-	if k.leave.leaves() {
+	if k.leave.isLeaving() {
 		return
 	}
 	k.incarnation++
 	k.up, k.fence, k.until, k.lastEndNumber = true, 0, 0, 0
-	k.broken = nil
+	k.pendingCalls = nil
 	k.rate = 0.98 + 0.04*w.draws.fraction("clock "+k.name)
 	k.offset = w.draws.between("clock "+k.name, 0, time.Hour)
 	k.previousBornAt, k.bornAt = k.bornAt.UnixMilli(), w.now
@@ -127,14 +127,14 @@
 		return
 	}
 	k.world.logf("%s crashes", k.id())
-	k.world.checker.crashed(k)
-	k.endLife("lost")
+	k.world.checker.countTaskCrashes(k)
+	k.endIncarnation("lost")
 	k.refusesConnections = false
-	k.world.after(span, k.begin)
+	k.world.after(span, k.startIncarnation)
 }
 
-// endLife ends the incarnation and, with it, all its runs.
-func (k *worker) endLife(how workers.How) {
+// endIncarnation ends the incarnation and, with it, all its runs.
+func (k *worker) endIncarnation(how workers.Outcome) {
 	k.up = false
 	for _, r := range k.sorted() {
 		k.world.checker.ended(k, r, how)
@@ -142,19 +142,19 @@
 	k.runs = map[string]*workerRun{}
 }
 
-// crashLoudly ends the incarnation as a crashed process does: open connections break at once.
-func (k *worker) crashLoudly(span time.Duration) {
+// crashWithReset ends the incarnation as a crashed process does: open connections break at once.
+func (k *worker) crashWithReset(span time.Duration) {
 	k.crash(span)
-	k.breakCalls()
+	k.failPendingCalls()
 }
 
-// breakCalls fails all calls without an answer at once, and refuses new connections.
-func (k *worker) breakCalls() {
+// failPendingCalls fails all calls without an answer at once, and refuses new connections.
+func (k *worker) failPendingCalls() {
 	k.refusesConnections = true
-	broken := k.broken
-	k.broken = nil
+	broken := k.pendingCalls
+	k.pendingCalls = nil
 	for _, tell := range broken {
-		k.world.after(k.world.draws.hop("break "+k.name), tell)
+		k.world.after(k.world.draws.messageDelay("break "+k.name), tell)
 	}
 }
 
@@ -256,12 +256,12 @@
 		return k.clock(), workers.NotRefused
 	}
 	if s.Until < k.clock() {
-		return k.clock(), workers.RefusedLate
+		return k.clock(), workers.RefusedExpired
 	}
 	k.extend(s.Until)
 	if r := k.runs[s.Task]; r != nil || k.lastRun[s.Task] >= s.Run {
 		k.checkConcurrentStart(r, s)
-		return k.clock(), workers.RefusedOld
+		return k.clock(), workers.RefusedSuperseded
 	}
 	spec, size := k.world.stepOf(s.Task)
 	if spec == nil {
@@ -270,12 +270,12 @@
 	}
 	w := k.world
 	if !w.plan.Unguarded && !size.Fits(k.free()) {
-		return k.clock(), workers.RefusedRoom
+		return k.clock(), workers.RefusedNoCapacity
 	}
 	r := &workerRun{task: s.Task, number: s.Run, spec: spec, workedUntil: w.now, checkpoint: s.Checkpoint, pace: 100, speed: 1}
 	k.drawRun(r)
-	if w.now.Before(k.sickUntil) {
-		r.stuck, r.fails = k.sickHow == sickHangs, k.sickHow == sickFails
+	if w.now.Before(k.faultyUntil) {
+		r.stuck, r.fails = k.faultyMode == runsHang, k.faultyMode == runsFail
 	} else if w.plan.Load == nil {
 		r.fails = w.draws.oneIn("fails "+s.Task, 40)
 	}
@@ -285,7 +285,7 @@
 	if !r.stuck {
 		k.endAfter(r)
 	}
-	k.crashAfter(r)
+	k.scheduleTaskCrash(r)
 	k.updateSpeeds()
 	return k.clock(), workers.NotRefused
 }
@@ -329,7 +329,7 @@
 
 // free returns the part of the worker's capacity that no run reserves.
 func (k *worker) free() ledger.Size {
-	return k.freeIn(k.room())
+	return k.freeIn(k.capacity())
 }
 
 // freeIn returns what the current runs leave of a capacity; negative if they exceed it.
@@ -342,13 +342,13 @@
 }
 
 // end ends a run and lists the end until a leader has recorded it.
-func (k *worker) end(r *workerRun, how workers.How) {
+func (k *worker) end(r *workerRun, how workers.Outcome) {
 	k.saveWork(r)
 	saved := k.checkpointOf(r)
 	delete(k.runs, r.task)
 	k.lastRun[r.task] = max(k.lastRun[r.task], r.number)
 	k.lastEndNumber++
-	k.ended = append(k.ended, workers.End{Number: k.lastEndNumber, Task: r.task, Run: r.number, How: how, Checkpoint: saved})
+	k.ended = append(k.ended, workers.End{Number: k.lastEndNumber, Task: r.task, Run: r.number, Outcome: how, Checkpoint: saved})
 	k.endedAt[k.lastEndNumber] = k.world.now
 	k.world.checker.ended(k, r, how)
 	k.updateSpeeds()
@@ -362,7 +362,7 @@
 	k.fence = s.Fence
 	r := k.runs[s.Task]
 	if r == nil || r.number != s.Run {
-		return k.clock(), workers.RefusedMissing
+		return k.clock(), workers.RefusedNoSuchRun
 	}
 	incarnation := k.incarnation
 	k.world.after(stopTime, func() {
@@ -376,7 +376,7 @@
 // stepOf returns a task's step, nil if no such job was submitted, and what the task reserves. Fillers reserve
 // no processor time: they use what others leave.
 func (w *World) stepOf(task string) (*wire.StepSpec, ledger.Size) {
-	id, ok := jobs.ParseTask(task)
+	id, ok := jobs.ParseTaskName(task)
 	if !ok || w.jobs[id.Job] == nil || id.Step >= len(w.jobs[id.Job].GetSteps()) {
 		return nil, ledger.Size{}
 	}
--- a/pkg/lab/compare.go
+++ b/pkg/lab/compare.go
@@ -37,8 +37,8 @@
 	Better, Worse, Equal int
 }
 
-// Clear returns whether the confidence interval excludes 0.
-func (d Difference) Clear() bool { return d.Below > 0 || d.Above < 0 }
+// Significant returns whether the confidence interval excludes 0.
+func (d Difference) Significant() bool { return d.Below > 0 || d.Above < 0 }
 
 // PlayAll plays the days of seeds 1 to n on all processors and returns them ordered by seed.
 func PlayAll(w *Workload, n int, without cell.Mechanism) []*Day {
--- a/pkg/lab/draw.go
+++ b/pkg/lab/draw.go
@@ -48,7 +48,7 @@
 
 // Draw samples the day of a seed from a workload. The day depends on nothing else.
 func Draw(w *Workload, seed uint64) *emulator.Load {
-	d := &sampler{workload: w, seed: seed, load: &emulator.Load{Press: map[emulator.Pair]float64{}, Unloaded: w.Interference.UnloadedTail}}
+	d := &sampler{workload: w, seed: seed, load: &emulator.Load{Pressure: map[emulator.Pair]float64{}, UnloadedTail: w.Interference.UnloadedTail}}
 	d.addFleet()
 	d.addInterference()
 	for n, k := range w.Kinds {
@@ -97,7 +97,7 @@
 			if random.Float64() < heavy {
 				rise = p.Strong
 			}
-			d.load.Press[emulator.Pair{Serving: servingImage(s), Filler: fillerImage(f)}] = rise * (1 + interferenceSpread*(2*random.Float64()-1))
+			d.load.Pressure[emulator.Pair{Serving: servingImage(s), Filler: fillerImage(f)}] = rise * (1 + interferenceSpread*(2*random.Float64()-1))
 		}
 	}
 }
@@ -150,9 +150,9 @@
 
 // sampleJob samples a job of a kind: its steps, its hall, when it is cancelled and what its tasks
 // really do.
-func (d *sampler) sampleJob(random *rand.Rand, k Kind, id string, at time.Duration) emulator.Handin {
-	h := emulator.Handin{
-		At: at, Hall: d.load.Halls[random.IntN(len(d.load.Halls))],
+func (d *sampler) sampleJob(random *rand.Rand, k Kind, id string, at time.Duration) emulator.SubmittedJob {
+	h := emulator.SubmittedJob{
+		At: at, CallerHall: d.load.Halls[random.IntN(len(d.load.Halls))],
 		Spec: &wire.JobSpec{Id: id, Queue: k.Name, Service: serviceName, Body: "body of " + id},
 	}
 	steps := max(1, int(math.Round(lognormal(random, k.MeanSteps, 0.4, 4*k.MeanSteps))))
@@ -203,17 +203,17 @@
 
 // sampleTasks samples the actual behaviour of a step's tasks, and sets the run time that their
 // caller declares.
-func (d *sampler) sampleTasks(random *rand.Rand, k Kind, step *wire.StepSpec) []emulator.TaskTruth {
-	list := make([]emulator.TaskTruth, step.GetCount())
+func (d *sampler) sampleTasks(random *rand.Rand, k Kind, step *wire.StepSpec) []emulator.TaskBehavior {
+	list := make([]emulator.TaskBehavior, step.GetCount())
 	mean := lognormal(random, k.MeanSeconds, timeSigma, 2.5*k.MeanSeconds)
 	for i := range list {
 		if k.Lasting {
-			list[i] = emulator.TaskTruth{Base: k.BaseLoad, Swing: k.LoadSwing, Phase: random.Float64(), Period: k.LoadPeriod}
+			list[i] = emulator.TaskBehavior{Base: k.BaseLoad, Swing: k.LoadSwing, Phase: random.Float64(), Period: k.LoadPeriod}
 			continue
 		}
 		list[i].Work = time.Duration(lognormal(random, mean, k.taskTimeSigma(), 3*mean) * float64(time.Second))
 		if random.Float64() < k.FailingShare {
-			list[i].Fails = 1
+			list[i].FailingRuns = 1
 		}
 	}
 	off := math.Exp(k.EstimateSigma * random.NormFloat64())
--- a/pkg/lab/worth.go
+++ b/pkg/lab/worth.go
@@ -83,8 +83,8 @@
 	d := &Day{Seed: seed, Kinds: map[string]*Sum{}, Halls: map[string]*Sum{}, Broken: broken}
 	means := meanWork(results)
 	for _, r := range results {
-		k := w.kindNamed(r.Handin.Spec.GetQueue())
-		size := fixedShare + (1-fixedShare)*min(maxRelativeWork, workSize(r.Handin)/max(1e-9, means[k.Name]))
+		k := w.kindNamed(r.Submitted.Spec.GetQueue())
+		size := fixedShare + (1-fixedShare)*min(maxRelativeWork, workSize(r.Submitted)/max(1e-9, means[k.Name]))
 		if k.Lasting {
 			d.addLasting(w, k, r, size)
 			continue
@@ -93,7 +93,7 @@
 			continue
 		}
 		owed := k.Worth * size
-		d.addOwed(r, r.Handin.At, k, owed, owed*d.earnedShare(k, r))
+		d.addOwed(r, r.Submitted.At, k, owed, owed*d.earnedShare(k, r))
 	}
 	d.Worth = d.weightedWorth(w.Weights)
 	return d
@@ -111,8 +111,8 @@
 // earnedShare returns the share of its worth that a job earned. It counts jobs that are late or earn
 // nothing.
 func (d *Day) earnedShare(k Kind, r *emulator.JobResult) float64 {
-	objective := time.Duration(k.Stretch*float64(criticalPath(r.Handin))) + k.Slack
-	took := r.EndedAt + answerLatency - r.Handin.At
+	objective := time.Duration(k.Stretch*float64(criticalPath(r.Submitted))) + k.Slack
+	took := r.EndedAt + answerLatency - r.Submitted.At
 	switch {
 	case r.Phase == wire.JobPhase_JOB_PHASE_COMPLETED && took <= objective:
 		return 1
@@ -127,20 +127,20 @@
 // addLasting adds the windows of a lasting job until it is cancelled or traffic ends. Only whole
 // windows count.
 func (d *Day) addLasting(w *Workload, k Kind, r *emulator.JobResult, size float64) {
-	tasks := float64(r.Handin.Spec.GetSteps()[0].GetCount())
+	tasks := float64(r.Submitted.Spec.GetSteps()[0].GetCount())
 	until := electionTime + arrivalsDelay + w.Traffic
-	if r.Handin.CancelAt > 0 {
-		until = min(until, r.Handin.CancelAt)
+	if r.Submitted.CancelAt > 0 {
+		until = min(until, r.Submitted.CancelAt)
 	}
-	for n := 0; r.Handin.At+time.Duration(n+1)*emulator.WindowSpan <= until; n++ {
+	for n := 0; r.Submitted.At+time.Duration(n+1)*emulator.WindowSpan <= until; n++ {
 		v := emulator.Window{}
 		if n < len(r.Windows) {
 			v = r.Windows[n]
 		}
 		all := tasks * emulator.WindowSpan.Seconds()
-		share := (v.AtWork.Seconds() - v.Over.Seconds() - interferencePenalty*v.OverByOthers.Seconds()) / all
-		d.OverSeconds += v.OverByOthers.Seconds()
-		d.addOwed(r, r.Handin.At+time.Duration(n)*emulator.WindowSpan, k, k.Worth*size, k.Worth*size*min(1, max(0, share)))
+		share := (v.AtWork.Seconds() - v.OverTarget.Seconds() - interferencePenalty*v.OverTargetByFillers.Seconds()) / all
+		d.OverSeconds += v.OverTargetByFillers.Seconds()
+		d.addOwed(r, r.Submitted.At+time.Duration(n)*emulator.WindowSpan, k, k.Worth*size, k.Worth*size*min(1, max(0, share)))
 	}
 }
 
@@ -148,7 +148,7 @@
 func (d *Day) addOwed(r *emulator.JobResult, at time.Duration, k Kind, owed, earned float64) {
 	d.All.add(owed, earned)
 	sumFor(d.Kinds, k.Name).add(owed, earned)
-	sumFor(d.Halls, r.Handin.Hall).add(owed, earned)
+	sumFor(d.Halls, r.Submitted.CallerHall).add(owed, earned)
 	n := int((at - electionTime) / emulator.WindowSpan)
 	for len(d.Windows) <= n {
 		d.Windows = append(d.Windows, Sum{})
@@ -187,7 +187,7 @@
 }
 
 // workSize returns the work of a job in core seconds, or the cores of a lasting job.
-func workSize(h emulator.Handin) float64 {
+func workSize(h emulator.SubmittedJob) float64 {
 	all := 0.0
 	for i, step := range h.Spec.GetSteps() {
 		cores := float64(step.GetMillicores()) / 1000
@@ -204,12 +204,12 @@
 
 // criticalPath returns the sum of the longest tasks of all steps, since each step waits for the
 // previous one. A run that fails by the task's own fault adds half of the task's work.
-func criticalPath(h emulator.Handin) time.Duration {
+func criticalPath(h emulator.SubmittedJob) time.Duration {
 	all := time.Duration(0)
 	for _, tasks := range h.Tasks {
 		longest := time.Duration(0)
 		for _, t := range tasks {
-			longest = max(longest, t.Work+time.Duration(t.Fails)*t.Work/2)
+			longest = max(longest, t.Work+time.Duration(t.FailingRuns)*t.Work/2)
 		}
 		all += longest
 	}
@@ -220,8 +220,8 @@
 func meanWork(results []*emulator.JobResult) map[string]float64 {
 	sums, counts := map[string]float64{}, map[string]float64{}
 	for _, r := range results {
-		sums[r.Handin.Spec.GetQueue()] += workSize(r.Handin)
-		counts[r.Handin.Spec.GetQueue()]++
+		sums[r.Submitted.Spec.GetQueue()] += workSize(r.Submitted)
+		counts[r.Submitted.Spec.GetQueue()]++
 	}
 	for name := range sums {
 		sums[name] /= counts[name]
--- a/pkg/process/cell/active_runs.go
+++ b/pkg/process/cell/active_runs.go
@@ -22,7 +22,7 @@
 		if r == nil {
 			t := s.taskNamed(a.Task)
 			if t != nil {
-				foreign = foreign.Plus(workers.Reserved(t.Unit))
+				foreign = foreign.Plus(workers.ReservedSize(t.Unit))
 			}
 			if t != nil || s.keepOrphanedRun(now, w, a) {
 				s.stopUnadopted(w, a)
@@ -49,10 +49,10 @@
 		switch {
 		case r.State == jobs.Sent:
 			// The order may still be on its way.
-		case r.State == jobs.Unsure:
+		case r.State == jobs.Unanswered:
 			// Use the clock in this answer, not its estimate for now: the answer may have waited here, and
 			// the order may have reached the worker meanwhile.
-			if workers.Passed(e.Report.Clock, r.ValidUntil) {
+			if workers.ClockPassed(e.Report.Clock, r.ValidUntil) {
 				s.loseRun(now, w, r, "it never began, and its order has expired")
 			}
 		case r.AckedAt.Before(e.SentAt):
@@ -69,7 +69,7 @@
 		return nil
 	}
 	if r := t.Run(a.Run, w.ID); r != nil {
-		if r.State == jobs.Sent || r.State == jobs.Unsure {
+		if r.State == jobs.Sent || r.State == jobs.Unanswered {
 			s.runBegan(now, r)
 		}
 		return r
@@ -121,8 +121,8 @@
 		r.BeganAt, r.ProgressAt = now, now
 	}
 	j := r.Task.Unit.Job
-	if !j.Begun {
-		j.Begun = true
+	if !j.HasStarted {
+		j.HasStarted = true
 	}
 }
 
@@ -134,7 +134,7 @@
 
 // taskNamed returns the task that workers list under a name, or nil if it is unknown.
 func (s *State) taskNamed(name string) *jobs.Task {
-	id, ok := jobs.ParseTask(name)
+	id, ok := jobs.ParseTaskName(name)
 	if !ok {
 		return nil
 	}
@@ -149,7 +149,7 @@
 // processors in use. Progress may end the quarantine of the worker.
 func (s *State) updateRun(now time.Time, w *workers.Worker, r *jobs.Run, a workers.Active) {
 	if a.Percent != r.Percent {
-		if a.Percent > r.Percent && (w.Health.Progressed() || (r.Task.Unit.Lasting() && a.Percent >= 100 && w.Health.Worked())) {
+		if a.Percent > r.Percent && (w.Health.Progressed() || (r.Task.Unit.Lasting() && a.Percent >= 100 && w.Health.RunSucceeded())) {
 			s.note(Note{Kind: NoteWorkerBack, Worker: w.ID, Detail: "a run makes progress", AgeMs: -1})
 		}
 		r.Percent, r.ProgressAt = a.Percent, now
@@ -158,7 +158,7 @@
 		r.Task.Checkpoint = a.Checkpoint
 	}
 	if r.Task.Unit.Spec.GetTailTargetMs() > 0 {
-		r.Tail = time.Duration(a.Reading) * time.Millisecond
+		r.TailLatency = time.Duration(a.Reading) * time.Millisecond
 	} else {
 		r.UsedMillicores = a.Reading
 	}
--- a/pkg/process/cell/advice.go
+++ b/pkg/process/cell/advice.go
@@ -114,7 +114,7 @@
 		s.note(Note{Kind: NoteAdvice, Task: e.Unit, Detail: e.Err.Error(), Code: fault.CodeOf(e.Err), AgeMs: -1})
 		return
 	}
-	id, ok := jobs.ParseTask(e.Unit + ".0")
+	id, ok := jobs.ParseTaskName(e.Unit + ".0")
 	if j := s.jobs[id.Job]; ok && j != nil {
 		if t := j.Task(id.Time, id.Step, 0); t != nil {
 			valid, _ := s.ticketValidity(t.Unit)
--- a/pkg/process/cell/after_takeover_test.go
+++ b/pkg/process/cell/after_takeover_test.go
@@ -29,7 +29,7 @@
 	}})
 	v.state.Take(v.now, cell.MembershipRecorded{IDs: []string{"reached", "cut-off", "second"}})
 	third := workers.Active{Task: "00000000000000aa.0.0.0", Run: 1000003, Percent: 10}
-	ended := []workers.End{{Number: 1, Task: third.Task, Run: third.Run, How: workers.EndedFailed}}
+	ended := []workers.End{{Number: 1, Task: third.Task, Run: third.Run, Outcome: workers.EndedFailed}}
 	begin, starts, failed := v.now, 0, false
 	for v.now.Sub(begin) < 6*time.Second {
 		v.now = v.now.Add(50 * time.Millisecond)
@@ -49,7 +49,7 @@
 				case since < 4*time.Second:
 					answer.Err = fault.New(fault.Unknown, e.To.ID, "no answer", "")
 				default: // answers while its lease goes on: its first list shows the second failure
-					answer.Report.Ended = []workers.End{{Number: 1, Task: third.Task, Run: 1000002, How: workers.EndedFailed}}
+					answer.Report.Ended = []workers.End{{Number: 1, Task: third.Task, Run: 1000002, Outcome: workers.EndedFailed}}
 				}
 				v.state.Take(v.now, answer)
 			case cell.SendStart:
@@ -222,7 +222,7 @@
 					active[e.To.ID] = append(active[e.To.ID], workers.Active{Task: e.Start.Task, Run: e.Start.Run, Percent: 100})
 					s.Take(now, cell.StartAnswered{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: now.Sub(time.Unix(900, 0))}})
 				case cell.WriteProgress:
-					s.Take(now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
+					s.Take(now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.CommitResult{Version: 9}})
 				}
 			}
 			n := 0
@@ -237,7 +237,7 @@
 	for id, runs := range active {
 		for _, a := range runs {
 			number++
-			ended[id] = append(ended[id], workers.End{Number: number, Task: a.Task, Run: a.Run, How: workers.EndedStopped})
+			ended[id] = append(ended[id], workers.End{Number: number, Task: a.Task, Run: a.Run, Outcome: workers.EndedStopped})
 		}
 	}
 	clear(active)
--- a/pkg/process/cell/crash_fleet_test.go
+++ b/pkg/process/cell/crash_fleet_test.go
@@ -161,7 +161,7 @@
 		if r.crashesAt.IsZero() && f.now.Sub(r.beganAt) >= r.duration {
 			delete(w.runs, task)
 			w.lastEnd++
-			w.unreadEnds = append(w.unreadEnds, workers.End{Number: w.lastEnd, Task: task, Run: r.number, How: workers.EndedDone})
+			w.unreadEnds = append(w.unreadEnds, workers.End{Number: w.lastEnd, Task: task, Run: r.number, Outcome: workers.EndedDone})
 		}
 	}
 }
@@ -229,7 +229,7 @@
 		answered.Err = fault.New(fault.Unknown, "table", "no answer", "")
 	} else {
 		f.version++
-		answered.Committed = table.Committed{Version: f.version}
+		answered.Committed = table.CommitResult{Version: f.version}
 		for _, r := range e.Transaction.Puts {
 			p := &wire.JobProgress{}
 			if r.Table == rows.ProgressTable("hall") && rows.Read(r, p) == nil {
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -89,7 +89,7 @@
 // workerCrashed handles the end of a worker incarnation that was not caused by a stop or a leave.
 func (s *State) workerCrashed(now time.Time, w *workers.Worker) {
 	s.resolveSilentRuns(now, true, func(r silentRun) bool { return r.worker == w.ID && r.born == w.Born })
-	at := w.EndedAt(now)
+	at := w.LatestEnd(now)
 	if w.SilentSince.IsZero() {
 		s.addSilence(now, w, at)
 	}
@@ -254,7 +254,7 @@
 	})
 	for _, r := range resolved {
 		t := r.task
-		if t.Done || t.Unit.Job.Ended() || !t.Resolve(r.worker, r.run, crashed) {
+		if t.Done || t.Unit.Job.Ended() || !t.ResolveSilent(r.worker, r.run, crashed) {
 			continue
 		}
 		s.forwardEvidence(t)
@@ -334,7 +334,7 @@
 	for _, t := range s.implicated {
 		for _, r := range t.Runs {
 			w := s.workers[r.Worker]
-			if w == nil || w.Gone || !w.SilentSince.IsZero() || r.State != jobs.Running {
+			if w == nil || w.Ended || !w.SilentSince.IsZero() || r.State != jobs.Running {
 				continue
 			}
 			if poisontask.Exonerates(t.Crashes, minRunAge(w, r)) {
--- a/pkg/process/cell/delegation_test.go
+++ b/pkg/process/cell/delegation_test.go
@@ -116,7 +116,7 @@
 	b.eachPut(t, rows.ProgressKey("hall", delegatedJob), func(r table.Row) { must.NoError(t, rows.Read(r, progress)) })
 	again := jobs.Restore(spec, progress, 1, time.Unix(0, 0), time.Unix(0, 0))
 	must.Eq(t, "home", again.Task(0, 0, 1).DelegatedTo)
-	must.Len(t, 1, again.Report().GetTasks())
+	must.Len(t, 1, again.DelegationReport().GetTasks())
 }
 
 // A returned task is delegated to a third cell, and not to the cell that has just returned it.
@@ -213,7 +213,7 @@
 	j := jobs.New(spec(1), time.Unix(0, 0))
 	j.ReturnTask(j.Task(0, 0, 1))
 	must.Len(t, 0, j.Units[0].Waiting(time.Unix(1, 0)))
-	must.Eq(t, 1, j.Report().GetTasks()[0].GetLending())
+	must.Eq(t, 1, j.DelegationReport().GetTasks()[0].GetLending())
 	gaveBack := j.Progress()
 	must.False(t, j.AddDelegated(spec(1), time.Unix(1, 0), true))
 	must.True(t, j.AddDelegated(spec(2), time.Unix(1, 0), true))
--- a/pkg/process/cell/events.go
+++ b/pkg/process/cell/events.go
@@ -142,7 +142,7 @@
 type WriteAnswered struct {
 	Part      string
 	Serial    int64
-	Committed table.Committed
+	Committed table.CommitResult
 	Err       error
 }
 
--- a/pkg/process/cell/filler_cost.go
+++ b/pkg/process/cell/filler_cost.go
@@ -74,7 +74,7 @@
 	for _, r := range w.Runs {
 		if r.Task.Unit.Spec.GetTailTargetMs() > 0 {
 			image := r.Task.Unit.Image()
-			n.serving = append(n.serving, servingNeighbour{image, s.interference.Predict(image, n.fillerPressures) + r.OwnLoad.Expect(predictionHorizon)})
+			n.serving = append(n.serving, servingNeighbour{image, s.interference.Predict(image, n.fillerPressures) + r.OwnLoad.Forecast(predictionHorizon)})
 		}
 	}
 	return n
@@ -120,8 +120,8 @@
 	millicores := map[string]int64{}
 	for _, image := range s.interference.Fillers() {
 		for _, w := range s.workersByID() {
-			if unused := w.Unused(); w.Listed && !w.Leaving && !w.Gone && s.fillerHarmless(image, w) {
-				millicores[image] += max(0, unused+w.FillersRequested())
+			if unused := w.UnusedMillicores(); w.Listed && !w.Leaving && !w.Ended && s.fillerHarmless(image, w) {
+				millicores[image] += max(0, unused+w.FillerMillicoresRequested())
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 	free := map[string]int64{}
 	images := s.interference.Fillers()
 	for _, w := range s.workersByID() {
-		if !w.Listed || w.Leaving || w.Gone || !w.SilentSince.IsZero() || !s.recordedMembers[w.ID] {
+		if !w.Listed || w.Leaving || w.Ended || !w.SilentSince.IsZero() || !s.recordedMembers[w.ID] {
 			continue
 		}
 		n := s.neighboursOf(w)
@@ -162,7 +162,7 @@
 // neighbours more than they earn, at most maxFillersCounted.
 func (s *State) fillersThatFit(w *workers.Worker, n workerNeighbours, image string) int64 {
 	fit := int64(0)
-	for fit < maxFillersCounted && w.Unused() >= (fit+1)*typicalFillerMillicores {
+	for fit < maxFillersCounted && w.UnusedMillicores() >= (fit+1)*typicalFillerMillicores {
 		asks := (fit + 1) * typicalFillerMillicores
 		more := float64(asks) / float64(max(1, w.Capacity.Millicores)) * fillerCPUFraction(w, asks)
 		if overTargetCost*s.overTargetRise(n.serving, image, more, predictionSD) > fillerCoreValue*float64(asks)/1000 {
@@ -180,7 +180,7 @@
 	var usual []servingNeighbour
 	for _, r := range w.Runs {
 		if serving := r.Task.Unit; serving.Spec.GetTailTargetMs() > 0 {
-			usual = append(usual, servingNeighbour{serving.Image(), s.interference.Alone(serving.Image())})
+			usual = append(usual, servingNeighbour{serving.Image(), s.interference.LevelAlone(serving.Image())})
 		}
 	}
 	return overTargetCost*s.overTargetRise(usual, image, more, usualLevelSD) <= harmlessShare*fillerCoreValue*typicalFillerMillicores/1000
--- a/pkg/process/cell/filler_pace.go
+++ b/pkg/process/cell/filler_pace.go
@@ -56,7 +56,7 @@
 
 // lastReading returns a serving run's last tail latency as a level.
 func lastReading(r *jobs.Run) interference.Reading {
-	return interference.NewReading(r.Tail, time.Duration(r.Task.Unit.Spec.GetTailTargetMs())*time.Millisecond)
+	return interference.NewReading(r.TailLatency, time.Duration(r.Task.Unit.Spec.GetTailTargetMs())*time.Millisecond)
 }
 
 // pressure returns the share of a worker's CPU that a filler asks for.
@@ -67,7 +67,7 @@
 // learnInterference trains the interference model with a worker's new readings. A reading shows the effect of
 // the CPU that fillers used in the last half second.
 func (s *State) learnInterference(now time.Time, w *workers.Worker) {
-	if !w.Serving() {
+	if !w.HasLatencyTarget() {
 		return
 	}
 	pressures := map[string]float64{}
@@ -77,8 +77,8 @@
 		}
 	}
 	for _, r := range w.Runs {
-		if isRunningServing(r) && r.Tail > 0 && (r.Tail != r.LearnedTail || now.Sub(r.LearnedAt) > sameReadingFor) {
-			r.LearnedTail, r.LearnedAt = r.Tail, now
+		if isRunningServing(r) && r.TailLatency > 0 && (r.TailLatency != r.LearnedTail || now.Sub(r.LearnedAt) > sameReadingFor) {
+			r.LearnedTail, r.LearnedAt = r.TailLatency, now
 			s.interference.Learn(now, r.Task.Unit.Image(), lastReading(r), pressures, &r.OwnLoad)
 		}
 	}
@@ -88,12 +88,12 @@
 func (s *State) paceFillers(now time.Time) {
 	if now.Sub(s.interferenceLoggedAt) >= interferenceNoteInterval {
 		s.interferenceLoggedAt = now
-		for _, line := range s.interference.Words() {
+		for _, line := range s.interference.Summary() {
 			s.note(Note{Kind: NotePress, Detail: line, AgeMs: -1})
 		}
 	}
 	for _, w := range s.workersByID() {
-		if w.Gone || !w.SilentSince.IsZero() || !w.Filling() {
+		if w.Ended || !w.SilentSince.IsZero() || !w.HasFillers() {
 			continue
 		}
 		s.decidePaces(now, w)
@@ -130,7 +130,7 @@
 		if !isRunningServing(r) {
 			continue
 		}
-		if r.Tail <= 0 || lastReading(r).Level < overTargetLevel {
+		if r.TailLatency <= 0 || lastReading(r).Level < overTargetLevel {
 			r.OverTargetSince = time.Time{}
 			continue
 		}
@@ -160,7 +160,7 @@
 func worstLevel(w *workers.Worker) float64 {
 	worst := math.Inf(-1)
 	for _, r := range w.Runs {
-		if isRunningServing(r) && r.Tail > 0 {
+		if isRunningServing(r) && r.TailLatency > 0 {
 			worst = max(worst, lastReading(r).Level)
 		}
 	}
@@ -170,8 +170,8 @@
 // fillerCPUFraction returns the fraction, 0 to 1, of the CPU that they ask for which a worker's fillers get if
 // more millicores are asked for in addition. Fillers share the CPU that the other tasks leave unused.
 func fillerCPUFraction(w *workers.Worker, more int64) float64 {
-	asked := w.FillersRequested() + more
-	left := w.Unused() + w.FillersRequested()
+	asked := w.FillerMillicoresRequested() + more
+	left := w.UnusedMillicores() + w.FillerMillicoresRequested()
 	return min(1, max(0, float64(left))/float64(max(1, asked)))
 }
 
--- a/pkg/process/cell/filler_places.go
+++ b/pkg/process/cell/filler_places.go
@@ -43,9 +43,9 @@
 func (s *State) isMostlyFree(now time.Time) bool {
 	taken, all := int64(0), int64(0)
 	for _, w := range s.workersByID() {
-		if !w.Gone {
+		if !w.Ended {
 			all += w.Capacity.Millicores
-			taken += w.Capacity.Millicores - w.Free().Millicores
+			taken += w.Capacity.Millicores - w.FreeCapacity().Millicores
 		}
 	}
 	if float64(taken) < mostlyFreeBelow*float64(all) {
@@ -63,5 +63,5 @@
 // enoughUnusedCPU reports whether a filler would get enough unused CPU at a worker, and whether fillers may
 // join there at all.
 func enoughUnusedCPU(now time.Time, u *jobs.Unit, w *workers.Worker) bool {
-	return !now.Before(w.NoFillersUntil) && float64(w.Unused()) >= minUnusedShare*float64(u.Size.Millicores)
+	return !now.Before(w.NoFillersUntil) && float64(w.UnusedMillicores()) >= minUnusedShare*float64(u.Size.Millicores)
 }
--- a/pkg/process/cell/incarnations.go
+++ b/pkg/process/cell/incarnations.go
@@ -24,7 +24,7 @@
 			w.UsableFrom = now // known from the membership row alone: this may be a new incarnation, which has seen no epoch
 		}
 	case w.Born == born:
-		w.Answered(e.SentAt)
+		w.PollAnswered(e.SentAt)
 	default:
 		s.beginIncarnation(now, w, e)
 	}
@@ -34,7 +34,7 @@
 func (s *State) beginIncarnation(now time.Time, w *workers.Worker, e PollAnswered) {
 	s.note(Note{
 		Kind: NoteWorkerLife, Worker: w.ID, AgeMs: now.Sub(w.LastAnswerAt).Milliseconds(),
-		Detail: fmt.Sprintf("born %d, was %d; clock %s, expected at least %s", e.Report.Born, w.Born, e.Report.Clock, w.ClockAtLeast(now).Round(time.Millisecond)),
+		Detail: fmt.Sprintf("born %d, was %d; clock %s, expected at least %s", e.Report.Born, w.Born, e.Report.Clock, w.MinClock(now).Round(time.Millisecond)),
 	})
 	s.workerCrashed(now, w)
 	for _, p := range s.writers {
--- a/pkg/process/cell/incarnations_test.go
+++ b/pkg/process/cell/incarnations_test.go
@@ -105,7 +105,7 @@
 			answer.Err = fault.New(fault.Unknown, "w", "no answer", "")
 		} else {
 			v.recorded = max(v.recorded, e.Poll.Recorded)
-			answer.Report = workers.Report{Born: v.born, Clock: v.clock(), Active: v.active, Room: v.capacity}
+			answer.Report = workers.Report{Born: v.born, Clock: v.clock(), Active: v.active, Capacity: v.capacity}
 			for _, end := range v.ended {
 				if end.Number > v.recorded {
 					answer.Report.Ended = append(answer.Report.Ended, end)
@@ -126,14 +126,14 @@
 		v.stops = append(v.stops, e)
 	case cell.WriteProgress:
 		v.version++
-		v.state.Take(v.now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: v.version}})
+		v.state.Take(v.now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.CommitResult{Version: v.version}})
 	}
 }
 
 // finishAll ends all active runs successfully.
 func (v *restartingWorker) finishAll() {
 	for _, a := range v.active {
-		v.ended = append(v.ended, workers.End{Number: int64(len(v.ended)) + 1, Task: a.Task, Run: a.Run, How: workers.EndedDone})
+		v.ended = append(v.ended, workers.End{Number: int64(len(v.ended)) + 1, Task: a.Task, Run: a.Run, Outcome: workers.EndedDone})
 	}
 	v.active = nil
 }
--- a/pkg/process/cell/isolated_runs.go
+++ b/pkg/process/cell/isolated_runs.go
@@ -151,10 +151,10 @@
 	for _, t := range s.implicated {
 		switch {
 		case !t.Unit.Lasting() || t.Level() != poisontask.NeedsIsolation || !t.Waiting(now) || s.awaitsCrashOutcome(now, t):
-			t.IsolationWaived, t.IsolatedSince = false, time.Time{}
-		case t.IsolatedSince.IsZero():
-			t.IsolatedSince = now
-		case now.Sub(t.IsolatedSince) >= maxIsolatedWait:
+			t.IsolationWaived, t.IsolationWaitSince = false, time.Time{}
+		case t.IsolationWaitSince.IsZero():
+			t.IsolationWaitSince = now
+		case now.Sub(t.IsolationWaitSince) >= maxIsolatedWait:
 			t.IsolationWaived = true
 		}
 	}
@@ -316,5 +316,5 @@
 
 // suspectScore ranks workers for a suspect: the fewest other suspects first, then the most free capacity.
 func suspectScore(w *workers.Worker) float64 {
-	return float64(w.Free().Millicores)/float64(max(1, w.Capacity.Millicores)) - otherSuspectPenalty*float64(suspectRuns(w))
+	return float64(w.FreeCapacity().Millicores)/float64(max(1, w.Capacity.Millicores)) - otherSuspectPenalty*float64(suspectRuns(w))
 }
--- a/pkg/process/cell/isolated_runs_test.go
+++ b/pkg/process/cell/isolated_runs_test.go
@@ -75,7 +75,7 @@
 				active[e.To.ID] = append(active[e.To.ID], workers.Active{Task: e.Start.Task, Run: e.Start.Run, Percent: 100})
 				s.Take(now, cell.StartAnswered{Worker: e.To.ID, Task: e.Start.Task, Run: e.Start.Run, Reply: workers.Reply{Clock: now.Sub(time.Unix(900, 0))}})
 			case cell.WriteProgress:
-				s.Take(now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
+				s.Take(now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.CommitResult{Version: 9}})
 			}
 		}
 	}
--- a/pkg/process/cell/known_runs.go
+++ b/pkg/process/cell/known_runs.go
@@ -24,7 +24,7 @@
 	named := 0
 	for _, w := range s.workersByID() {
 		switch {
-		case w.Gone || w.DroppedFromMembership:
+		case w.Ended || w.DroppedFromMembership:
 			continue
 		case !w.HasAnswered:
 			// The entry that earlier leaders wrote still applies.
@@ -42,7 +42,7 @@
 // is recorded. It is false for a newly silent worker while the table does not answer: such a worker would otherwise get
 // no work after it answers again until the table does, too.
 func (s *State) excludedFromWork(now time.Time, w *workers.Worker) bool {
-	return w.Leaving || (w.Failures >= silentAfterFailures && (w.RunsKnown || s.tableAvailable(now)))
+	return w.Leaving || (w.FailedPolls >= silentAfterFailures && (w.RunsKnown || s.tableAvailable(now)))
 }
 
 // holdsOnlyKnownRuns reports whether a worker is known to hold nothing but its known runs: no other run, and no end
--- a/pkg/process/cell/leases.go
+++ b/pkg/process/cell/leases.go
@@ -35,7 +35,7 @@
 		}
 	}
 	for id, w := range s.workers {
-		if until := now.Add(w.LeaseLeft(now)); until.After(now) && until.After(list[id]) {
+		if until := now.Add(w.MaxLeaseLeft(now)); until.After(now) && until.After(list[id]) {
 			list[id] = until
 		}
 	}
--- a/pkg/process/cell/leaving.go
+++ b/pkg/process/cell/leaving.go
@@ -15,7 +15,7 @@
 // elsewhere from a checkpoint. Runs that can finish there stay.
 func (s *State) stopOnLeavingWorkers(now time.Time) {
 	for _, w := range s.workersByID() {
-		if !w.Leaving || w.Gone || !w.SilentSince.IsZero() {
+		if !w.Leaving || w.Ended || !w.SilentSince.IsZero() {
 			continue
 		}
 		left := w.Remaining - now.Sub(w.LeavingAt)
--- a/pkg/process/cell/lost_runs.go
+++ b/pkg/process/cell/lost_runs.go
@@ -14,7 +14,7 @@
 // endIncarnation ends a worker's incarnation because a later one has begun. Rows that name the ended incarnation are
 // out of date from now on, and takeRegistry skips them.
 func (s *State) endIncarnation(now time.Time, w *workers.Worker, why string) {
-	if !w.Gone {
+	if !w.Ended {
 		s.addUnobservedEnd(w)
 		s.unreachedMemberEnded(now, w.ID)
 		s.workerCrashed(now, w)
@@ -25,10 +25,10 @@
 
 // markGone marks a worker's incarnation as over. removeGoneWorkers presumes its runs over once that is confirmed.
 func (s *State) markGone(now time.Time, w *workers.Worker, why string) {
-	if w.Gone {
+	if w.Ended {
 		return
 	}
-	w.Gone, w.GoneAt, w.GoneWhy = true, now, why
+	w.Ended, w.EndKnownAt, w.EndReason = true, now, why
 	s.noteIfLeading(Note{Kind: NoteWorkerGone, Worker: w.ID, Detail: why, AgeMs: -1})
 	s.scanDue = true
 }
@@ -38,11 +38,11 @@
 // of such a run.
 func (s *State) removeGoneWorkers(now time.Time) {
 	for _, w := range s.workersByID() {
-		if !w.Gone || s.leadershipLastConfirmed(now).Before(w.GoneAt) {
+		if !w.Ended || s.leadershipLastConfirmed(now).Before(w.EndKnownAt) {
 			continue
 		}
 		for _, r := range w.Runs {
-			s.loseRun(now, w, r, w.GoneWhy)
+			s.loseRun(now, w, r, w.EndReason)
 		}
 		delete(s.workers, w.ID)
 		s.orderStale = true
@@ -65,7 +65,7 @@
 	if w != nil {
 		w.Remove(r)
 	}
-	t.Drop(r)
+	t.RemoveRun(r)
 	t.WaitingSince, t.InCellSince = lastAnswer(now, w), now
 	s.note(Note{
 		Kind: NoteLost, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: r.Worker, Detail: why,
@@ -86,7 +86,7 @@
 // checkRuns presumes runs of silent workers over once their leases have expired, and stops stalled runs of the others.
 func (s *State) checkRuns(now time.Time) {
 	for _, w := range s.workersByID() {
-		if w.Gone {
+		if w.Ended {
 			continue
 		}
 		if !w.SilentSince.IsZero() {
@@ -102,7 +102,7 @@
 // checkLease presumes the runs of a silent worker over once its lease has expired. It then drops the worker if the
 // worker registry has no row of it either.
 func (s *State) checkLease(now time.Time, w *workers.Worker) {
-	over := w.LeaseOver(s.leadershipLastConfirmed(now)) || s.unsafe.NoLeaseWait
+	over := w.LeaseExpired(s.leadershipLastConfirmed(now)) || s.unsafe.NoLeaseWait
 	if over {
 		for _, r := range w.Runs {
 			s.loseRun(now, w, r, "its worker's lease has expired")
--- a/pkg/process/cell/membership.go
+++ b/pkg/process/cell/membership.go
@@ -23,12 +23,12 @@
 	}
 	list := make([]*wire.RosterEntry, 0, len(s.workers))
 	for _, w := range s.workersByID() {
-		if !w.Gone && !w.DroppedFromMembership && s.isMember(w) {
+		if !w.Ended && !w.DroppedFromMembership && s.isMember(w) {
 			list = append(list, s.memberEntry(w))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.retainedMembers)) {
-		if w := s.workers[id]; w == nil || w.Gone {
+		if w := s.workers[id]; w == nil || w.Ended {
 			list = append(list, s.retainedMembers[id])
 		}
 	}
@@ -64,7 +64,7 @@
 	if before := s.retainedMembers[w.ID].GetBorn(); before != 0 && before != w.Born {
 		return false // the crash evidence from the end of that incarnation is not recorded
 	}
-	if w.Gone || !w.Empty() || s.lastRecordedEnd(w) < w.LastEnd {
+	if w.Ended || !w.Empty() || s.lastRecordedEnd(w) < w.LastEnd {
 		return false
 	}
 	if w.Leaving {
--- a/pkg/process/cell/orders.go
+++ b/pkg/process/cell/orders.go
@@ -45,9 +45,9 @@
 		s.isolatedRuns++
 	}
 	t.Runs = append(t.Runs, r)
-	t.MayHaveRun, t.IsolationWaived, t.IsolatedSince = true, false, time.Time{}
+	t.MayHaveRun, t.IsolationWaived, t.IsolationWaitSince = true, false, time.Time{}
 	w.Add(r)
-	w.Health.TrialGiven(now)
+	w.Health.ProbeStarted(now)
 	delete(s.neighboursByWorker, w)
 	for at := range s.fillerNetCosts {
 		if at.worker == w {
@@ -57,15 +57,15 @@
 	j := t.Unit.Job
 	s.note(Note{
 		Kind: NoteStart, Job: j.Spec.GetId(), Task: t.Name(), Run: number, Worker: w.ID, AgeMs: now.Sub(w.LastAnswerAt).Milliseconds(),
-		Detail: fmt.Sprintf("after %s, %d millicores left, checkpoint %q", now.Sub(j.AcceptedAt).Round(time.Millisecond), w.Free().Millicores, t.Checkpoint),
+		Detail: fmt.Sprintf("after %s, %d millicores left, checkpoint %q", now.Sub(j.AcceptedAt).Round(time.Millisecond), w.FreeCapacity().Millicores, t.Checkpoint),
 	})
 	s.sendStart(now, w, r)
 }
 
 // sendStart sends the start order of a run, for the first time or once more.
 func (s *State) sendStart(now time.Time, w *workers.Worker, r *jobs.Run) {
-	r.Tries++
-	until := w.Grant(now, startValidFor)
+	r.SendCount++
+	until := w.GrantLease(now, startValidFor)
 	r.ValidUntil = max(r.ValidUntil, until)
 	order := workers.Start{
 		Fence: s.epoch, Task: r.Task.Name(), Run: r.Number, Body: r.Task.Unit.Job.Spec.GetBody(),
@@ -79,14 +79,14 @@
 // mayOrderStart reports whether the window of bytes in flight has space for one more start order. If it has
 // none, the log says so at intervals: tasks then wait although workers have capacity.
 func (s *State) mayOrderStart(now time.Time) bool {
-	if !s.enabled(OrderWindow) || s.startWindow.Room() {
+	if !s.enabled(OrderWindow) || s.startWindow.MaySend() {
 		return true
 	}
 	if now.Sub(s.startsHeldLoggedAt) >= heldNoteInterval {
 		s.startsHeldLoggedAt = now
 		s.note(Note{
 			Kind: NoteOrdersHeld, AgeMs: -1,
-			Detail: fmt.Sprintf("%d of %d bytes in flight, answers take %s", s.startWindow.InFlight(), s.startWindow.Size(), s.startWindow.AnswerTime().Round(time.Millisecond)),
+			Detail: fmt.Sprintf("%d of %d bytes in flight, answers take %s", s.startWindow.InFlight(), s.startWindow.Size(), s.startWindow.MeanAnswerTime().Round(time.Millisecond)),
 		})
 	}
 	return false
@@ -115,24 +115,24 @@
 		s.handleReply(now, w, e.Reply)
 	}
 	r := t.Run(e.Run, e.Worker)
-	if r == nil || (r.State != jobs.Sent && r.State != jobs.Unsure) {
+	if r == nil || (r.State != jobs.Sent && r.State != jobs.Unanswered) {
 		return
 	}
 	switch {
-	case e.Err != nil && fault.CodeOf(e.Err) == fault.NotRun && r.Tries == 1:
+	case e.Err != nil && fault.CodeOf(e.Err) == fault.NotRun && r.SendCount == 1:
 		s.undoRefusedStart(now, w, r, e.Err.Error())
 	case e.Err != nil:
 		s.retryStart(now, w, r, e.Err)
 	case e.Reply.Refusal == workers.NotRefused:
 		r.AckedAt = now
 		s.runBegan(now, r)
-	case e.Reply.Refusal == workers.RefusedOld:
+	case e.Reply.Refusal == workers.RefusedSuperseded:
 		// The worker has had a run with this number or a higher one; its lists show what became of it.
-		r.State = jobs.Unsure
-		r.ValidUntil = w.ClockAtLeast(now)
-	case r.Tries > 1:
+		r.State = jobs.Unanswered
+		r.ValidUntil = w.MinClock(now)
+	case r.SendCount > 1:
 		// An earlier try may still be carried out.
-		r.State = jobs.Unsure
+		r.State = jobs.Unanswered
 	default:
 		s.undoRefusedStart(now, w, r, string(e.Reply.Refusal))
 	}
@@ -142,7 +142,7 @@
 func (s *State) undoRefusedStart(now time.Time, w *workers.Worker, r *jobs.Run, why string) {
 	t := r.Task
 	w.Remove(r)
-	t.Drop(r)
+	t.RemoveRun(r)
 	t.RetryAt = now.Add(refusedStartDelay)
 	s.note(Note{
 		Kind: NoteStartRefused, Job: t.Unit.Job.Spec.GetId(), Task: t.Name(), Run: r.Number, Worker: w.ID, Detail: why,
@@ -151,8 +151,8 @@
 	if why == string(workers.RefusedTicket) {
 		s.dropTicket(t.Unit, w)
 	}
-	if why == string(workers.RefusedRoom) || why == string(workers.RefusedBusy) {
-		w.Health.Refused(why, now)
+	if why == string(workers.RefusedNoCapacity) || why == string(workers.RefusedBusy) {
+		w.Health.StartRefused(why, now)
 		s.noteQuarantined(w)
 	}
 	s.updateWaiting(now, t.Unit.Job)
@@ -162,14 +162,14 @@
 // again, unless the worker takes no new work any more; a worker that has begun the run says so.
 func (s *State) retryStart(now time.Time, w *workers.Worker, r *jobs.Run, err error) {
 	if r.State == jobs.Sent {
-		r.State = jobs.Unsure
+		r.State = jobs.Unanswered
 		s.note(Note{
 			Kind: NoteStartUnsure, Job: r.Task.Unit.Job.Spec.GetId(), Task: r.Task.Name(), Run: r.Number, Worker: w.ID,
-			Detail: fmt.Sprintf("valid until the worker's clock shows %s, now at least %s: %s", r.ValidUntil.Round(time.Millisecond), w.ClockAtLeast(now).Round(time.Millisecond), err),
+			Detail: fmt.Sprintf("valid until the worker's clock shows %s, now at least %s: %s", r.ValidUntil.Round(time.Millisecond), w.MinClock(now).Round(time.Millisecond), err),
 			AgeMs:  now.Sub(r.SentAt).Milliseconds(),
 		})
 	}
-	if r.Tries < maxStartTries && w.SilentSince.IsZero() && w.Listed && !w.Leaving && !r.Task.Unit.Job.Ended() && s.phase == leading {
+	if r.SendCount < maxStartTries && w.SilentSince.IsZero() && w.Listed && !w.Leaving && !r.Task.Unit.Job.Ended() && s.phase == leading {
 		s.sendStart(now, w, r)
 	}
 }
--- a/pkg/process/cell/orphans.go
+++ b/pkg/process/cell/orphans.go
@@ -29,7 +29,7 @@
 // isNotYetDue reports whether a task belongs to an occurrence of a repeating job that has not fallen due here. A
 // predecessor may have opened the occurrence by a clock that was ahead, or a moment before the job became known here.
 func (s *State) isNotYetDue(task string) bool {
-	id, ok := jobs.ParseTask(task)
+	id, ok := jobs.ParseTaskName(task)
 	if !ok {
 		return false
 	}
@@ -83,7 +83,7 @@
 func orphanedTasks(w *workers.Worker, j *jobs.Job) []string {
 	var list []string
 	for task := range w.OrphanedRuns {
-		id, ok := jobs.ParseTask(task)
+		id, ok := jobs.ParseTaskName(task)
 		if ok && id.Job == j.Spec.GetId() && j.Task(id.Time, id.Step, id.Index) != nil {
 			list = append(list, task)
 		}
--- a/pkg/process/cell/orphans_test.go
+++ b/pkg/process/cell/orphans_test.go
@@ -35,7 +35,7 @@
 	t.Parallel()
 	v := newRestartingWorker()
 	task := "0000000000000001.0.0.0"
-	v.ended = []workers.End{{Number: 1, Task: task, Run: 7, How: workers.EndedDone}}
+	v.ended = []workers.End{{Number: 1, Task: task, Run: 7, Outcome: workers.EndedDone}}
 	v.run(300 * time.Millisecond)
 	must.Eq(t, 0, v.recorded)
 	must.Eq(t, task, v.accept(1))
@@ -50,7 +50,7 @@
 	t.Parallel()
 	v := newRestartingWorker()
 	v.active = []workers.Active{{Task: "0000000000000001.0.0.0", Run: 7, Percent: 10}}
-	v.ended = []workers.End{{Number: 1, Task: "0000000000000002.0.0.0", Run: 8, How: workers.EndedDone}}
+	v.ended = []workers.End{{Number: 1, Task: "0000000000000002.0.0.0", Run: 8, Outcome: workers.EndedDone}}
 	v.state.Take(v.now, cell.TableCaughtUp{At: v.now})
 	v.run(time.Second)
 	must.SliceEmpty(t, v.stops)
@@ -69,7 +69,7 @@
 	v := newRestartingWorker()
 	ended, runs := "0000000000000001.0.0.0", "0000000000000001.0.0.1"
 	v.active = []workers.Active{{Task: runs, Run: 8, Percent: 10}}
-	v.ended = []workers.End{{Number: 1, Task: ended, Run: 7, How: workers.EndedDone}}
+	v.ended = []workers.End{{Number: 1, Task: ended, Run: 7, Outcome: workers.EndedDone}}
 	v.state.Take(v.now, cell.JobAccepted{Spec: &wire.JobSpec{
 		Id: "0000000000000001", Queue: "offers", Service: "quotes", Cell: "hall", Steps: []*wire.StepSpec{{Count: 2, Millicores: 1000, EstimateMs: 500}},
 		Repeats: 1, FirstUnixMs: v.now.Add(time.Second).UnixMilli(), IntervalMs: 1000,
--- a/pkg/process/cell/placement.go
+++ b/pkg/process/cell/placement.go
@@ -81,7 +81,7 @@
 	j := u.Job
 	s.refreshEstimate(now, j)
 	q := s.queueOf(j)
-	objective := time.Duration(float64(j.WholeChain())*q.Stretch) + q.Slack
+	objective := time.Duration(float64(j.LongestChain())*q.Stretch) + q.Slack
 	since := j.AcceptedAt
 	if j.Spec.GetRepeats() > 0 {
 		since = now.Add(-s.wall.Sub(j.DueAt(u.Time)))
@@ -91,7 +91,7 @@
 	case u.Lasting() || !s.enabled(OrderByOutlook):
 	case now.Sub(since) > time.Duration(hopelessFactor*float64(objective)):
 		c.outlook = jobs.Hopeless
-	case now.Add(j.Chain(u.Step)).After(c.due):
+	case now.Add(j.ChainFrom(u.Step)).After(c.due):
 		c.outlook = jobs.Late
 	}
 	u.Outlook = c.outlook
@@ -184,13 +184,13 @@
 	}
 	var best *workers.Worker
 	for _, w := range usable {
-		if s.reservedForLasting[w] || w.Service != service || !w.HasLabel(u.Spec.GetLabel()) || !u.Size.Fits(w.Capacity.Minus(w.Lasting())) {
+		if s.reservedForLasting[w] || w.Service != service || !w.HasLabel(u.Spec.GetLabel()) || !u.Size.Fits(w.Capacity.Minus(w.LastingReserved())) {
 			continue
 		}
-		if most := int(u.Spec.GetSpread()); most > 0 && w.CountOf(u) >= most {
+		if most := int(u.Spec.GetSpread()); most > 0 && w.TaskCount(u) >= most {
 			continue
 		}
-		if best == nil || w.Free().Millicores > best.Free().Millicores {
+		if best == nil || w.FreeCapacity().Millicores > best.FreeCapacity().Millicores {
 			best = w
 		}
 	}
@@ -250,11 +250,11 @@
 	case t.Suspected():
 		score = suspectScore(w)
 	case u.Spec.GetFiller():
-		score = float64(w.Unused())/total - netCostWeight*s.fillerNetCost(u, w)
+		score = float64(w.UnusedMillicores())/total - netCostWeight*s.fillerNetCost(u, w)
 	case u.Spec.GetTailTargetMs() > 0:
-		score = -float64(w.Free().Millicores)/total + s.imageAffinity(u, w)
+		score = -float64(w.FreeCapacity().Millicores)/total + s.imageAffinity(u, w)
 	default:
-		score = -float64(w.Free().Millicores) / total
+		score = -float64(w.FreeCapacity().Millicores) / total
 	}
 	if rack := u.Spec.GetRack(); rack != "" && w.Rack != rack && !w.HasLabel(rack) {
 		score -= remotePenalty
@@ -270,14 +270,14 @@
 // the same image, and 0 for a worker without serving tasks. A filler that is harmless to one image may harm
 // another, so with like images grouped together every filler finds a harmless worker.
 func (s *State) imageAffinity(u *jobs.Unit, w *workers.Worker) float64 {
-	if !w.Serving() || !s.enabled(ServingByImage) {
+	if !w.HasLatencyTarget() || !s.enabled(ServingByImage) {
 		return 0
 	}
 	sum, all := 0.0, 0
 	for _, r := range w.Runs {
 		if r.Task.Unit.Spec.GetTailTargetMs() > 0 {
 			all++
-			sum += s.interference.Alike(r.Task.Unit.Image(), u.Image())
+			sum += s.interference.Similarity(r.Task.Unit.Image(), u.Image())
 		}
 	}
 	return imageAffinityWeight * (2*sum/float64(all) - 1)
@@ -363,7 +363,7 @@
 		list := racks[rack]
 		free := int64(0)
 		for _, w := range list {
-			free += w.Free().Millicores
+			free += w.FreeCapacity().Millicores
 		}
 		if rack == u.Spec.GetRack() && rack != "" {
 			free *= dataRackFactor
--- a/pkg/process/cell/placement_blockers.go
+++ b/pkg/process/cell/placement_blockers.go
@@ -32,7 +32,7 @@
 	switch {
 	case w.Service != service || !w.HasLabel(u.Spec.GetLabel()):
 		return blockedByLabel
-	case !workers.Reserved(u).Fits(w.Free()):
+	case !workers.ReservedSize(u).Fits(w.FreeCapacity()):
 		return capacityBlocker(u, w)
 	case len(s.closedWorkers) > 0 && s.closedWorkers[w] && !s.mayJoinIsolated(now, u, w):
 		return blockedByIsolatedRun
@@ -44,7 +44,7 @@
 		return blockedByBusyProcessors
 	case u.Spec.GetFiller() && s.fillerNetCost(u, w) > s.maxNetCost(now, u):
 		return blockedByFillerCost
-	case u.Spec.GetSpread() > 0 && w.CountOf(u) >= int(u.Spec.GetSpread()):
+	case u.Spec.GetSpread() > 0 && w.TaskCount(u) >= int(u.Spec.GetSpread()):
 		return blockedBySpread
 	case s.quarantined(now, w): // after its time in quarantine, a worker gets a single run as a trial
 		return blockedByQuarantine
@@ -55,9 +55,9 @@
 // capacityBlocker returns blockedByMemory for a worker on which a task would fit but for its memory, else
 // blockedByCapacity.
 func capacityBlocker(u *jobs.Unit, w *workers.Worker) blocker {
-	withoutMemory := workers.Reserved(u)
+	withoutMemory := workers.ReservedSize(u)
 	withoutMemory.MemoryMB = 0
-	if withoutMemory.Fits(w.Free()) {
+	if withoutMemory.Fits(w.FreeCapacity()) {
 		return blockedByMemory
 	}
 	return blockedByCapacity
--- a/pkg/process/cell/poll.go
+++ b/pkg/process/cell/poll.go
@@ -66,7 +66,7 @@
 	for _, w := range s.workersByID() {
 		if !named[w.ID] {
 			s.placementDue = s.placementDue || w.Listed
-			w.RowGone(now)
+			w.RowRemoved(now)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	}
 	w.Record = r
 	s.capacityChanged(w, capacityBefore)
-	w.RowGoneAt = time.Time{}
+	w.RowRemovedAt = time.Time{}
 	w.Leaving = leaving || r.Leaving // an incarnation that leaves never takes work again
 	w.Listed = true
 }
@@ -113,7 +113,7 @@
 		return
 	}
 	s.placementDue = true
-	s.noteIfLeading(Note{Kind: NoteWorkerRoom, Worker: w.ID, Detail: fmt.Sprintf("now %+v, was %+v; free %+v", w.Capacity, before, w.Free()), AgeMs: -1})
+	s.noteIfLeading(Note{Kind: NoteWorkerRoom, Worker: w.ID, Detail: fmt.Sprintf("now %+v, was %+v; free %+v", w.Capacity, before, w.FreeCapacity()), AgeMs: -1})
 }
 
 // ------------------------------------------------------------------ polls
@@ -121,7 +121,7 @@
 // pollWorkers sends the polls that are due.
 func (s *State) pollWorkers(now time.Time) {
 	for _, w := range s.workersByID() {
-		if w.Gone || w.PollOutstanding || now.Before(w.NextPollAt) || w.Address == "" {
+		if w.Ended || w.PollOutstanding || now.Before(w.NextPollAt) || w.Address == "" {
 			continue
 		}
 		s.sendPoll(now, w)
@@ -135,9 +135,9 @@
 	if w.MayHaveRestarted() {
 		l.Recorded = 0 // another incarnation would forget its own ends with these numbers
 	}
-	if w.Clocked() && w.SilentSince.IsZero() {
+	if w.HasClock() && w.SilentSince.IsZero() {
 		// A silent worker gets no renewal, so its lease is certain to expire.
-		l.Until = w.Grant(now, s.leaseSpan())
+		l.Until = w.GrantLease(now, s.leaseSpan())
 		l.Wait = idlePollWait
 		if len(w.Runs) > 0 {
 			l.Wait = pollWait
@@ -167,7 +167,7 @@
 		s.emit(StepDown{Why: "worker " + w.ID + " knows a higher epoch"})
 		w.NextPollAt = now.Add(pollRetryPause)
 		return
-	case e.Refusal == workers.RefusedIncarnation:
+	case e.Refusal == workers.RefusedOtherWorker:
 		s.endIncarnation(now, w, "another worker answers at its address")
 		return
 	case e.Refusal != workers.NotRefused:
@@ -177,7 +177,7 @@
 	s.takeIncarnation(now, w, e)
 	s.unreachedMemberAnswered(now, w)
 	s.workerAnswered(now, w, e.Report.Clock)
-	if capacity := e.Report.Room; capacity != nil {
+	if capacity := e.Report.Capacity; capacity != nil {
 		before := w.Capacity
 		w.Capacity = *capacity
 		s.capacityChanged(w, before)
@@ -208,14 +208,14 @@
 
 // workerAnswered handles an answer of a worker to a poll; clock is the worker's clock.
 func (s *State) workerAnswered(now time.Time, w *workers.Worker, clock time.Duration) {
-	w.TakeClock(now, clock)
-	w.LastAnswerAt, w.Failures = now, 0
+	w.UpdateClock(now, clock)
+	w.LastAnswerAt, w.FailedPolls = now, 0
 	if !w.HasAnswered {
 		w.HasAnswered, w.FirstAnswerAt = true, now
 		if !w.SilentSince.IsZero() {
 			w.UsableFrom = now // a write of a membership row without the worker may still be in flight
 		}
-		w.Grant(now, s.leaseSpan()+leaseSlack)
+		w.GrantLease(now, s.leaseSpan()+leaseSlack)
 		s.placementDue = true
 	}
 	if !w.SilentSince.IsZero() {
@@ -238,7 +238,7 @@
 	})
 	s.endUnreachedOnHost(now, w)
 	for _, other := range s.workersByID() {
-		if other != w && other.Host == w.Host && other.KnownAt.Before(sentAt) && !other.Gone {
+		if other != w && other.Host == w.Host && other.KnownAt.Before(sentAt) && !other.Ended {
 			s.endIncarnation(now, other, "its host runs "+w.ID)
 		}
 	}
@@ -252,8 +252,8 @@
 		s.addSilence(now, w, now)
 		s.note(Note{Kind: NoteWorkerSilent, Worker: w.ID, Detail: why, AgeMs: now.Sub(w.LastAnswerAt).Milliseconds()})
 	}
-	w.Failures++
-	if w.Failures == silentAfterFailures {
+	w.FailedPolls++
+	if w.FailedPolls == silentAfterFailures {
 		s.workerSilent(now, w)
 	}
 	w.NextPollAt = now.Add(pollRetryPause)
--- a/pkg/process/cell/queries.go
+++ b/pkg/process/cell/queries.go
@@ -52,10 +52,10 @@
 	if j == nil || !s.Leading() || j.Delegated() {
 		return wire.JobPhase_JOB_PHASE_UNSPECIFIED, false
 	}
-	if jobs.IsFinal(j.Durable) {
-		return j.Durable, true
+	if jobs.IsFinal(j.DurablePhase) {
+		return j.DurablePhase, true
 	}
-	if j.Begun {
+	if j.HasStarted {
 		return wire.JobPhase_JOB_PHASE_RUNNING, true
 	}
 	return wire.JobPhase_JOB_PHASE_QUEUED, true
@@ -74,7 +74,7 @@
 	labels := map[string]bool{}
 	l := &wire.CellLoad{SettlesInMs: s.timeToSettle(now).Milliseconds(), Worker: &wire.WorkerSize{}, Leading: s.Leading(), Holds: s.HoldsLeadership(), Cell: s.name, Pending: map[string]int32{}}
 	for _, w := range s.workersByID() {
-		if w.Gone || !w.Listed || w.Leaving {
+		if w.Ended || !w.Listed || w.Leaving {
 			continue
 		}
 		for _, label := range w.Labels {
@@ -84,23 +84,23 @@
 		l.Worker.MemoryMb = max(l.Worker.MemoryMb, w.Capacity.MemoryMB)
 		l.Worker.Accelerators = max(l.Worker.Accelerators, w.Capacity.Accelerators)
 		l.CapacityMillicores += w.Capacity.Millicores
-		l.FreeMillicores += max(0, w.Free().Millicores)
+		l.FreeMillicores += max(0, w.FreeCapacity().Millicores)
 		if w.SilentSince.IsZero() && s.recordedMembers[w.ID] {
-			l.LargestFreeMillicores = max(l.LargestFreeMillicores, w.Free().Millicores)
-			l.LargestLastingMillicores = max(l.LargestLastingMillicores, w.Capacity.Minus(w.Lasting()).Millicores)
+			l.LargestFreeMillicores = max(l.LargestFreeMillicores, w.FreeCapacity().Millicores)
+			l.LargestLastingMillicores = max(l.LargestLastingMillicores, w.Capacity.Minus(w.LastingReserved()).Millicores)
 			s.addFreeCapacity(l, w)
 		}
 	}
 	l.Labels = slices.Sorted(maps.Keys(labels))
 	l.FillerRoomMillicores, l.FillerFreeMillicores = s.harmlessFillerCapacity, s.startableFillerCapacity
 	if withBeliefs {
-		l.Beliefs = encodeBeliefs(s.interference.Own())
+		l.Beliefs = encodeBeliefs(s.interference.OwnBeliefs())
 	}
 	for _, j := range s.jobs {
 		if j.Ended() {
 			continue
 		}
-		if !j.Begun && !j.Delegated() {
+		if !j.HasStarted && !j.Delegated() {
 			l.Pending[j.Spec.GetQueue()]++
 		}
 		for _, u := range j.Units {
@@ -114,7 +114,7 @@
 // lasting task. A worker that is closed for an isolated run counts for lasting tasks only, and only if they may join
 // that run.
 func (s *State) addFreeCapacity(l *wire.CellLoad, w *workers.Worker) {
-	free := w.Free().Millicores
+	free := w.FreeCapacity().Millicores
 	if free <= 0 || s.reservedForLasting[w] {
 		return
 	}
--- a/pkg/process/cell/run_ends.go
+++ b/pkg/process/cell/run_ends.go
@@ -31,21 +31,21 @@
 	r := t.Run(e.Run, w.ID)
 	s.note(Note{
 		Kind: NoteEnd, Job: j.Spec.GetId(), Task: e.Task, Run: e.Run, Worker: w.ID,
-		Detail: endDetail(e.How, r), AgeMs: runAgeMs(now, r),
+		Detail: endDetail(e.Outcome, r), AgeMs: runAgeMs(now, r),
 	})
 	if r != nil {
 		w.Remove(r)
-		t.Drop(r)
+		t.RemoveRun(r)
 		t.WaitingSince, t.InCellSince = now, now
 	}
 	s.endedWithoutCrash(w, t, r)
 	if e.Checkpoint != "" && !t.Done {
 		t.Checkpoint = e.Checkpoint
 	}
-	if !j.Begun {
-		j.Begun = true
+	if !j.HasStarted {
+		j.HasStarted = true
 	}
-	switch e.How {
+	switch e.Outcome {
 	case workers.EndedDone:
 		s.handleSuccess(now, w, t, r)
 	case workers.EndedFailed:
@@ -63,13 +63,13 @@
 	if t := s.taskNamed(e.Task); t != nil && t.Run(e.Run, w.ID) != nil {
 		s.note(Note{
 			Kind: NoteEndPassed, Job: t.Unit.Job.Spec.GetId(), Task: e.Task, Run: e.Run, Worker: w.ID, AgeMs: -1,
-			Detail: fmt.Sprintf("%s, number %d; newest processed number %d", e.How, e.Number, w.LastEnd),
+			Detail: fmt.Sprintf("%s, number %d; newest processed number %d", e.Outcome, e.Number, w.LastEnd),
 		})
 	}
 }
 
 // endDetail describes for the log how a run ended, and at what progress if the run is known.
-func endDetail(how workers.How, r *jobs.Run) string {
+func endDetail(how workers.Outcome, r *jobs.Run) string {
 	if r == nil {
 		return string(how)
 	}
@@ -87,7 +87,7 @@
 // handleSuccess handles a run that ended well: its task is done, or its whole gang.
 func (s *State) handleSuccess(now time.Time, w *workers.Worker, t *jobs.Task, r *jobs.Run) {
 	s.learnRunTime(now, t.Unit, r)
-	if w.Health.Worked() {
+	if w.Health.RunSucceeded() {
 		s.note(Note{Kind: NoteWorkerBack, Worker: w.ID, Detail: "a run ended well", AgeMs: -1})
 	}
 	if t.Unit.Lasting() {
@@ -122,12 +122,12 @@
 // allows, unless the task is lasting.
 func (s *State) handleFailure(now time.Time, w *workers.Worker, t *jobs.Task, run int64) {
 	u := t.Unit
-	if u.FailedAt == nil {
-		u.FailedAt = map[string]bool{}
+	if u.FailedWorkers == nil {
+		u.FailedWorkers = map[string]bool{}
 	}
-	u.FailedAt[w.ID] = true
+	u.FailedWorkers[w.ID] = true
 	t.AvoidWorker = w.ID
-	if len(u.FailedAt) < 2 && w.Health.Failed(u.Name(), now) {
+	if len(u.FailedWorkers) < 2 && w.Health.RunFailed(u.Name(), now) {
 		s.noteQuarantined(w)
 	}
 	if u.Lasting() {
@@ -169,7 +169,7 @@
 func (s *State) enforcesCapacity(service string) bool {
 	if s.manifest != nil {
 		if v, ok := s.manifest.Service(service); ok {
-			return v.Guards
+			return v.GuardsCapacity
 		}
 	}
 	return false
@@ -202,14 +202,14 @@
 // effect.
 func (s *State) stopObsoleteRuns(now time.Time) {
 	for _, w := range s.workersByID() {
-		if w.Gone || !w.SilentSince.IsZero() {
+		if w.Ended || !w.SilentSince.IsZero() {
 			continue
 		}
 		for _, r := range w.Runs {
 			switch {
 			case r.State == jobs.Stopping:
 				s.stopRun(now, w, r, r.StopReason)
-			case r.State == jobs.Sent || r.State == jobs.Unsure:
+			case r.State == jobs.Sent || r.State == jobs.Unanswered:
 				// A stop order that arrives before the start order has no effect.
 			case r.Task.Unit.Job.Ended():
 				s.stopRun(now, w, r, "its job has ended")
@@ -232,12 +232,12 @@
 // handleReply processes what every reply of a worker carries: a reading of its clock, and a refusal.
 func (s *State) handleReply(now time.Time, w *workers.Worker, r workers.Reply) {
 	if r.Clock > 0 {
-		w.TakeClock(now, r.Clock)
+		w.UpdateClock(now, r.Clock)
 	}
 	switch r.Refusal {
 	case workers.RefusedFence:
 		s.emit(StepDown{Why: "worker " + w.ID + " knows a higher epoch"})
-	case workers.RefusedIncarnation:
+	case workers.RefusedOtherWorker:
 		s.endIncarnation(now, w, "another worker answers at its address")
 	case workers.RefusedRestarted:
 		s.pollFailed(now, w, "another incarnation answers under its id")
--- a/pkg/process/cell/runtime_estimates.go
+++ b/pkg/process/cell/runtime_estimates.go
@@ -31,14 +31,14 @@
 
 // refreshEstimate brings the estimates of a job's longest chains of steps up to date.
 func (s *State) refreshEstimate(now time.Time, j *jobs.Job) {
-	if !s.enabled(LearnedTimes) || (!j.EstimatedAt().IsZero() && now.Sub(j.EstimatedAt()) < estimateValidFor) {
+	if !s.enabled(LearnedTimes) || (!j.ChainsEstimatedAt().IsZero() && now.Sub(j.ChainsEstimatedAt()) < estimateValidFor) {
 		return
 	}
-	j.Estimate(now, func(step *wire.StepSpec) time.Duration {
+	j.EstimateChains(now, func(step *wire.StepSpec) time.Duration {
 		if step.GetLasting() {
 			return 0
 		}
-		return s.runtimes.Step(j.Spec.GetQueue(), declaredTime(step), int(step.GetCount()))
+		return s.runtimes.StepTime(j.Spec.GetQueue(), declaredTime(step), int(step.GetCount()))
 	})
 }
 
@@ -47,5 +47,5 @@
 	if !s.enabled(LearnedTimes) {
 		return declaredTime(u.Spec)
 	}
-	return s.runtimes.Task(u.Job.Spec.GetQueue(), declaredTime(u.Spec))
+	return s.runtimes.TaskTime(u.Job.Spec.GetQueue(), declaredTime(u.Spec))
 }
--- a/pkg/process/cell/settle.go
+++ b/pkg/process/cell/settle.go
@@ -24,7 +24,7 @@
 	if confirmed.Before(s.lastLeaseEndAt(w.ID)) {
 		return false
 	}
-	return !w.Clocked() || (!w.SilentSince.IsZero() && w.LeaseOver(confirmed))
+	return !w.HasClock() || (!w.SilentSince.IsZero() && w.LeaseExpired(confirmed))
 }
 
 // settle ends the wait for members that have not answered. It has no effect while any task may still run at one of
@@ -72,10 +72,10 @@
 				t.Settled, changed = true, true
 				settled++
 				t.MayHaveRun = t.MayHaveRun || s.mayHaveRunAtUnreached(t)
-				if !s.isolatedRunLost(now, t) && len(t.Runs) == 0 && !t.Done && t.DelegatedTo == "" && u.MayHaveBegun() && !j.Ended() {
+				if !s.isolatedRunLost(now, t) && len(t.Runs) == 0 && !t.Done && t.DelegatedTo == "" && u.MayHaveStarted() && !j.Ended() {
 					mayHaveRun = append(mayHaveRun, t)
 				}
-				if len(t.Runs) == 0 && j.Begun {
+				if len(t.Runs) == 0 && j.HasStarted {
 					listedNowhere++
 				}
 			}
--- a/pkg/process/cell/state.go
+++ b/pkg/process/cell/state.go
@@ -320,7 +320,7 @@
 	case PeerLoad:
 		s.peerLoads[e.Load.GetCell()] = peerLoad{load: e.Load, receivedAt: now}
 		if s.enabled(SharedBeliefs) && len(e.Load.GetBeliefs()) > 0 && (e.Load.GetCell() != s.name || s.phase == following) {
-			s.interference.Hear(e.Load.GetCell(), decodeBeliefs(e.Load))
+			s.interference.SetPeerBeliefs(e.Load.GetCell(), decodeBeliefs(e.Load))
 		}
 	}
 }
@@ -459,7 +459,7 @@
 		}
 	}
 	for id, j := range s.jobs {
-		if j.Ended() && j.Durable == j.Phase && now.Sub(j.EndedAt) > s.bounds.Retention {
+		if j.Ended() && j.DurablePhase == j.Phase && now.Sub(j.EndedAt) > s.bounds.Retention {
 			s.writer(rows.JobPart(id)).expired[id] = j
 			delete(s.jobs, id)
 		}
--- a/pkg/process/cell/takeover.go
+++ b/pkg/process/cell/takeover.go
@@ -27,11 +27,11 @@
 // that may still act.
 func NewLeadershipGained(now time.Time, epoch int64, change election.Change) LeadershipGained {
 	led := LeadershipGained{Epoch: epoch, LeasesEndAt: now, Predecessors: map[string]time.Time{}}
-	if change.Before.GetReleased() {
+	if change.ReplacedRow.GetReleased() {
 		led.LeasesEndAt = now.Add(maxLeaseDuration)
 	}
 	for _, p := range change.Predecessors {
-		if until := now.Add(p.Grants + maxLeaseDuration); until.After(led.Predecessors[p.Holder]) {
+		if until := now.Add(p.MayGrantFor + maxLeaseDuration); until.After(led.Predecessors[p.Holder]) {
 			led.Predecessors[p.Holder] = until
 		}
 	}
@@ -162,7 +162,7 @@
 func (s *State) restoreJob(now time.Time, e Loaded, l LoadedJob) *jobs.Job {
 	age := e.StoreNow - time.Duration(l.Spec.GetAcceptedStoreMs())*time.Millisecond
 	j := jobs.Restore(l.Spec, l.Progress, l.Recorded, now.Add(-max(0, age)), e.Wall)
-	j.Arrived(now)
+	j.MarkArrived(now)
 	s.restoreEvidence(now, j)
 	if j.Ended() {
 		j.EndedAt = now
@@ -243,7 +243,7 @@
 	}
 	age := e.StoreNow - time.Duration(e.Spec.GetAcceptedStoreMs())*time.Millisecond
 	j := jobs.New(e.Spec, now.Add(-max(0, age)))
-	j.Arrived(now)
+	j.MarkArrived(now)
 	s.jobs[id] = j
 	s.restoreEvidence(now, j)
 	if !s.newTasksSettled() {
--- a/pkg/process/cell/takeover_test.go
+++ b/pkg/process/cell/takeover_test.go
@@ -78,7 +78,7 @@
 					v.state.Take(v.now, cell.PollAnswered{Worker: e.To.ID, SentAt: v.now, Err: fault.New(fault.Unknown, e.To.ID, "no answer", "")})
 				}
 			case cell.SendStop:
-				v.active, v.ended = nil, []workers.End{{Number: 1, Task: e.Stop.Task, Run: e.Stop.Run, How: workers.EndedStopped}}
+				v.active, v.ended = nil, []workers.End{{Number: 1, Task: e.Stop.Task, Run: e.Stop.Run, Outcome: workers.EndedStopped}}
 			case cell.SendStart:
 				v.starts = append(v.starts, e)
 			}
--- a/pkg/process/cell/testcell_test.go
+++ b/pkg/process/cell/testcell_test.go
@@ -48,7 +48,7 @@
 var testManifest = manifest.New(1, []manifest.Queue{
 	{Name: "offers", Service: "quotes", Priority: 2, MaxAttempts: 3, Stretch: 2, Slack: time.Second},
 	{Name: "watches", Service: "quotes", MaxAttempts: 3, Stretch: 2, Slack: time.Second},
-}, []manifest.Service{{Name: "quotes", Guards: true}}, manifest.Limits{})
+}, []manifest.Service{{Name: "quotes", GuardsCapacity: true}}, manifest.Limits{})
 
 // newEmptyCell returns a cell whose leader has loaded the table and polled the workers; nothing runs.
 func newEmptyCell() *testCell {
@@ -147,7 +147,7 @@
 				continue
 			}
 			b.version++
-			b.state.Take(b.now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: b.version}})
+			b.state.Take(b.now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.CommitResult{Version: b.version}})
 		}
 	}
 }
@@ -171,13 +171,13 @@
 }
 
 // finish ends the run of a task; its worker lists the end from then on.
-func (b *testCell) finish(task string, how workers.How) {
+func (b *testCell) finish(task string, how workers.Outcome) {
 	r := b.reports[b.workerOf[task]]
 	for i, a := range r.Active {
 		if a.Task == task {
 			b.ends++
 			r.Active = append(r.Active[:i:i], r.Active[i+1:]...)
-			r.Ended = append(r.Ended, workers.End{Number: b.ends, Task: task, Run: a.Run, How: how})
+			r.Ended = append(r.Ended, workers.End{Number: b.ends, Task: task, Run: a.Run, Outcome: how})
 			return
 		}
 	}
--- a/pkg/process/cell/unobserved_crashes.go
+++ b/pkg/process/cell/unobserved_crashes.go
@@ -93,7 +93,7 @@
 	if len(ended) == 0 || s.unsafe.NoBlame || s.unsafe.NoUnseen {
 		return
 	}
-	withoutRun = slices.DeleteFunc(withoutRun, func(t *jobs.Task) bool { return t.IsolatedBefore })
+	withoutRun = slices.DeleteFunc(withoutRun, func(t *jobs.Task) bool { return t.IsolatedByRecord })
 	mayHaveRun := map[string][]*jobs.Task{}
 	for _, t := range withoutRun {
 		first := slices.IndexFunc(ended, func(id string) bool {
@@ -126,7 +126,7 @@
 		if w := s.workers[id]; e.GetLeaving() || (w != nil && w.Leaving) {
 			continue
 		}
-		s.unreachedMembers[id] = unreachedMember{e, slices.DeleteFunc(slices.Clone(withoutRun), func(t *jobs.Task) bool { return t.IsolatedBefore || !mayHaveRunAt(e, t) })}
+		s.unreachedMembers[id] = unreachedMember{e, slices.DeleteFunc(slices.Clone(withoutRun), func(t *jobs.Task) bool { return t.IsolatedByRecord || !mayHaveRunAt(e, t) })}
 	}
 }
 
--- a/pkg/process/cell/unobserved_crashes_test.go
+++ b/pkg/process/cell/unobserved_crashes_test.go
@@ -64,7 +64,7 @@
 				h.state.Take(h.now, cell.PollAnswered{Worker: e.To.ID, SentAt: h.now, Report: workers.Report{Born: born, Active: h.active, Clock: h.now.Sub(time.Unix(900, 0))}})
 			case cell.WriteProgress:
 				if !h.tableDown {
-					h.state.Take(h.now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.Committed{Version: 9}})
+					h.state.Take(h.now, cell.WriteAnswered{Part: e.Part, Serial: e.Serial, Committed: table.CommitResult{Version: 9}})
 				}
 			}
 		}
--- a/pkg/process/cell/wait_reasons.go
+++ b/pkg/process/cell/wait_reasons.go
@@ -115,7 +115,7 @@
 		return WaitCrashUnrecorded, fits.free
 	case s.needsIsolation(t):
 		return WaitIsolatedRun, fits.free
-	case fits.usable > 0 && s.enabled(OrderWindow) && !s.startWindow.Room():
+	case fits.usable > 0 && s.enabled(OrderWindow) && !s.startWindow.MaySend():
 		return WaitOrdersHeld, fits.free
 	case fits.reserved > 0 && fits.usable == 0:
 		return WaitWorkerKept, fits.free
@@ -147,12 +147,12 @@
 func (s *State) fitsHere(now time.Time, t *jobs.Task) localFits {
 	c := localFits{}
 	u, service := t.Unit, s.serviceOf(t.Unit.Job)
-	size := workers.Reserved(u)
+	size := workers.ReservedSize(u)
 	for _, w := range s.workersByID() {
-		if w.Gone || !w.Listed || w.Leaving || w.Service != service || !w.HasLabel(u.Spec.GetLabel()) || !size.Fits(w.Free()) {
+		if w.Ended || !w.Listed || w.Leaving || w.Service != service || !w.HasLabel(u.Spec.GetLabel()) || !size.Fits(w.FreeCapacity()) {
 			continue
 		}
-		n := max(1, w.Free().Millicores/max(1, size.Millicores))
+		n := max(1, w.FreeCapacity().Millicores/max(1, size.Millicores))
 		c.free += n
 		switch {
 		case s.closedWorkers[w]:
--- a/pkg/process/cell/write_progress.go
+++ b/pkg/process/cell/write_progress.go
@@ -186,7 +186,7 @@
 	id := j.Spec.GetId()
 	key := rows.ProgressKey(s.name, id)
 	row := rows.Row(key, j.Progress())
-	tx.Conditions = append(tx.Conditions, table.Condition{Key: key, Version: j.Recorded})
+	tx.Conditions = append(tx.Conditions, table.Condition{Key: key, Version: j.ProgressVersion})
 	tx.Puts = append(tx.Puts, row)
 	sent := sentJob{job: j, value: row.Value, final: j.Ended(), delegations: len(s.pendingDelegations[j])}
 	sent.isolated = j.IsolationsWanted()
@@ -194,7 +194,7 @@
 		tx.Puts = append(tx.Puts, rows.Row(rows.SpecKey(spec.GetCell(), id), spec))
 		sent.notifications = append(sent.notifications, NotifyLeader{Cell: spec.GetCell(), Lent: spec})
 	}
-	if report := j.Report(); report != nil {
+	if report := j.DelegationReport(); report != nil {
 		tx.Puts = append(tx.Puts, rows.Row(rows.ReturnKey(report.GetHome(), id, s.name), report))
 		sent.notifications = append(sent.notifications, NotifyLeader{Cell: report.GetHome(), Returned: report})
 	}
@@ -263,7 +263,7 @@
 func (s *State) removeExpired(tx *table.Transaction, j *jobs.Job) sentJob {
 	id := j.Spec.GetId()
 	key := rows.ProgressKey(s.name, id)
-	tx.Conditions = append(tx.Conditions, table.Condition{Key: key, Version: j.Recorded})
+	tx.Conditions = append(tx.Conditions, table.Condition{Key: key, Version: j.ProgressVersion})
 	tx.Removes = append(tx.Removes, key)
 	if j.Delegated() {
 		// The home cell may have cancelled the job after it had ended here.
@@ -325,9 +325,9 @@
 // writeConflicted handles a transaction that was refused because a row's version was not as required. It
 // compares the rows in the table with the sent ones: where they are equal, an earlier try was committed
 // and its answer lost, so the job counts as written.
-func (s *State) writeConflicted(now time.Time, p *partWriter, c table.Committed) {
+func (s *State) writeConflicted(now time.Time, p *partWriter, c table.CommitResult) {
 	found := map[string]table.Row{}
-	for _, r := range c.Found {
+	for _, r := range c.Current {
 		if r.Table == rows.FenceTable {
 			if r.Version != p.fence {
 				s.emit(StepDown{Why: "another leader has set the fence of " + p.name})
@@ -346,14 +346,14 @@
 			s.markJobDurable(sent, r.Version)
 			continue
 		}
-		if r.Version != sent.job.Recorded {
+		if r.Version != sent.job.ProgressVersion {
 			// An earlier try took effect and its answer was lost: under this leader's fence no other
 			// process can have written the row.
 			s.note(Note{
 				Kind: NoteRecordFailed, Job: id, Code: fault.Conflict, AgeMs: -1,
-				Detail: fmt.Sprintf("found row version %d, expected %d", r.Version, sent.job.Recorded),
+				Detail: fmt.Sprintf("found row version %d, expected %d", r.Version, sent.job.ProgressVersion),
 			})
-			sent.job.Recorded = r.Version
+			sent.job.ProgressVersion = r.Version
 		}
 		p.requeue(id, sent)
 	}
@@ -381,7 +381,7 @@
 // the isolated runs that were recorded.
 func (s *State) markJobDurable(sent sentJob, version int64) {
 	j := sent.job
-	j.Recorded = version
+	j.ProgressVersion = version
 	if rest := s.pendingDelegations[j]; sent.delegations < len(rest) {
 		s.pendingDelegations[j] = rest[sent.delegations:]
 	} else {
@@ -396,8 +396,8 @@
 			s.placementDue = true
 		}
 	}
-	if sent.final && j.Durable != j.Phase {
-		j.Durable = j.Phase
+	if sent.final && j.DurablePhase != j.Phase {
+		j.DurablePhase = j.Phase
 		s.note(Note{Kind: NoteJobRecorded, Job: j.Spec.GetId(), Detail: j.Phase.String(), AgeMs: -1})
 	}
 }
--- a/pkg/process/control/control.go
+++ b/pkg/process/control/control.go
@@ -87,16 +87,16 @@
 // Status returns the latest snapshot.
 func (l *Loop) Status() *Status { return l.status.Load() }
 
-// Leads returns whether this process led its hall at the time of the latest snapshot.
-func (l *Loop) Leads() bool { return l.Status().Leading }
+// Leading returns whether this process led its hall at the time of the latest snapshot.
+func (l *Loop) Leading() bool { return l.Status().Leading }
 
-// Tell queues an event for the control goroutine. It blocks while the queue is full.
-func (l *Loop) Tell(e hall.Event) {
+// Post queues an event for the control goroutine. It blocks while the queue is full.
+func (l *Loop) Post(e hall.Event) {
 	l.events <- func(now time.Time) []hall.Effect { return l.state.Step(now, e) }
 }
 
-// Wake makes the control goroutine read the hall's inbox at once if this process leads the hall.
-func (l *Loop) Wake() {
+// ReadInboxNow makes the control goroutine read the hall's inbox at once if this process leads the hall.
+func (l *Loop) ReadInboxNow() {
 	l.events <- func(now time.Time) []hall.Effect {
 		l.state.Wake()
 		return l.state.Step(now, hall.Tick{})
@@ -124,8 +124,8 @@
 	}
 }
 
-// Facts returns the result of Explain in the wire format, for another entry host.
-func (l *Loop) Facts(ctx context.Context, name string) ([]*wire.Fact, error) {
+// ExplainForPeer returns the result of Explain in the wire format, for another entry host.
+func (l *Loop) ExplainForPeer(ctx context.Context, name string) ([]*wire.Fact, error) {
 	explained, err := l.Explain(ctx, name)
 	if err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 		Leading:  l.state.Leading(),
 		Leader:   l.state.Leader(),
 		Counts:   l.state.Counts(),
-		Released: l.state.Released(),
+		Released: l.state.DrainComplete(),
 		At:       time.Now(),
 	})
 }
@@ -224,7 +224,7 @@
 var loggedAtInfo = map[hall.Reason]bool{
 	hall.ClaimedLeadership: true, hall.LostLeadership: true, hall.ReleasedLeadership: true,
 	hall.LoadedState: true, hall.TenureOver: true, hall.WorkerReached: true, hall.WorkerLost: true,
-	hall.WorkerRestarted: true, hall.WorkerAside: true, hall.WorkerBack: true, hall.CommitConflict: true,
+	hall.WorkerRestarted: true, hall.WorkerQuarantined: true, hall.WorkerQuarantineLifted: true, hall.CommitConflict: true,
 }
 
 // commit sends a transaction to the table. SentAt is taken before the call, since a leader counts its tenure from then.
@@ -294,7 +294,7 @@
 }
 
 // loadJobs reads the jobs with the given keys, with their revisions. Jobs that the table does not hold are left out.
-func (l *Loop) loadJobs(ctx context.Context, keys map[string]bool) ([]hall.JobAt, error) {
+func (l *Loop) loadJobs(ctx context.Context, keys map[string]bool) ([]hall.JobAtRevision, error) {
 	list := make([]string, 0, len(keys))
 	for key := range keys {
 		list = append(list, rows.Job(key))
@@ -303,13 +303,13 @@
 	if err != nil {
 		return nil, err
 	}
-	jobs := make([]hall.JobAt, 0, len(list))
+	jobs := make([]hall.JobAtRevision, 0, len(list))
 	for _, r := range reply.GetRows() {
 		j := &wire.JobRow{}
 		if err := rows.Decode(r, j); err != nil {
 			return nil, err
 		}
-		jobs = append(jobs, hall.JobAt{Row: j, Revision: r.GetRevision()})
+		jobs = append(jobs, hall.JobAtRevision{Row: j, Revision: r.GetRevision()})
 	}
 	return jobs, nil
 }
@@ -337,7 +337,7 @@
 	if err != nil {
 		return hall.InboxRead{Hall: name, Err: err}
 	}
-	byKey := make(map[string]hall.JobAt, len(jobs))
+	byKey := make(map[string]hall.JobAtRevision, len(jobs))
 	for _, j := range jobs {
 		byKey[j.Row.GetKey()] = j
 	}
--- a/pkg/process/current/current.go
+++ b/pkg/process/current/current.go
@@ -78,8 +78,8 @@
 	f(s.Current())
 }
 
-// Unsafe sets whether a lower version may replace a higher one, for a test that shows why this must not happen.
-func (s *Store) Unsafe(reverts bool) { s.allowOlder = reverts }
+// AllowOlderVersions sets whether a lower version may replace a higher one, for a test that shows why this must not happen.
+func (s *Store) AllowOlderVersions(reverts bool) { s.allowOlder = reverts }
 
 // Current returns the settings tree in force. A request calls it once and uses that tree until it ends.
 func (s *Store) Current() *settings.Tree { return s.tree.Load() }
@@ -95,8 +95,8 @@
 	return "started"
 }
 
-// Age returns the time since the table was last read, or -1 if it has not been read yet.
-func (s *Store) Age(now time.Time) time.Duration {
+// ConfirmedAge returns the time since the table was last read, or -1 if it has not been read yet.
+func (s *Store) ConfirmedAge(now time.Time) time.Duration {
 	read := s.tableReadAtMS.Load()
 	if read == 0 {
 		return -1
--- a/pkg/process/daemon/config.go
+++ b/pkg/process/daemon/config.go
@@ -33,8 +33,8 @@
 	{Name: "control", Example: `"10.0.0.1:8082"`, Required: true, Help: "Where other entry hosts are served over gRPC.", Set: configfile.Address(func(c *Config) *string { return &c.Control })},
 	{Name: "platform", Example: `"10.0.0.9:7000"`, Required: true, Help: "Where the platform's table service and host list are.", Set: configfile.Address(func(c *Config) *string { return &c.Platform })},
 	{Name: "entryHosts", Example: `9`, Help: "How many entry hosts share the connections of each backend server (default 9).", Set: configfile.Value(func(c *Config) *int { return &c.EntryHosts })},
-	{Name: "drainWait", Example: `"5s"`, Help: "How long a planned stop waits for the balancer before it stops taking calls (default 5s).", Set: configfile.Span(func(c *Config) *time.Duration { return &c.DrainWait })},
-	{Name: "drainLimit", Example: `"2m"`, Help: "How long a planned stop waits for what is in flight (default 2m).", Set: configfile.Span(func(c *Config) *time.Duration { return &c.DrainLimit })},
+	{Name: "drainWait", Example: `"5s"`, Help: "How long a planned stop waits for the balancer before it stops taking calls (default 5s).", Set: configfile.Duration(func(c *Config) *time.Duration { return &c.DrainWait })},
+	{Name: "drainLimit", Example: `"2m"`, Help: "How long a planned stop waits for what is in flight (default 2m).", Set: configfile.Duration(func(c *Config) *time.Duration { return &c.DrainLimit })},
 	{Name: "logLevel", Example: `"info"`, Help: "debug, info, warning or error (default info).", Set: configfile.Value(func(c *Config) *string { return &c.LogLevel })},
 }
 
--- a/pkg/process/daemon/daemon.go
+++ b/pkg/process/daemon/daemon.go
@@ -58,9 +58,9 @@
 	operatorsAPI *operators.Server
 	hosts        atomic.Pointer[[]*wire.Host]
 
-	callersServer   *parts.HTTP
-	operatorsServer *parts.HTTP
-	peersServer     *parts.GRPC
+	callersServer   *parts.HTTPServer
+	operatorsServer *parts.HTTPServer
+	peersServer     *parts.GRPCServer
 }
 
 // Option is an option of New.
@@ -80,8 +80,8 @@
 	NoMonotonic bool
 }
 
-// WithUnsafe disables safeguards, for tests that show that each safeguard is needed.
-func WithUnsafe(u Unsafe) Option { return func(o *options) { o.unsafe = u } }
+// WithoutSafeguards disables safeguards, for tests that show that each safeguard is needed.
+func WithoutSafeguards(u Unsafe) Option { return func(o *options) { o.unsafe = u } }
 
 // New assembles an entry host and opens its ports. It returns an error if a port can't be opened.
 func New(config Config, log *logrus.Logger, opts ...Option) (*Daemon, error) {
@@ -100,14 +100,14 @@
 	}
 	d.hosts.Store(&[]*wire.Host{})
 	keys := binding.New(config.Name, now)
-	d.peers = peer.NewPeers(config.Name, config.Hall, func() { d.loop.Wake() })
+	d.peers = peer.NewPeers(config.Name, config.Hall, func() { d.loop.ReadInboxNow() })
 	store, err := current.NewStore(d.table, d.peers, d.log, d.metrics)
 	if err != nil {
 		return nil, err
 	}
 	d.store = store
-	store.Unsafe(o.unsafe.NoMonotonic)
-	state := hall.New(config.Hall, holder, config.Control, hall.WithUnsafe(o.unsafe.Hall), hall.WithOthers(otherHalls(config)))
+	store.AllowOlderVersions(o.unsafe.NoMonotonic)
+	state := hall.New(config.Hall, holder, config.Control, hall.WithUnsafe(o.unsafe.Hall), hall.WithOtherHalls(otherHalls(config)))
 	d.loop = control.NewLoop(config.Hall, state, d.table, worker.NewClient(config.Name), d.log, d.metrics)
 	d.gateway = gateway.New(gateway.Config{
 		Hall: config.Hall, Settings: store, Peers: d.peers, Table: d.table, Keys: keys,
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	d.peersServer = &parts.GRPC{Server: peersServer, Listener: listener}
+	d.peersServer = &parts.GRPCServer{Server: peersServer, Listener: listener}
 	return nil
 }
 
@@ -165,7 +165,7 @@
 
 // Run runs the entry host until ctx ends, and then does a planned stop. It returns early if the supervisor ends.
 func (d *Daemon) Run(ctx context.Context) error {
-	d.store.Watch(func(t *settings.Tree) { d.loop.Tell(hall.SettingsChanged{Tree: t}) })
+	d.store.Watch(func(t *settings.Tree) { d.loop.Post(hall.SettingsChanged{Tree: t}) })
 	// A panic ends the process, since it may have left the control state half changed. Another entry host takes over.
 	supervisor := suture.New("wrenferryd", suture.Spec{PassThroughPanics: true, EventHook: func(e suture.Event) {
 		metrics.GetOrRegisterCounter("supervisor.events", d.metrics).Inc(1)
@@ -201,7 +201,7 @@
 func (d *Daemon) plannedStop() {
 	d.log.Info("planned stop started")
 	d.operatorsAPI.SetReady(false)
-	d.loop.Tell(hall.Drain{})
+	d.loop.Post(hall.Drain{})
 	time.Sleep(d.config.DrainWait)
 	d.gateway.Drain()
 	ctx, cancel := context.WithTimeout(context.Background(), d.config.DrainLimit)
@@ -216,12 +216,12 @@
 }
 
 // newServer opens a port and returns an HTTP server for it. The name of the port stands in the error.
-func newServer(name, address string, handler http.Handler) (*parts.HTTP, error) {
+func newServer(name, address string, handler http.Handler) (*parts.HTTPServer, error) {
 	listener, err := parts.Listen(name, address)
 	if err != nil {
 		return nil, err
 	}
-	return &parts.HTTP{Listener: listener, Server: &http.Server{
+	return &parts.HTTPServer{Listener: listener, Server: &http.Server{
 		Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout,
 	}}, nil
 }
@@ -263,5 +263,5 @@
 	d.hosts.Store(&list)
 	d.peers.SetHosts(time.Now(), list)
 	d.gateway.SetHosts(list)
-	d.loop.Tell(hall.HostsListed{Hosts: list})
+	d.loop.Post(hall.HostsListed{Hosts: list})
 }
--- a/pkg/process/election/election.go
+++ b/pkg/process/election/election.go
@@ -52,11 +52,11 @@
 
 // Self describes this process.
 type Self struct {
-	// Life identifies this incarnation of the process.
-	Life    string
-	Host    string
-	Hall    string
-	Address string
+	// Incarnation identifies this incarnation of the process.
+	Incarnation string
+	Host        string
+	Hall        string
+	Address     string
 	// Delay spreads the claims of candidates that have read the same row. It is in [0, 150 ms).
 	Delay time.Duration
 	// Since is the start of this process.
@@ -106,28 +106,28 @@
 // Write is a leadership row to write on condition that the table still holds Version. Roster is written
 // in the same transaction; nil leaves the stored roster as it is.
 type Write struct {
-	Row     *wire.CellLead
-	Version int64
-	Roster  *wire.CellRoster
+	Row        *wire.CellLead
+	Version    int64
+	Membership *wire.CellRoster
 }
 
 // Change is a change of the role; the zero Change is none.
 type Change struct {
-	// Led is set when this process becomes the leader. Before is the row that its claim replaced, or nil.
-	Led    bool
-	Before *wire.CellLead
+	// Gained is set when this process becomes the leader. Before is the row that its claim replaced, or nil.
+	Gained      bool
+	ReplacedRow *wire.CellLead
 	// Predecessors are the earlier leaders that are not known to have ended.
 	Predecessors []Predecessor
 	// Lost is set when this process stops leading. Why is the reason.
-	Lost bool
-	Why  string
+	Lost   bool
+	Reason string
 }
 
 // Role returns the present role of this process.
 func (s *Seat) Role() Role { return s.role }
 
-// Claiming returns whether this process has sent a claim whose outcome it doesn't know yet.
-func (s *Seat) Claiming() bool { return s.role == Candidate }
+// ClaimPending returns whether this process has sent a claim whose outcome it doesn't know yet.
+func (s *Seat) ClaimPending() bool { return s.role == Candidate }
 
 // RenewedAt returns the time at which the last claim or renewal that took effect was sent. This process
 // led the cell at that time.
@@ -147,26 +147,26 @@
 // storeTime returns the table's clock at now, extrapolated from the last reading.
 func (s *Seat) storeTime(now time.Time) time.Duration { return s.storeTimeAtRead + now.Sub(s.readAt) }
 
-// Fresh returns whether the last known row names a leader that has renewed recently and has not released the seat.
-func (s *Seat) Fresh(now time.Time) bool {
+// RenewalIsRecent returns whether the last known row names a leader that has renewed recently and has not released the seat.
+func (s *Seat) RenewalIsRecent(now time.Time) bool {
 	return s.row != nil && !s.row.GetReleased() && s.RenewalAge(now) < overdueAfter
 }
 
-// TakeRead handles a reading of the row; a nil row means that the table has none. store is the table's
+// RowRead handles a reading of the row; a nil row means that the table has none. store is the table's
 // clock. A reading is ignored if a write is pending, if it was requested before the last write was sent,
 // or if its version is older than the known one.
-func (s *Seat) TakeRead(now, askedAt time.Time, row *wire.CellLead, version int64, store time.Duration) Change {
+func (s *Seat) RowRead(now, askedAt time.Time, row *wire.CellLead, version int64, store time.Duration) Change {
 	if s.writePending || askedAt.Before(s.sentAt) || version < s.version {
 		return Change{}
 	}
 	s.mustReadRow = false
 	before := s.row
 	s.row, s.version, s.readAt, s.storeTimeAtRead = row, version, now, store
-	mine := row != nil && row.GetHolder() == s.self.Life && !row.GetReleased()
+	mine := row != nil && row.GetHolder() == s.self.Incarnation && !row.GetReleased()
 	switch {
 	case s.role == Leader && !mine:
 		s.role = Follower
-		return Change{Lost: true, Why: "the leadership row names another leader"}
+		return Change{Lost: true, Reason: "the leadership row names another leader"}
 	case s.role == Candidate && mine && row.GetEpoch() == s.sentRow.GetEpoch():
 		return s.becomeLeader(now, s.sentAt, before)
 	case s.role == Leader && mine && s.sentRow != nil && row.GetRenewedStoreMs() == s.sentRow.GetRenewedStoreMs():
@@ -182,33 +182,33 @@
 func (s *Seat) becomeLeader(now, claimSentAt time.Time, replaced *wire.CellLead) Change {
 	s.role, s.renewedAt, s.handoverOffered, s.releaseRequested = Leader, claimSentAt, false, false
 	s.writtenRoster, s.predecessorsSettled, s.endedPredecessors = nil, false, nil
-	return Change{Led: true, Before: replaced, Predecessors: s.predecessors(now)}
+	return Change{Gained: true, ReplacedRow: replaced, Predecessors: s.predecessors(now)}
 }
 
-// Settled records that all runs started by predecessors are known or have certainly ended. Later renewals name no
+// PredecessorsSettled records that all runs started by predecessors are known or have certainly ended. Later renewals name no
 // predecessors.
-func (s *Seat) Settled() { s.predecessorsSettled = true }
+func (s *Seat) PredecessorsSettled() { s.predecessorsSettled = true }
 
 // Expire ends the leadership if the last renewal is older than Tenure.
 func (s *Seat) Expire(now time.Time) Change {
 	if s.role == Leader && now.Sub(s.renewedAt) > Tenure {
 		s.role = Follower
-		return Change{Lost: true, Why: "no renewal within the tenure"}
+		return Change{Lost: true, Reason: "no renewal within the tenure"}
 	}
 	return Change{}
 }
 
-// Want records that the present leader has asked this process to take the seat that it is releasing. A
+// AcceptHandover records that the present leader has asked this process to take the seat that it is releasing. A
 // released seat is then claimed at once.
-func (s *Seat) Want() { s.handoverOffered = true }
+func (s *Seat) AcceptHandover() { s.handoverOffered = true }
 
 // Release makes the next write give the seat up.
 func (s *Seat) Release() { s.releaseRequested = true }
 
-// Next returns the write that is due, or nil. roster lists the workers that may hold runs, or is nil while
+// NextWrite returns the write that is due, or nil. roster lists the workers that may hold runs, or is nil while
 // they are not known. held is the number of other seats that this process holds. A process that is leaving
 // claims no seat.
-func (s *Seat) Next(now time.Time, roster []*wire.RosterEntry, held int, leaving bool) *Write {
+func (s *Seat) NextWrite(now time.Time, roster []*wire.RosterEntry, held int, leaving bool) *Write {
 	if s.writePending || s.mustReadRow || s.readAt.IsZero() {
 		return nil
 	}
@@ -219,7 +219,7 @@
 		return nil
 	}
 	row := &wire.CellLead{
-		Cell: s.cell, Epoch: s.row.GetEpoch() + 1, Holder: s.self.Life, Host: s.self.Host, Hall: s.self.Hall,
+		Cell: s.cell, Epoch: s.row.GetEpoch() + 1, Holder: s.self.Incarnation, Host: s.self.Host, Hall: s.self.Hall,
 		Address: s.self.Address, RenewedStoreMs: s.storeTime(now).Milliseconds(), Earlier: predecessorsOfSuccessor(s.row, s.storeTime(now)),
 	}
 	row.EarlierStoreMs = latestUntil(row.GetEarlier())
@@ -298,22 +298,22 @@
 	}
 }
 
-// AskYield returns whether to ask the present leader to hand the seat over: the leader is in another hall,
+// ShouldRequestHandover returns whether to ask the present leader to hand the seat over: the leader is in another hall,
 // and this host is in the seat's own hall and has been up for longer than handoverRequestWait.
-func (s *Seat) AskYield(now time.Time) bool {
+func (s *Seat) ShouldRequestHandover(now time.Time) bool {
 	return s.role == Follower && s.self.Hall == s.hall && s.row != nil && s.row.GetHall() != s.hall &&
-		s.Fresh(now) && now.Sub(s.self.Since) > handoverRequestWait
+		s.RenewalIsRecent(now) && now.Sub(s.self.Since) > handoverRequestWait
 }
 
 // startWrite records a pending write and returns it.
 func (s *Seat) startWrite(now time.Time, row *wire.CellLead, roster *wire.CellRoster) *Write {
 	s.writePending, s.sentAt, s.sentRow, s.sentRoster = true, now, row, roster
-	return &Write{Row: row, Version: s.version, Roster: roster}
+	return &Write{Row: row, Version: s.version, Membership: roster}
 }
 
-// TakeWritten handles the outcome of a write: the row's new version, or 0 if the write failed or its outcome
+// RowWritten handles the outcome of a write: the row's new version, or 0 if the write failed or its outcome
 // is unknown. After 0, the next reading of the row shows the outcome.
-func (s *Seat) TakeWritten(now time.Time, version int64) Change {
+func (s *Seat) RowWritten(now time.Time, version int64) Change {
 	s.writePending = false
 	if version == 0 {
 		s.mustReadRow = true
@@ -328,7 +328,7 @@
 	switch {
 	case s.sentRow.GetReleased():
 		s.role, s.releaseRequested = Follower, false
-		return Change{Lost: true, Why: "released"}
+		return Change{Lost: true, Reason: "released"}
 	case s.role == Candidate:
 		return s.becomeLeader(now, s.sentAt, before)
 	default:
