--- a/pkg/process/election/election_test.go
+++ b/pkg/process/election/election_test.go
@@ -18,16 +18,16 @@
 func storeAt(ms int) time.Duration { return time.Hour + time.Duration(ms)*time.Millisecond }
 
 func newSeat(host string) *election.Seat {
-	return election.New("cell", "hall", election.Self{Life: host + "/1", Host: host, Hall: "hall", Address: host, Since: t0})
+	return election.New("cell", "hall", election.Self{Incarnation: host + "/1", Host: host, Hall: "hall", Address: host, Since: t0})
 }
 
 // lead makes a seat win the election while the table has no row.
 func lead(t *testing.T, s *election.Seat) {
 	t.Helper()
-	s.TakeRead(at(0), at(0), nil, 0, storeAt(0))
-	must.NotNil(t, s.Next(at(0), nil, 0, false))
-	change := s.TakeWritten(at(5), 1)
-	must.True(t, change.Led)
+	s.RowRead(at(0), at(0), nil, 0, storeAt(0))
+	must.NotNil(t, s.NextWrite(at(0), nil, 0, false))
+	change := s.RowWritten(at(5), 1)
+	must.True(t, change.Gained)
 	must.Eq(t, election.Leader, s.Role())
 }
 
@@ -35,26 +35,26 @@
 func TestLosingCandidateReadsRowBeforeNextClaim(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
-	s.TakeRead(at(0), at(0), nil, 0, storeAt(0))
-	must.NotNil(t, s.Next(at(0), nil, 0, false))
-	s.TakeWritten(at(10), 0)
-	must.Nil(t, s.Next(at(20), nil, 0, false))
+	s.RowRead(at(0), at(0), nil, 0, storeAt(0))
+	must.NotNil(t, s.NextWrite(at(0), nil, 0, false))
+	s.RowWritten(at(10), 0)
+	must.Nil(t, s.NextWrite(at(20), nil, 0, false))
 	other := &wire.CellLead{Cell: "cell", Epoch: 1, Holder: "b/1", Host: "b", Hall: "hall", RenewedStoreMs: storeAt(5).Milliseconds()}
-	s.TakeRead(at(300), at(290), other, 7, storeAt(300))
+	s.RowRead(at(300), at(290), other, 7, storeAt(300))
 	must.Eq(t, election.Follower, s.Role())
-	must.Nil(t, s.Next(at(310), nil, 0, false))
-	must.NotNil(t, s.Next(at(1500), nil, 0, false))
+	must.Nil(t, s.NextWrite(at(310), nil, 0, false))
+	must.NotNil(t, s.NextWrite(at(1500), nil, 0, false))
 }
 
 func TestReadingConfirmsClaimWhoseAnswerWasLost(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
-	s.TakeRead(at(0), at(0), nil, 0, storeAt(0))
-	w := s.Next(at(0), nil, 0, false)
+	s.RowRead(at(0), at(0), nil, 0, storeAt(0))
+	w := s.NextWrite(at(0), nil, 0, false)
 	must.NotNil(t, w)
-	s.TakeWritten(at(900), 0)
-	change := s.TakeRead(at(1200), at(1190), w.Row, 3, storeAt(1200))
-	must.True(t, change.Led)
+	s.RowWritten(at(900), 0)
+	change := s.RowRead(at(1200), at(1190), w.Row, 3, storeAt(1200))
+	must.True(t, change.Gained)
 }
 
 func TestLeadershipExpiresAfterTenure(t *testing.T) {
@@ -69,9 +69,9 @@
 	t.Parallel()
 	s := newSeat("b")
 	row := &wire.CellLead{Cell: "cell", Epoch: 4, Holder: "a/1", Host: "a", Hall: "hall", RenewedStoreMs: storeAt(0).Milliseconds()}
-	s.TakeRead(at(100), at(100), row, 9, storeAt(100))
-	must.Nil(t, s.Next(at(1000), nil, 0, false))
-	w := s.Next(at(1250), nil, 0, false)
+	s.RowRead(at(100), at(100), row, 9, storeAt(100))
+	must.Nil(t, s.NextWrite(at(1000), nil, 0, false))
+	w := s.NextWrite(at(1250), nil, 0, false)
 	must.NotNil(t, w)
 	must.Eq(t, 5, w.Row.GetEpoch())
 	must.Eq(t, 9, w.Version)
@@ -81,17 +81,17 @@
 	t.Parallel()
 	s := newSeat("a")
 	row := &wire.CellLead{Cell: "cell", Epoch: 4, Holder: "a/0", Host: "a", Hall: "hall", RenewedStoreMs: storeAt(0).Milliseconds()}
-	s.TakeRead(at(10), at(5), row, 9, storeAt(10))
-	must.NotNil(t, s.Next(at(11), nil, 0, false))
+	s.RowRead(at(10), at(5), row, 9, storeAt(10))
+	must.NotNil(t, s.NextWrite(at(11), nil, 0, false))
 }
 
 func TestHostOfferedTheSeatClaimsItOnRelease(t *testing.T) {
 	t.Parallel()
 	s := newSeat("b")
 	row := &wire.CellLead{Cell: "cell", Epoch: 4, Holder: "a/1", Host: "a", Hall: "elsewhere", Released: true, RenewedStoreMs: storeAt(0).Milliseconds()}
-	s.Want()
-	s.TakeRead(at(10), at(5), row, 9, storeAt(10))
-	must.NotNil(t, s.Next(at(11), nil, 0, false))
+	s.AcceptHandover()
+	s.RowRead(at(10), at(5), row, 9, storeAt(10))
+	must.NotNil(t, s.NextWrite(at(11), nil, 0, false))
 }
 
 // The roster is written with the first renewal after it is known, and again when it changes. Until the leader has
@@ -101,24 +101,24 @@
 	t.Parallel()
 	s := newSeat("a")
 	lead(t, s)
-	w := s.Next(at(500), nil, 0, false)
-	must.Nil(t, w.Roster)
-	s.TakeWritten(at(505), 2)
-	w = s.Next(at(510), []*wire.RosterEntry{}, 0, false)
+	w := s.NextWrite(at(500), nil, 0, false)
+	must.Nil(t, w.Membership)
+	s.RowWritten(at(505), 2)
+	w = s.NextWrite(at(510), []*wire.RosterEntry{}, 0, false)
 	must.NotNil(t, w)
-	must.SliceEmpty(t, w.Roster.GetEntries())
-	must.SliceNotEmpty(t, rows.Row(rows.RosterKey("cell"), w.Roster).Value)
-	s.TakeWritten(at(515), 3)
+	must.SliceEmpty(t, w.Membership.GetEntries())
+	must.SliceNotEmpty(t, rows.Row(rows.RosterKey("cell"), w.Membership).Value)
+	s.RowWritten(at(515), 3)
 	one := []*wire.RosterEntry{{Id: "w1"}}
-	w = s.Next(at(520), one, 0, false)
-	must.Eq(t, "w1", w.Roster.GetEntries()[0].GetId())
-	s.TakeWritten(at(525), 0) // outcome unknown: the roster is written again
-	s.TakeRead(at(800), at(790), w.Row, 4, storeAt(800))
-	w = s.Next(at(1000), one, 0, false)
-	must.NotNil(t, w.Roster)
-	s.TakeWritten(at(1005), 5)
-	must.Nil(t, s.Next(at(1010), one, 0, false))
-	must.Nil(t, s.Next(at(1500), one, 0, false).Roster)
+	w = s.NextWrite(at(520), one, 0, false)
+	must.Eq(t, "w1", w.Membership.GetEntries()[0].GetId())
+	s.RowWritten(at(525), 0) // outcome unknown: the roster is written again
+	s.RowRead(at(800), at(790), w.Row, 4, storeAt(800))
+	w = s.NextWrite(at(1000), one, 0, false)
+	must.NotNil(t, w.Membership)
+	s.RowWritten(at(1005), 5)
+	must.Nil(t, s.NextWrite(at(1010), one, 0, false))
+	must.Nil(t, s.NextWrite(at(1500), one, 0, false).Membership)
 }
 
 // Leaders change so fast that the first, which is suspended, may still be within its tenure when the third wins. That
@@ -127,29 +127,29 @@
 	t.Parallel()
 	first := &wire.CellLead{Cell: "cell", Epoch: 1, Holder: "a/1", Host: "a", Hall: "hall", RenewedStoreMs: storeAt(0).Milliseconds()}
 	b := newSeat("b")
-	b.TakeRead(at(1500), at(1490), first, 1, storeAt(1500))
-	w := b.Next(at(1500), nil, 0, false)
+	b.RowRead(at(1500), at(1490), first, 1, storeAt(1500))
+	w := b.NextWrite(at(1500), nil, 0, false)
 	must.NotNil(t, w)
 	must.Eq(t, (storeAt(0) + election.Tenure).Milliseconds(), w.Row.GetEarlierStoreMs())
-	change := b.TakeWritten(at(1505), 2)
+	change := b.RowWritten(at(1505), 2)
 	must.Len(t, 1, change.Predecessors)
 	must.Eq(t, "a/1", change.Predecessors[0].Holder)
 
 	c := newSeat("c")
-	c.TakeRead(at(3000), at(2990), w.Row, 2, storeAt(3000))
-	must.NotNil(t, c.Next(at(3000), nil, 0, false))
-	list := c.TakeWritten(at(3005), 3).Predecessors
+	c.RowRead(at(3000), at(2990), w.Row, 2, storeAt(3000))
+	must.NotNil(t, c.NextWrite(at(3000), nil, 0, false))
+	list := c.RowWritten(at(3005), 3).Predecessors
 	must.Len(t, 2, list)
 	must.Eq(t, "a/1", list[0].Holder)
 	must.Eq(t, "b/1", list[1].Holder)
-	must.Less(t, 20*time.Millisecond, (election.Tenure - 3*time.Second - list[0].Grants).Abs())
-	must.Less(t, 20*time.Millisecond, (election.Tenure - 1500*time.Millisecond - list[1].Grants).Abs())
-	row := c.Next(at(3500), nil, 0, false).Row
+	must.Less(t, 20*time.Millisecond, (election.Tenure - 3*time.Second - list[0].MayGrantFor).Abs())
+	must.Less(t, 20*time.Millisecond, (election.Tenure - 1500*time.Millisecond - list[1].MayGrantFor).Abs())
+	row := c.NextWrite(at(3500), nil, 0, false).Row
 	must.Len(t, 2, row.GetEarlier())
 	must.Positive(t, row.GetEarlierStoreMs())
-	c.TakeWritten(at(3505), 4)
-	c.Settled()
-	row = c.Next(at(4500), nil, 0, false).Row
+	c.RowWritten(at(3505), 4)
+	c.PredecessorsSettled()
+	row = c.NextWrite(at(4500), nil, 0, false).Row
 	must.Eq(t, 0, row.GetEarlierStoreMs())
 	must.SliceEmpty(t, row.GetEarlier())
 }
@@ -162,11 +162,11 @@
 		Earlier: []*wire.EarlierLeader{{Holder: "a/1", Host: "a", UntilStoreMs: storeAt(11000).Milliseconds()}},
 	}
 	s := newSeat("c")
-	s.TakeRead(at(1500), at(1490), row, 2, storeAt(1500))
-	must.NotNil(t, s.Next(at(1500), nil, 0, false))
-	must.Len(t, 2, s.TakeWritten(at(1505), 3).Predecessors)
-	s.Over("b/1")
-	next := s.Next(at(2000), nil, 0, false).Row
+	s.RowRead(at(1500), at(1490), row, 2, storeAt(1500))
+	must.NotNil(t, s.NextWrite(at(1500), nil, 0, false))
+	must.Len(t, 2, s.RowWritten(at(1505), 3).Predecessors)
+	s.PredecessorEnded("b/1")
+	next := s.NextWrite(at(2000), nil, 0, false).Row
 	must.Len(t, 1, next.GetEarlier())
 	must.Eq(t, "a/1", next.GetEarlier()[0].GetHolder())
 	must.Eq(t, storeAt(11000).Milliseconds(), next.GetEarlierStoreMs())
@@ -180,9 +180,9 @@
 		Earlier: []*wire.EarlierLeader{{Holder: "a/1", Host: "a", Address: "x", UntilStoreMs: storeAt(11000).Milliseconds()}},
 	}
 	s := newSeat("c")
-	s.TakeRead(at(500), at(490), row, 2, storeAt(500))
-	must.NotNil(t, s.Next(at(500), nil, 0, false))
-	list := s.TakeWritten(at(505), 3).Predecessors
+	s.RowRead(at(500), at(490), row, 2, storeAt(500))
+	must.NotNil(t, s.NextWrite(at(500), nil, 0, false))
+	list := s.RowWritten(at(505), 3).Predecessors
 	must.Len(t, 1, list)
 	must.Eq(t, "x", list[0].Address)
 }
@@ -195,11 +195,11 @@
 		EarlierStoreMs: storeAt(9000).Milliseconds(),
 	}
 	s := newSeat("c")
-	s.TakeRead(at(500), at(490), row, 2, storeAt(500))
-	must.NotNil(t, s.Next(at(500), nil, 0, false))
-	list := s.TakeWritten(at(505), 3).Predecessors
+	s.RowRead(at(500), at(490), row, 2, storeAt(500))
+	must.NotNil(t, s.NextWrite(at(500), nil, 0, false))
+	list := s.RowWritten(at(505), 3).Predecessors
 	must.Len(t, 1, list)
-	must.Less(t, 20*time.Millisecond, (8500*time.Millisecond - list[0].Grants).Abs())
+	must.Less(t, 20*time.Millisecond, (8500*time.Millisecond - list[0].MayGrantFor).Abs())
 }
 
 // A pending release ends with the leadership: a leader that was replaced before it released the cell must not release
@@ -210,10 +210,10 @@
 	lead(t, s)
 	s.Release()
 	other := &wire.CellLead{Cell: "cell", Epoch: 2, Holder: "b/1", Host: "b", Hall: "hall", RenewedStoreMs: storeAt(100).Milliseconds()}
-	must.True(t, s.TakeRead(at(300), at(290), other, 2, storeAt(300)).Lost)
-	must.NotNil(t, s.Next(at(2000), nil, 0, false))
-	must.True(t, s.TakeWritten(at(2005), 3).Led)
-	must.False(t, s.Next(at(2500), nil, 0, false).Row.GetReleased())
+	must.True(t, s.RowRead(at(300), at(290), other, 2, storeAt(300)).Lost)
+	must.NotNil(t, s.NextWrite(at(2000), nil, 0, false))
+	must.True(t, s.RowWritten(at(2005), 3).Gained)
+	must.False(t, s.NextWrite(at(2500), nil, 0, false).Row.GetReleased())
 }
 
 // A membership write whose answer was lost may have taken effect, so the next write includes the membership again.
@@ -222,16 +222,16 @@
 	s := newSeat("a")
 	lead(t, s)
 	both, one := []*wire.RosterEntry{{Id: "v"}, {Id: "w"}}, []*wire.RosterEntry{{Id: "v"}}
-	must.NotNil(t, s.Next(at(10), both, 0, false).Roster)
-	s.TakeWritten(at(15), 2)
-	dropped := s.Next(at(20), one, 0, false)
-	must.NotNil(t, dropped.Roster)
-	s.TakeWritten(at(900), 0)
-	s.TakeRead(at(1000), at(990), dropped.Row, 3, storeAt(1000))
-	again := s.Next(at(1010), both, 0, false)
+	must.NotNil(t, s.NextWrite(at(10), both, 0, false).Membership)
+	s.RowWritten(at(15), 2)
+	dropped := s.NextWrite(at(20), one, 0, false)
+	must.NotNil(t, dropped.Membership)
+	s.RowWritten(at(900), 0)
+	s.RowRead(at(1000), at(990), dropped.Row, 3, storeAt(1000))
+	again := s.NextWrite(at(1010), both, 0, false)
 	must.NotNil(t, again)
-	must.NotNil(t, again.Roster)
-	must.Len(t, 2, again.Roster.GetEntries())
+	must.NotNil(t, again.Membership)
+	must.Len(t, 2, again.Membership.GetEntries())
 }
 
 // A claim may take effect late, even after a successor has found its row overdue. Until the outcome is known, the host
@@ -239,31 +239,31 @@
 func TestClaimIsPendingUntilItsOutcomeIsKnown(t *testing.T) {
 	t.Parallel()
 	for name, answer := range map[string]func(*election.Seat, *election.Write) election.Change{
-		"the write's answer": func(s *election.Seat, _ *election.Write) election.Change { return s.TakeWritten(at(2500), 3) },
+		"the write's answer": func(s *election.Seat, _ *election.Write) election.Change { return s.RowWritten(at(2500), 3) },
 		"a reading": func(s *election.Seat, w *election.Write) election.Change {
-			s.TakeWritten(at(900), 0)
-			return s.TakeRead(at(2500), at(910), w.Row, 3, storeAt(920))
+			s.RowWritten(at(900), 0)
+			return s.RowRead(at(2500), at(910), w.Row, 3, storeAt(920))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a := newSeat("a")
-			a.TakeRead(at(0), at(0), nil, 0, storeAt(0))
-			w := a.Next(at(0), nil, 0, false)
+			a.RowRead(at(0), at(0), nil, 0, storeAt(0))
+			w := a.NextWrite(at(0), nil, 0, false)
 			must.NotNil(t, w)
-			must.True(t, a.Claiming())
-			must.True(t, answer(a, w).Led)
-			must.False(t, a.Claiming())
+			must.True(t, a.ClaimPending())
+			must.True(t, answer(a, w).Gained)
+			must.False(t, a.ClaimPending())
 		})
 	}
 	a := newSeat("a")
-	a.TakeRead(at(0), at(0), nil, 0, storeAt(0))
-	w := a.Next(at(0), nil, 0, false)
-	a.TakeWritten(at(900), 0)
-	must.True(t, a.Claiming(), must.Sprint("the claim's outcome is unknown"))
+	a.RowRead(at(0), at(0), nil, 0, storeAt(0))
+	w := a.NextWrite(at(0), nil, 0, false)
+	a.RowWritten(at(900), 0)
+	must.True(t, a.ClaimPending(), must.Sprint("the claim's outcome is unknown"))
 	w.Row.Holder, w.Row.Epoch = "b/1", 2
-	a.TakeRead(at(1500), at(1490), w.Row, 4, storeAt(1500))
-	must.False(t, a.Claiming())
+	a.RowRead(at(1500), at(1490), w.Row, 4, storeAt(1500))
+	must.False(t, a.ClaimPending())
 }
 
 // A process that led twice is named once, with the later of its two times.
@@ -274,12 +274,12 @@
 		Earlier: []*wire.EarlierLeader{{Holder: "b/1", Host: "b", UntilStoreMs: storeAt(5000).Milliseconds()}, {Holder: "a/1", Host: "a", UntilStoreMs: storeAt(11000).Milliseconds()}},
 	}
 	s := newSeat("c")
-	s.TakeRead(at(1500), at(1490), row, 2, storeAt(1500))
-	must.NotNil(t, s.Next(at(1500), nil, 0, false))
-	list := s.TakeWritten(at(1505), 3).Predecessors
+	s.RowRead(at(1500), at(1490), row, 2, storeAt(1500))
+	must.NotNil(t, s.NextWrite(at(1500), nil, 0, false))
+	list := s.RowWritten(at(1505), 3).Predecessors
 	must.Len(t, 2, list)
 	must.Eq(t, "b/1", list[1].Holder)
-	must.Greater(t, 10*time.Second, list[1].Grants)
+	must.Greater(t, 10*time.Second, list[1].MayGrantFor)
 }
 
 // A worker gets work again only after the table no longer lists its runs as known, so this change is written at once.
@@ -292,14 +292,14 @@
 	known := func(tasks ...string) []*wire.RosterEntry {
 		return []*wire.RosterEntry{{Id: "w", RunsKnown: true, MayRun: tasks}}
 	}
-	must.NotNil(t, s.Next(at(10), open, 0, false))
-	s.TakeWritten(at(15), 2)
-	must.Nil(t, s.Next(at(20), known("a", "b", "c"), 0, false))
-	must.NotNil(t, s.Next(at(420), known("a", "b", "c"), 0, false).Roster)
-	s.TakeWritten(at(425), 3)
-	must.Nil(t, s.Next(at(830), known("a", "b"), 0, false).Roster)
-	s.TakeWritten(at(835), 4)
-	must.NotNil(t, s.Next(at(1240), known("a"), 0, false).Roster)
-	s.TakeWritten(at(1245), 5)
-	must.NotNil(t, s.Next(at(1250), open, 0, false).Roster)
+	must.NotNil(t, s.NextWrite(at(10), open, 0, false))
+	s.RowWritten(at(15), 2)
+	must.Nil(t, s.NextWrite(at(20), known("a", "b", "c"), 0, false))
+	must.NotNil(t, s.NextWrite(at(420), known("a", "b", "c"), 0, false).Membership)
+	s.RowWritten(at(425), 3)
+	must.Nil(t, s.NextWrite(at(830), known("a", "b"), 0, false).Membership)
+	s.RowWritten(at(835), 4)
+	must.NotNil(t, s.NextWrite(at(1240), known("a"), 0, false).Membership)
+	s.RowWritten(at(1245), 5)
+	must.NotNil(t, s.NextWrite(at(1250), open, 0, false).Membership)
 }
--- a/pkg/process/election/predecessors.go
+++ b/pkg/process/election/predecessors.go
@@ -23,12 +23,12 @@
 	// Holder identifies the incarnation of its process, Host and Address its location. All are empty if the
 	// entry merges several predecessors or the row names none.
 	Holder, Host, Address string
-	// Grants is the time for which it may still grant leases. It is negative if that time has passed.
-	Grants time.Duration
+	// MayGrantFor is the time for which it may still grant leases. It is negative if that time has passed.
+	MayGrantFor time.Duration
 }
 
-// Over records that a predecessor grants no more leases.
-func (s *Seat) Over(holder string) {
+// PredecessorEnded records that a predecessor grants no more leases.
+func (s *Seat) PredecessorEnded(holder string) {
 	if s.endedPredecessors == nil {
 		s.endedPredecessors = map[string]bool{}
 	}
@@ -40,7 +40,7 @@
 	list := make([]Predecessor, 0, len(s.row.GetEarlier()))
 	for _, e := range s.row.GetEarlier() {
 		until := time.Duration(e.GetUntilStoreMs()) * time.Millisecond
-		list = append(list, Predecessor{Holder: e.GetHolder(), Host: e.GetHost(), Address: e.GetAddress(), Grants: until - s.storeTime(now)})
+		list = append(list, Predecessor{Holder: e.GetHolder(), Host: e.GetHost(), Address: e.GetAddress(), MayGrantFor: until - s.storeTime(now)})
 	}
 	return list
 }
--- a/pkg/process/fleet/config.go
+++ b/pkg/process/fleet/config.go
@@ -50,11 +50,11 @@
 	{Name: "metrics", Example: `"10.0.0.1:8083"`, Required: true, Help: "Where metrics and the state of this process are told over HTTP.", Set: configfile.Address(func(c *Config) *string { return &c.Metrics })},
 	{Name: "table", Example: `"10.0.0.9:7000"`, Required: true, Help: "Where the table service is.", Set: configfile.Address(func(c *Config) *string { return &c.Table })},
 	{Name: "advice", Example: `"10.0.0.9:7001"`, Help: "Where the service is that says which workers may run a step; empty: there is none.", Set: configfile.Value(func(c *Config) *string { return &c.Advice })},
-	{Name: "maxLease", Example: `"10s"`, Help: "The longest that a worker holds what runs without renewal (default 10s).", Set: configfile.Span(func(c *Config) *time.Duration { return &c.MaxLease })},
-	{Name: "retention", Example: `"2m"`, Help: "How long the state of an ended job is told (default 2m).", Set: configfile.Span(func(c *Config) *time.Duration { return &c.Retention })},
-	{Name: "grace", Example: `"6s"`, Help: "How long a planned stop may take (default 6s).", Set: configfile.Span(func(c *Config) *time.Duration { return &c.Grace })},
-	{Name: "memoryMB", Example: `284`, Help: "The memory that the process may take, 32 to 65536 MB (default 256).", Set: configfile.Count(32, 65536, func(c *Config) *float64 { return &c.MemoryMB })},
-	{Name: "processors", Example: `0.4`, Help: "The share of a processor that the process has, 0.01 to 1024 (default 1): cells are led by the strongest hosts of their hall.", Set: configfile.Count(0.01, 1024, func(c *Config) *float64 { return &c.Processors })},
+	{Name: "maxLease", Example: `"10s"`, Help: "The longest that a worker holds what runs without renewal (default 10s).", Set: configfile.Duration(func(c *Config) *time.Duration { return &c.MaxLease })},
+	{Name: "retention", Example: `"2m"`, Help: "How long the state of an ended job is told (default 2m).", Set: configfile.Duration(func(c *Config) *time.Duration { return &c.Retention })},
+	{Name: "grace", Example: `"6s"`, Help: "How long a planned stop may take (default 6s).", Set: configfile.Duration(func(c *Config) *time.Duration { return &c.Grace })},
+	{Name: "memoryMB", Example: `284`, Help: "The memory that the process may take, 32 to 65536 MB (default 256).", Set: configfile.NumberBetween(32, 65536, func(c *Config) *float64 { return &c.MemoryMB })},
+	{Name: "processors", Example: `0.4`, Help: "The share of a processor that the process has, 0.01 to 1024 (default 1): cells are led by the strongest hosts of their hall.", Set: configfile.NumberBetween(0.01, 1024, func(c *Config) *float64 { return &c.Processors })},
 	{Name: "logLevel", Example: `"info"`, Help: "debug, info, warning or error (default info).", Set: configfile.Value(func(c *Config) *string { return &c.LogLevel })},
 }
 
--- a/pkg/process/fleet/control.go
+++ b/pkg/process/fleet/control.go
@@ -157,15 +157,15 @@
 // leader from another hall to release a cell of this host's hall.
 func (c *Control) runElection(ctx context.Context, now time.Time, s *localCell) {
 	if s.state.Settled() {
-		s.seat.Settled()
+		s.seat.PredecessorsSettled()
 	}
 	if s.seat.Role() == election.Leader && s.state.ReadyToHandOver() {
 		s.seat.Release() // a planned stop or a requested release is complete
 	}
-	if w := s.seat.Next(now, s.state.Members(), c.otherCellsLed(s)+c.handicap(), c.leaving); w != nil {
+	if w := s.seat.NextWrite(now, s.state.Members(), c.otherCellsLed(s)+c.handicap(), c.leaving); w != nil {
 		go c.writeLeadership(ctx, s.name, *w)
 	}
-	if s.seat.AskYield(now) && !c.leaving && now.Sub(c.releaseAskedAt[s.name]) > releaseAskInterval {
+	if s.seat.ShouldRequestHandover(now) && !c.leaving && now.Sub(c.releaseAskedAt[s.name]) > releaseAskInterval {
 		c.releaseAskedAt[s.name] = now
 		c.askForRelease(s.name, s.seat.Row().GetAddress())
 	}
@@ -188,7 +188,7 @@
 // leadershipChanged reports the gain or the loss of a cell's leadership to the cell's state.
 func (c *Control) leadershipChanged(now time.Time, s *localCell, change election.Change) {
 	switch {
-	case change.Led:
+	case change.Gained:
 		epoch := s.seat.Row().GetEpoch()
 		s.state.Take(now, cell.NewLeadershipGained(now, epoch, change))
 		if c.manifest != nil {
@@ -199,7 +199,7 @@
 			c.awaitPredecessor(s, epoch, p)
 		}
 	case change.Lost:
-		s.state.Take(now, cell.LeadershipLost{Why: change.Why})
+		s.state.Take(now, cell.LeadershipLost{Why: change.Reason})
 		s.needsDecision = true
 	}
 	c.publish(now)
@@ -223,7 +223,7 @@
 	case !done.Conflict:
 		version = done.Version
 	}
-	c.send(leadershipWritten{cell: name, version: version, members: w.Roster})
+	c.send(leadershipWritten{cell: name, version: version, members: w.Membership})
 }
 
 // publish replaces the View that request handlers read.
@@ -233,7 +233,7 @@
 		row := s.seat.Row()
 		v.Cells[name] = intake.CellView{
 			Hall: s.hall, Leader: row.GetHost(), Address: row.GetAddress(), Epoch: row.GetEpoch(),
-			Fresh: s.seat.Fresh(now), Mine: s.seat.Role() == election.Leader,
+			Fresh: s.seat.RenewalIsRecent(now), Mine: s.seat.Role() == election.Leader,
 		}
 		v.Waits = v.Waits || s.state.HasWaitingTasks()
 	}
--- a/pkg/process/fleet/effects.go
+++ b/pkg/process/fleet/effects.go
@@ -28,8 +28,8 @@
 		Conditions: []table.Condition{{Key: key, Version: w.Version}},
 		Puts:       []table.Row{rows.Row(key, w.Row)},
 	}
-	if w.Roster != nil {
-		tx.Puts = append(tx.Puts, rows.Row(rows.RosterKey(cellName), w.Roster))
+	if w.Membership != nil {
+		tx.Puts = append(tx.Puts, rows.Row(rows.RosterKey(cellName), w.Membership))
 	}
 	return tx
 }
@@ -133,11 +133,11 @@
 func (c *Control) notifyLocal(e cell.NotifyLeader) {
 	switch {
 	case e.Lent != nil:
-		c.Accepted(e.Lent)
+		c.JobAccepted(e.Lent)
 	case e.Returned != nil:
-		c.Returned(e.Returned)
+		c.TasksReturned(e.Returned)
 	default:
-		c.Cancelled(e.Cell, e.Cancelled)
+		c.CancelRequested(e.Cell, e.Cancelled)
 	}
 }
 
--- a/pkg/process/fleet/followers.go
+++ b/pkg/process/fleet/followers.go
@@ -42,7 +42,7 @@
 	// WorkersTable returns the name of the worker registry's table.
 	WorkersTable() string
 	// Worker decodes a row of the worker registry. Its error is a workers.Unusable.
-	Worker(r table.Row) (workers.Account, error)
+	Worker(r table.Row) (workers.RegistryRow, error)
 }
 
 // ManifestFollower reads the newest manifest and each change of it.
@@ -80,13 +80,13 @@
 	for ctx.Err() == nil {
 		page, err := f.Store.Changes(ctx, key.Table, f.tableVersion, manifestChangesWait)
 		if err != nil {
-			if !errors.Is(err, table.ErrForgotten) {
+			if !errors.Is(err, table.ErrChangesExpired) {
 				pause(ctx, readRetryPause)
 			}
 			return
 		}
 		for _, r := range page.Rows {
-			if r.Key == key && !r.Gone {
+			if r.Key == key && !r.Removed {
 				f.accept(r)
 			}
 		}
@@ -174,14 +174,14 @@
 				c.logUnreadable(r, err)
 				return
 			}
-			c.Accepted(spec)
+			c.JobAccepted(spec)
 		})
 		if specsRead {
 			c.send(cellEvent{cell: name, event: cell.TableCaughtUp{At: askedAt}})
 		}
 		from.cancels, _ = c.followTable(ctx, rows.CancelTable(name), from.cancels, func(r table.Row) {
 			if !rows.IsReturn(r.Key) {
-				c.Cancelled(name, r.Key.Key)
+				c.CancelRequested(name, r.Key.Key)
 				return
 			}
 			if returned := c.readReturned(r); returned != nil {
@@ -215,7 +215,7 @@
 		}
 	}
 	for _, r := range page.Rows {
-		if !r.Gone {
+		if !r.Removed {
 			take(r)
 		}
 	}
--- a/pkg/process/fleet/host.go
+++ b/pkg/process/fleet/host.go
@@ -54,16 +54,16 @@
 	claimDelaySpread = 150 * time.Millisecond
 )
 
-// Outside holds the adapters through which a host reaches the platform.
-type Outside struct {
+// Adapters holds the adapters through which a host reaches the platform.
+type Adapters struct {
 	Table  store.Direct
 	Caller workers.Caller
 	// Advisor is called for tasks of the queues that need advice.
 	Advisor workers.Advisor
 	Source  Source
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	// Callers returns the HTTP handler of the caller API, and a service that runs with the host.
-	Callers func(h *Host) (http.Handler, suture.Service)
+	// CallerAPI returns the HTTP handler of the caller API, and a service that runs with the host.
+	CallerAPI func(h *Host) (http.Handler, suture.Service)
 }
 
 // Host is one entry host.
@@ -80,7 +80,7 @@
 	manifest atomic.Pointer[manifest.Manifest]
 	leaving  atomic.Bool
 	grace    atomic.Int64 // grace period of a planned stop, in ns
-	outside  Outside
+	outside  Adapters
 	self     election.Self
 
 	callerService                            suture.Service
@@ -91,11 +91,11 @@
 }
 
 // New returns a host with its ports open. Run starts it.
-func New(config Config, outside Outside, log *eventlog.Log, options ...cell.Option) (*Host, error) {
+func New(config Config, outside Adapters, log *eventlog.Log, options ...cell.Option) (*Host, error) {
 	now := clock.Now()
 	incarnation := uuid.New()
 	self := election.Self{
-		Life: config.Name + "/" + incarnation.String(), Host: config.Name, Hall: config.Hall, Address: config.Control, Since: now,
+		Incarnation: config.Name + "/" + incarnation.String(), Host: config.Name, Hall: config.Hall, Address: config.Control, Since: now,
 		Delay: time.Duration(incarnation[0]) * claimDelaySpread / 256,
 	}
 	h := &Host{
@@ -123,8 +123,10 @@
 // Manifest returns the newest manifest, or nil before one has been read.
 func (h *Host) Manifest() *manifest.Manifest { return h.manifest.Load() }
 
-// To returns the gRPC client for a peer's address.
-func (h *Host) To(address string) (wire.FleetClient, error) { return h.peers.To(address) }
+// PeerClient returns the gRPC client for a peer's address.
+func (h *Host) PeerClient(address string) (wire.FleetClient, error) {
+	return h.peers.PeerClient(address)
+}
 
 // listen opens the ports of the caller API, the readiness check, the metrics and the peers' calls.
 func (h *Host) listen() error {
@@ -136,7 +138,7 @@
 	metricsMux.HandleFunc("GET /suspects", h.serveSuspects)
 	metricsMux.HandleFunc("DELETE /suspects/{task}", h.serveClearSuspicion)
 	var err error
-	handler, service := h.outside.Callers(h)
+	handler, service := h.outside.CallerAPI(h)
 	h.callerService = service
 	if h.callerServer, err = h.openServer("callers", h.Config.Callers, h.closeWhenLeaving(handler)); err != nil {
 		return err
@@ -212,16 +214,16 @@
 		&ManifestFollower{Store: h.Store, Source: h.outside.Source, Log: h.Log, Changed: h.acceptManifest},
 		&WorkersFollower{
 			Store: h.Store, Source: h.outside.Source, Halls: h.Config.Halls, Manifest: h.Manifest, Log: h.Log, Metrics: h.Metrics,
-			LeadsAny: func() bool { return len(h.Control.Held()) > 0 },
+			LeadsAny: func() bool { return len(h.Control.LedCells()) > 0 },
 			Changed:  func(list []workers.Record) { h.Control.send(registryRead{records: list}) },
 		},
 		&LeadershipFollower{Store: h.Store, Control: h.Control},
 		&strongerHostHandover{host: h},
 		&suspensionWatch{outside: h.outside, log: h.Log},
-		&parts.GRPC{Server: h.grpc, Listener: h.grpcListener},
+		&parts.GRPCServer{Server: h.grpc, Listener: h.grpcListener},
 	}
 	for s, l := range h.listeners {
-		list = append(list, &parts.HTTP{Server: s, Listener: l})
+		list = append(list, &parts.HTTPServer{Server: s, Listener: l})
 	}
 	return list
 }
@@ -259,7 +261,7 @@
 
 // handOver releases all cells that this process leads and asks a host of each cell's hall to take over.
 func (h *Host) handOver() {
-	led := h.Control.Held()
+	led := h.Control.LedCells()
 	h.Control.BeginStop()
 	for _, name := range led {
 		next := h.Hosts.Successor(h.Control.View().Cells[name].Hall)
@@ -270,7 +272,7 @@
 		h.askToTakeOver(context.Background(), next, name)
 	}
 	deadline := clock.Now().Add(handoverTimeout)
-	for len(h.Control.Held()) > 0 && clock.Now().Before(deadline) {
+	for len(h.Control.LedCells()) > 0 && clock.Now().Before(deadline) {
 		time.Sleep(handoverCheckInterval)
 	}
 }
@@ -283,7 +285,7 @@
 func (h *Host) askLeadership(address, cellName, holder string) (answer predecessorAnswer, ok bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 	defer cancel()
-	p, err := h.peers.To(address)
+	p, err := h.peers.PeerClient(address)
 	if err != nil {
 		return answer, false
 	}
@@ -300,7 +302,7 @@
 
 // notifyPeer notifies the process at an address of a change to the cell that it leads.
 func (h *Host) notifyPeer(ctx context.Context, address string, e cell.NotifyLeader) error {
-	p, err := h.peers.To(address)
+	p, err := h.peers.PeerClient(address)
 	if err != nil {
 		return err
 	}
@@ -320,7 +322,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 		defer cancel()
-		p, err := h.peers.To(address)
+		p, err := h.peers.PeerClient(address)
 		if err != nil {
 			return // a later leadership row names another address
 		}
@@ -337,7 +339,7 @@
 		return false, "stopping"
 	case h.manifest.Load() == nil:
 		return false, "no manifest yet"
-	case h.Store.SinceWorked(now) > maxStoreSilence:
+	case h.Store.SinceLastAnswer(now) > maxStoreSilence:
 		return false, "the table does not answer"
 	}
 	return true, ""
--- a/pkg/process/fleet/hosts.go
+++ b/pkg/process/fleet/hosts.go
@@ -54,8 +54,8 @@
 
 func (h *Hosts) writeRow(ctx context.Context) {
 	row := &wire.EntryHost{
-		Name: h.Self.Host, Hall: h.Self.Hall, Address: h.Self.Address, Life: h.Self.Life,
-		SeenStoreMs: h.Store.Now(clock.Now()).Milliseconds(), Leaving: h.leaving.Load(), Processors: float32(h.Processors),
+		Name: h.Self.Host, Hall: h.Self.Hall, Address: h.Self.Address, Life: h.Self.Incarnation,
+		SeenStoreMs: h.Store.StoreTime(clock.Now()).Milliseconds(), Leaving: h.leaving.Load(), Processors: float32(h.Processors),
 	}
 	// The store client counts a failure; the next round writes again.
 	_, _ = h.Store.Commit(ctx, table.Transaction{Puts: []table.Row{rows.Row(rows.HostKey(h.Self.Host), row)}})
@@ -102,7 +102,7 @@
 			if len(out) >= maxTablePeers || (host.GetHall() != h.Self.Hall) != other {
 				continue
 			}
-			if p, err := h.Peers.To(host.GetAddress()); err == nil {
+			if p, err := h.Peers.PeerClient(host.GetAddress()); err == nil {
 				out = append(out, p)
 			}
 		}
--- a/pkg/process/fleet/load.go
+++ b/pkg/process/fleet/load.go
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	now := clock.Now()
-	event := cell.Loaded{Epoch: epoch, Members: membership.GetEntries(), Fences: map[string]int64{}, Wall: c.wall(), StoreNow: c.store.Now(now)}
+	event := cell.Loaded{Epoch: epoch, Members: membership.GetEntries(), Fences: map[string]int64{}, Wall: c.wall(), StoreNow: c.store.StoreTime(now)}
 	versions := parts[0].versions
 	for i, p := range parts {
 		if p.err != nil {
--- a/pkg/process/fleet/messages.go
+++ b/pkg/process/fleet/messages.go
@@ -77,7 +77,7 @@
 func (m leadershipsRead) apply(c *Control, now time.Time) {
 	for name, s := range c.cells {
 		r := m.rows[name]
-		c.leadershipChanged(now, s, s.seat.TakeRead(now, m.askedAt, r.row, r.version, m.storeTime))
+		c.leadershipChanged(now, s, s.seat.RowRead(now, m.askedAt, r.row, r.version, m.storeTime))
 	}
 	c.publish(now)
 }
@@ -96,7 +96,7 @@
 	if s == nil {
 		return
 	}
-	c.leadershipChanged(now, s, s.seat.TakeWritten(now, m.version))
+	c.leadershipChanged(now, s, s.seat.RowWritten(now, m.version))
 	if m.version != 0 && m.members != nil {
 		s.state.Take(now, cell.MembershipRecorded{IDs: memberIDs(m.members.GetEntries())})
 		s.needsDecision = true
@@ -109,7 +109,7 @@
 
 func (m takeOverRequest) apply(c *Control, _ time.Time) {
 	if s := c.cells[m.cell]; s != nil && !c.leaving {
-		s.seat.Want()
+		s.seat.AcceptHandover()
 	}
 }
 
--- a/pkg/process/fleet/predecessors.go
+++ b/pkg/process/fleet/predecessors.go
@@ -21,7 +21,7 @@
 func (c *Control) awaitPredecessor(s *localCell, epoch int64, p election.Predecessor) {
 	ended := predecessorEnded{cell: s.name, epoch: epoch, holder: p.Holder}
 	if p.Host == c.self.Host {
-		ended.sameProcess, ended.endedAt = p.Holder == c.self.Life, c.self.Since
+		ended.sameProcess, ended.endedAt = p.Holder == c.self.Incarnation, c.self.Since
 		ended.apply(c, clock.Now())
 		return
 	}
@@ -69,7 +69,7 @@
 	if s == nil || s.seat.Role() != election.Leader || s.seat.Row().GetEpoch() != m.epoch {
 		return
 	}
-	s.seat.Over(m.holder)
+	s.seat.PredecessorEnded(m.holder)
 	s.state.Take(now, cell.PredecessorEnded{
 		Epoch: m.epoch, Holder: m.holder, SameProcess: m.sameProcess, Grants: m.answer.grants, GrantsKnown: m.answer.grantsKnown, EndedAt: m.endedAt,
 	})
--- a/pkg/process/fleet/queries.go
+++ b/pkg/process/fleet/queries.go
@@ -12,18 +12,18 @@
 
 // Calls from request handlers and peers to the control goroutine.
 
-// Accepted reports a job that is recorded in the table to its cell.
-func (c *Control) Accepted(spec *wire.JobSpec) {
-	c.send(cellEvent{cell: spec.GetCell(), event: cell.JobAccepted{Spec: spec, StoreNow: c.store.Now(clock.Now())}})
+// JobAccepted reports a job that is recorded in the table to its cell.
+func (c *Control) JobAccepted(spec *wire.JobSpec) {
+	c.send(cellEvent{cell: spec.GetCell(), event: cell.JobAccepted{Spec: spec, StoreNow: c.store.StoreTime(clock.Now())}})
 }
 
-// Cancelled reports a cancel request that is recorded in the table to the job's cell.
-func (c *Control) Cancelled(cellName, id string) {
+// CancelRequested reports a cancel request that is recorded in the table to the job's cell.
+func (c *Control) CancelRequested(cellName, id string) {
 	c.send(cellEvent{cell: cellName, event: cell.CancelRequested{ID: id}})
 }
 
-// Returned reports the outcome of delegated tasks to their home cell. The outcome is recorded in the table.
-func (c *Control) Returned(r *wire.ReturnedTasks) {
+// TasksReturned reports the outcome of delegated tasks to their home cell. The outcome is recorded in the table.
+func (c *Control) TasksReturned(r *wire.ReturnedTasks) {
 	c.send(cellEvent{cell: r.GetHome(), event: cell.TasksReturned{Tasks: r}})
 }
 
@@ -63,10 +63,10 @@
 	ok := c.query(ctx, func(c *Control, now time.Time) {
 		if s := c.cells[ref.GetCell()]; s != nil {
 			l := s.state.Load(now, ref.GetWithBeliefs())
-			l.Holds = l.GetHolds() || s.seat.Claiming()
+			l.Holds = l.GetHolds() || s.seat.ClaimPending()
 			switch {
 			case ref.GetGrantsOf() == "" || l.GetHolds():
-			case ref.GetGrantsOf() == c.self.Life:
+			case ref.GetGrantsOf() == c.self.Incarnation:
 				grants, known := s.state.Grants(now)
 				l.GrantsTold, l.GrantsMs = known, leaseMillis(grants)
 			default:
@@ -92,10 +92,10 @@
 	return list
 }
 
-// OtherLoad reports the load of a cell, as sent by its leader, to the cells that this process leads. A
+// PeerLoad reports the load of a cell, as sent by its leader, to the cells that this process leads. A
 // load with beliefs about workers goes to every cell, since this process may lead any of them later.
-func (c *Control) OtherLoad(l *wire.CellLoad) {
-	led := c.Held()
+func (c *Control) PeerLoad(l *wire.CellLoad) {
+	led := c.LedCells()
 	for name := range c.View().Cells {
 		if len(l.GetBeliefs()) > 0 || slices.Contains(led, name) {
 			c.send(cellEvent{cell: name, event: cell.PeerLoad{Load: l}})
@@ -106,14 +106,14 @@
 // TakeOver makes this process claim a cell whose leader is releasing it.
 func (c *Control) TakeOver(cellName string) { c.send(takeOverRequest{cell: cellName}) }
 
-// Yield makes this process release a cell of another hall. A cell of its own hall is kept.
-func (c *Control) Yield(cellName string) { c.send(yieldRequest{cell: cellName}) }
+// ReleaseForHomeHall makes this process release a cell of another hall. A cell of its own hall is kept.
+func (c *Control) ReleaseForHomeHall(cellName string) { c.send(yieldRequest{cell: cellName}) }
 
 // BeginStop begins the planned stop: this process releases every cell and claims no more.
 func (c *Control) BeginStop() { c.send(stopRequest{}) }
 
-// Held returns the names of the cells that this process leads.
-func (c *Control) Held() []string {
+// LedCells returns the names of the cells that this process leads.
+func (c *Control) LedCells() []string {
 	var list []string
 	for name, v := range c.View().Cells {
 		if v.Mine {
--- a/pkg/process/fleet/registry_follower.go
+++ b/pkg/process/fleet/registry_follower.go
@@ -100,7 +100,7 @@
 		}
 		fields := logrus.Fields{"table": f.Source.WorkersTable(), "key": c.key, "why": "usable again"}
 		if c.unusable != nil {
-			fields["field"], fields["why"] = c.unusable.Field, c.unusable.Why
+			fields["field"], fields["why"] = c.unusable.Field, c.unusable.Reason
 		}
 		f.Log.WithFields(fields).Warn(string(cell.NoteUnreadable))
 	}
@@ -111,9 +111,9 @@
 	source Source
 	halls  map[string]bool
 	// accounts are the rows that could be decoded, by key.
-	accounts map[string]workers.Account
+	accounts map[string]workers.RegistryRow
 	records  map[string]workers.Record
-	unusable map[string]*workers.Unusable
+	unusable map[string]*workers.InvalidRow
 	manifest *manifest.Manifest
 }
 
@@ -121,13 +121,13 @@
 // again; unusable is nil in the last case.
 type unusableChange struct {
 	key      string
-	unusable *workers.Unusable
+	unusable *workers.InvalidRow
 }
 
 func newWorkerRegistry(source Source, halls []string) *workerRegistry {
 	l := &workerRegistry{
-		source: source, halls: map[string]bool{}, accounts: map[string]workers.Account{},
-		records: map[string]workers.Record{}, unusable: map[string]*workers.Unusable{},
+		source: source, halls: map[string]bool{}, accounts: map[string]workers.RegistryRow{},
+		records: map[string]workers.Record{}, unusable: map[string]*workers.InvalidRow{},
 	}
 	for _, h := range halls {
 		l.halls[h] = true
@@ -142,7 +142,7 @@
 	for _, r := range rows {
 		key := r.Key.Key
 		delete(l.accounts, key)
-		if r.Gone {
+		if r.Removed {
 			delete(l.records, key)
 			delete(l.unusable, key)
 			continue
@@ -160,7 +160,7 @@
 	}
 	l.manifest = m
 	for key, account := range toCheck {
-		record, err := workers.Judge(account, l.knownNames())
+		record, err := workers.ValidateRow(account, l.knownNames())
 		if err != nil {
 			changed = l.markUnusable(changed, key, err)
 			continue
@@ -175,8 +175,8 @@
 }
 
 // accountsOf returns the accounts of the given rows.
-func (l *workerRegistry) accountsOf(rows []table.Row) map[string]workers.Account {
-	some := make(map[string]workers.Account, len(rows))
+func (l *workerRegistry) accountsOf(rows []table.Row) map[string]workers.RegistryRow {
+	some := make(map[string]workers.RegistryRow, len(rows))
 	for _, r := range rows {
 		if a, ok := l.accounts[r.Key.Key]; ok {
 			some[r.Key.Key] = a
@@ -186,8 +186,8 @@
 }
 
 // knownNames returns the checks of the hall and service names that a row may contain.
-func (l *workerRegistry) knownNames() workers.Known {
-	return workers.Known{
+func (l *workerRegistry) knownNames() workers.KnownNames {
+	return workers.KnownNames{
 		Hall: func(name string) bool { return l.halls[name] },
 		Service: func(name string) bool {
 			if l.manifest == nil {
@@ -201,9 +201,9 @@
 
 // markUnusable marks a row as unusable. It appends the row to changed if that is new or the reason is.
 func (l *workerRegistry) markUnusable(changed []unusableChange, key string, err error) []unusableChange {
-	u := workers.AsUnusable(err)
+	u := workers.AsInvalidRow(err)
 	if u == nil {
-		u = &workers.Unusable{ID: key, Why: err.Error()}
+		u = &workers.InvalidRow{ID: key, Reason: err.Error()}
 	}
 	delete(l.records, key)
 	if before := l.unusable[key]; before != nil && *before == *u {
--- a/pkg/process/fleet/reload.go
+++ b/pkg/process/fleet/reload.go
@@ -15,33 +15,33 @@
 // setting needs to apply sooner than within a few seconds.
 const reloadInterval = 3 * time.Second
 
-// Reload reads the settings file at a signal and at a fixed interval. A changed file is checked as a
+// SettingsFollower reads the settings file at a signal and at a fixed interval. A changed file is checked as a
 // whole: a file with a fault changes no setting. Changed settings that need a new process are logged;
 // the others are applied.
-type Reload struct {
+type SettingsFollower struct {
 	File string
 	// Source is the content of the file at the start, and Config the settings in it.
 	Source []byte
 	Config Config
-	// Asked receives the signals that request a reload.
-	Asked <-chan os.Signal
-	Log   *logrus.Entry
+	// Signals receives the signals that request a reload.
+	Signals <-chan os.Signal
+	Log     *logrus.Entry
 	// Apply is called with the settings after each change.
 	Apply func(Config)
 }
 
 // String returns the name that the supervisor logs.
-func (r *Reload) String() string { return "settings follower" }
+func (r *SettingsFollower) String() string { return "settings follower" }
 
 // Serve reads the file until the context ends.
-func (r *Reload) Serve(ctx context.Context) error {
+func (r *SettingsFollower) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-r.Asked:
+		case <-r.Signals:
 			r.reloadFile("signal")
 		case <-ticker.C:
 			r.reloadFile("change")
@@ -49,7 +49,7 @@
 	}
 }
 
-func (r *Reload) reloadFile(cause string) {
+func (r *SettingsFollower) reloadFile(cause string) {
 	log := r.Log.WithFields(logrus.Fields{"file": r.File, "cause": cause})
 	source, err := os.ReadFile(r.File)
 	if err != nil {
--- a/pkg/process/fleet/reload_test.go
+++ b/pkg/process/fleet/reload_test.go
@@ -61,8 +61,8 @@
 	logger.SetOutput(log)
 	asked := make(chan os.Signal, 1)
 	applied := make(chan fleet.Config, 10)
-	r := &fleet.Reload{
-		File: file, Source: []byte(settingsFile), Config: config, Asked: asked, Log: logrus.NewEntry(logger),
+	r := &fleet.SettingsFollower{
+		File: file, Source: []byte(settingsFile), Config: config, Signals: asked, Log: logrus.NewEntry(logger),
 		Apply: func(c fleet.Config) { applied <- c },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/pkg/process/fleet/status.go
+++ b/pkg/process/fleet/status.go
@@ -69,7 +69,7 @@
 
 func (h *Host) serveStatus(w http.ResponseWriter, r *http.Request) {
 	now := clock.Now()
-	s := Status{Host: h.Config.Name, Hall: h.Config.Hall, StoreAgeMs: h.Store.SinceWorked(now).Milliseconds(), Cells: h.Control.View().Cells, Led: h.Control.Summary(r.Context())}
+	s := Status{Host: h.Config.Name, Hall: h.Config.Hall, StoreAgeMs: h.Store.SinceLastAnswer(now).Milliseconds(), Cells: h.Control.View().Cells, Led: h.Control.Summary(r.Context())}
 	s.Ready, s.Why = h.Ready(now)
 	if m := h.Manifest(); m != nil {
 		s.Manifest = m.Version()
--- a/pkg/process/fleet/stronger_host.go
+++ b/pkg/process/fleet/stronger_host.go
@@ -44,7 +44,7 @@
 	if h.leaving.Load() || now.Sub(r.lastHandover) < minHandoverInterval || h.Hosts.Handicap() == 0 {
 		return
 	}
-	for _, name := range h.Control.Held() {
+	for _, name := range h.Control.LedCells() {
 		if h.Control.View().Cells[name].Hall != h.Config.Hall {
 			continue
 		}
@@ -64,7 +64,7 @@
 
 // askToTakeOver asks a host to claim a cell that this host is releasing. A failure is logged.
 func (h *Host) askToTakeOver(ctx context.Context, next *wire.EntryHost, name string) {
-	p, err := h.peers.To(next.GetAddress())
+	p, err := h.peers.PeerClient(next.GetAddress())
 	if err == nil {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, peerCallTimeout)
--- a/pkg/process/fleet/suspension.go
+++ b/pkg/process/fleet/suspension.go
@@ -13,7 +13,7 @@
 // their keep-alive timers start only when it resumes, so the idle connections are closed at once. Calls in flight end
 // by their own timeouts. Leases and other deadlines need no handling: pkg/clock counts the time of the suspension.
 type suspensionWatch struct {
-	outside Outside
+	outside Adapters
 	log     *logrus.Entry
 }
 
@@ -22,7 +22,7 @@
 
 // Serve watches for resumptions until the context ends.
 func (w *suspensionWatch) Serve(ctx context.Context) error {
-	clock.Watch(ctx, w.resumed)
+	clock.WatchSuspensions(ctx, w.resumed)
 	return ctx.Err()
 }
 
--- a/pkg/process/flow/window.go
+++ b/pkg/process/flow/window.go
@@ -37,12 +37,12 @@
 )
 
 const (
-	// LeastTimeout is the shortest time-out of an order: a hundred times the answer time on
+	// MinTimeout is the shortest time-out of an order: a hundred times the answer time on
 	// a link that is not full.
-	LeastTimeout = 400 * time.Millisecond
-	// MostTimeout is the longest time-out of an order: a worker takes at most 2 s to carry
+	MinTimeout = 400 * time.Millisecond
+	// MaxTimeout is the longest time-out of an order: a worker takes at most 2 s to carry
 	// one out.
-	MostTimeout = 1600 * time.Millisecond
+	MaxTimeout = 1600 * time.Millisecond
 	// smoothing is the weight of the newest answer in the mean answer time and its mean
 	// deviation; timeoutDeviations is how many mean deviations a time-out allows. Both are as
 	// in the retransmission timers of TCP.
@@ -77,12 +77,12 @@
 // InFlight returns how many bytes are in flight.
 func (w *Window) InFlight() int { return w.inFlight }
 
-// AnswerTime returns the mean answer time.
-func (w *Window) AnswerTime() time.Duration { return w.meanAnswerTime }
+// MeanAnswerTime returns the mean answer time.
+func (w *Window) MeanAnswerTime() time.Duration { return w.meanAnswerTime }
 
-// Room says whether one more order may be sent. An order larger than the window may be sent
+// MaySend says whether one more order may be sent. An order larger than the window may be sent
 // while nothing else is in flight.
-func (w *Window) Room() bool {
+func (w *Window) MaySend() bool {
 	w.heldBack = w.inFlight > 0 && float64(w.inFlight) >= w.size
 	return !w.heldBack
 }
@@ -115,7 +115,7 @@
 // link, nor does an order that fails at once because a port is closed.
 func (w *Window) Unanswered(now time.Time, took time.Duration, bytes int) {
 	w.removeInFlight(bytes)
-	if took >= LeastTimeout && now.Sub(w.answeredAt) >= took {
+	if took >= MinTimeout && now.Sub(w.answeredAt) >= took {
 		w.shrink(now, minShrinkFactor)
 	}
 }
@@ -152,5 +152,5 @@
 // deviations, within LeastTimeout and MostTimeout. It is long because an order that is sent
 // again would queue behind its first copy.
 func (w *Window) Timeout() time.Duration {
-	return min(MostTimeout, max(LeastTimeout, w.meanAnswerTime+timeoutDeviations*w.meanDeviation))
+	return min(MaxTimeout, max(MinTimeout, w.meanAnswerTime+timeoutDeviations*w.meanDeviation))
 }
--- a/pkg/process/flow/window_test.go
+++ b/pkg/process/flow/window_test.go
@@ -47,7 +47,7 @@
 			}
 			inFlight = inFlight[1:]
 		}
-		for w.Room() {
+		for w.MaySend() {
 			w.Sent(orderBytes)
 			inFlight = append(inFlight, l.send(now, orderBytes))
 		}
@@ -62,7 +62,7 @@
 	answered, longest, timeout := fillWindow(flow.NewWindow(), &link{bytesPerSecond: 250_000, roundTrip: 4 * time.Millisecond}, 10*time.Second)
 	must.Greater(t, 10*250_000/orderBytes*8/10, answered, must.Sprint("the link is idle"))
 	must.Less(t, 250*time.Millisecond, longest)
-	must.Eq(t, flow.LeastTimeout, timeout)
+	must.Eq(t, flow.MinTimeout, timeout)
 }
 
 // On a fast link the window must allow the same rate as no window.
@@ -78,10 +78,10 @@
 func TestTimeoutsFollowAnswerTimes(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
-	must.Eq(t, flow.LeastTimeout, w.Timeout())
+	must.Eq(t, flow.MinTimeout, w.Timeout())
 	_, longest, timeout := fillWindow(w, &link{bytesPerSecond: 250_000, roundTrip: 500 * time.Millisecond}, 20*time.Second)
 	must.Greater(t, longest, timeout)
-	must.LessEq(t, flow.MostTimeout, timeout)
+	must.LessEq(t, flow.MaxTimeout, timeout)
 }
 
 // A window that shrank because of missing answers must grow again within a second once answers
@@ -96,7 +96,7 @@
 		w.Unanswered(now, time.Second, orderBytes)
 	}
 	must.Less(t, 8<<10, w.Size())
-	must.True(t, w.Room())
+	must.True(t, w.MaySend())
 	fillWindow(w, &link{bytesPerSecond: 25_000_000, roundTrip: 4 * time.Millisecond}, time.Second)
 	must.Greater(t, 60<<10, w.Size())
 }
@@ -105,11 +105,11 @@
 func TestOrderLargerThanWindowIsSentAlone(t *testing.T) {
 	t.Parallel()
 	w := flow.NewWindow()
-	must.True(t, w.Room())
+	must.True(t, w.MaySend())
 	w.Sent(2 << 20)
-	must.False(t, w.Room())
+	must.False(t, w.MaySend())
 	w.Answered(time.Unix(1000, 0), time.Second, 2<<20)
-	must.True(t, w.Room())
+	must.True(t, w.MaySend())
 }
 
 // After orders were held back, a quarter of the window must be free before more are sent.
@@ -117,7 +117,7 @@
 	t.Parallel()
 	w := flow.NewWindow()
 	n := 0
-	for w.Room() {
+	for w.MaySend() {
 		w.Sent(orderBytes)
 		n++
 	}
@@ -139,7 +139,7 @@
 		now = now.Add(50 * time.Millisecond)
 		w.Sent(2 * orderBytes)
 		w.Answered(now, 5*time.Millisecond, orderBytes)
-		w.Unanswered(now, flow.LeastTimeout, orderBytes)
+		w.Unanswered(now, flow.MinTimeout, orderBytes)
 	}
 	must.Eq(t, before, w.Size())
 }
--- a/pkg/process/hall/driver_test.go
+++ b/pkg/process/hall/driver_test.go
@@ -207,10 +207,10 @@
 	return out
 }
 
-func (d *driver) job(r *wire.Row) hall.JobAt {
+func (d *driver) job(r *wire.Row) hall.JobAtRevision {
 	row := &wire.JobRow{}
 	_ = rows.Decode(r, row)
-	return hall.JobAt{Row: row, Revision: r.GetRevision()}
+	return hall.JobAtRevision{Row: row, Revision: r.GetRevision()}
 }
 
 func (d *driver) readInbox(name string) hall.InboxRead {
--- a/pkg/process/hall/events.go
+++ b/pkg/process/hall/events.go
@@ -31,8 +31,8 @@
 	Err      error
 }
 
-// JobAt is a job row with its revision.
-type JobAt struct {
+// JobAtRevision is a job row with its revision.
+type JobAtRevision struct {
 	Row      *wire.JobRow
 	Revision int64
 }
@@ -41,7 +41,7 @@
 // jobs, and the rows of its workers, with their registered incarnations.
 type Loaded struct {
 	Tasks   []*wire.TaskRow
-	Jobs    []JobAt
+	Jobs    []JobAtRevision
 	Workers []*wire.WorkerRow
 	Err     error
 }
@@ -51,7 +51,7 @@
 	Key      string
 	Revision int64
 	Row      *wire.InboxRow
-	Job      JobAt
+	Job      JobAtRevision
 }
 
 // InboxRead is the answer to a ReadInbox: the rows in the inbox of this hall, or
--- a/pkg/process/hall/evict.go
+++ b/pkg/process/hall/evict.go
@@ -42,7 +42,7 @@
 func (s *State) sizeBeingStopped(w *worker) ledger.Size {
 	var sum ledger.Size
 	for _, t := range w.tasks {
-		if t.stop != notStopping && w.account.Holds(t.attemptName()) {
+		if t.stop != notStopping && w.account.HasReservation(t.attemptName()) {
 			sum = sum.Plus(t.size())
 		}
 	}
@@ -56,7 +56,7 @@
 func (s *State) victims(t *task, w *worker, free ledger.Size) []*task {
 	var lower []*task
 	for _, v := range w.tasks {
-		if v.row.GetPriority() < t.row.GetPriority() && v.stop == notStopping && w.account.Holds(v.attemptName()) {
+		if v.row.GetPriority() < t.row.GetPriority() && v.stop == notStopping && w.account.HasReservation(v.attemptName()) {
 			lower = append(lower, v)
 		}
 	}
--- a/pkg/process/hall/hall_test.go
+++ b/pkg/process/hall/hall_test.go
@@ -68,7 +68,7 @@
 		}
 		return true
 	})
-	must.Eq(t, 1, d.reasonCounts[hall.WorkerAside])
+	must.Eq(t, 1, d.reasonCounts[hall.WorkerQuarantined])
 }
 
 // A job whose kind fails on every worker fails, and no worker is quarantined.
@@ -79,7 +79,7 @@
 	}
 	d.submit("j", "ingest", 90, taskSize)
 	d.until(t, "the job has failed", func() bool { return d.jobState("j") == wire.JobState_JOB_STATE_FAILED })
-	must.Zero(t, d.reasonCounts[hall.WorkerAside])
+	must.Zero(t, d.reasonCounts[hall.WorkerQuarantined])
 }
 
 // A task larger than every worker ends in the state NEVER.
--- a/pkg/process/hall/inbox.go
+++ b/pkg/process/hall/inbox.go
@@ -27,8 +27,8 @@
 	stealAfter = 15 * time.Second
 )
 
-// WithOthers sets the other halls, whose inboxes this hall's leader reads, too.
-func WithOthers(halls []string) Option {
+// WithOtherHalls sets the other halls, whose inboxes this hall's leader reads, too.
+func WithOtherHalls(halls []string) Option {
 	return func(s *State) { s.otherHalls = halls }
 }
 
--- a/pkg/process/hall/interfere.go
+++ b/pkg/process/hall/interfere.go
@@ -51,8 +51,8 @@
 
 // presentKindsAt counts, by kind, the running tasks of a worker that ran already
 // when a sample was taken.
-func (s *State) presentKindsAt(w *worker, at time.Time) interference.Present {
-	p := interference.Present{}
+func (s *State) presentKindsAt(w *worker, at time.Time) interference.TaskCounts {
+	p := interference.TaskCounts{}
 	for _, t := range w.tasks {
 		if t.running && t.runningAt.Before(at) {
 			p[t.kindName()]++
@@ -74,7 +74,7 @@
 		}
 	}
 	action := w.guard.Decide(now, sample, tasks)
-	if action.Verb == interference.Nothing {
+	if action.Verb == interference.NoAction {
 		return
 	}
 	t := w.tasks[action.Task]
@@ -90,6 +90,6 @@
 	case interference.Evict:
 		s.note(now, t.object(), TaskEvicting, detail)
 		s.requestStop(now, t, evicted)
-	case interference.Nothing:
+	case interference.NoAction:
 	}
 }
--- a/pkg/process/hall/place.go
+++ b/pkg/process/hall/place.go
@@ -46,7 +46,7 @@
 		return
 	}
 	r := s.newRound(now, usage)
-	quota.Order(queue, usage, s.totalCapacity())
+	quota.SortQueue(queue, usage, s.totalCapacity())
 	for _, q := range queue {
 		if r.placed >= maxPlacedPerRound {
 			return
@@ -59,7 +59,7 @@
 // certainly never started there.
 func (s *State) isCommittedAhead(t *task) bool {
 	w := s.workers[t.row.GetWorker()]
-	return t.placed() && t.isCommitted() && !t.startSent && t.stop == notStopping && w != nil && w.reached && !w.account.Holds(t.attemptName())
+	return t.placed() && t.isCommitted() && !t.startSent && t.stop == notStopping && w != nil && w.reached && !w.account.HasReservation(t.attemptName())
 }
 
 // moveCommittedAhead moves a task that was committed ahead to a worker with room,
@@ -89,13 +89,13 @@
 
 // queue returns the tasks that wait, unplaced or committed ahead to a worker
 // without room, and the total size of the placed tasks of each team.
-func (s *State) queue() ([]quota.Waiting, quota.Usage) {
-	var queue []quota.Waiting
+func (s *State) queue() ([]quota.QueuedTask, quota.Usage) {
+	var queue []quota.QueuedTask
 	usage := quota.Usage{}
 	for id, t := range s.tasks {
 		team := t.row.GetTeam()
 		if t.waiting() || s.isCommittedAhead(t) {
-			queue = append(queue, quota.Waiting{
+			queue = append(queue, quota.QueuedTask{
 				ID: id, Team: team, Priority: int(t.row.GetPriority()), Since: t.waitingSince, Size: t.size(),
 			})
 		}
@@ -120,7 +120,7 @@
 func (s *State) newRound(now time.Time, usage quota.Usage) *round {
 	r := &round{
 		now:        now,
-		policy:     placement.PolicyNamed(s.fleet().PlacePolicy),
+		policy:     placement.PolicyByName(s.fleet().PlacePolicy),
 		usage:      usage,
 		candidates: map[*worker]*placement.Worker{},
 	}
@@ -173,7 +173,7 @@
 func (s *State) overQuota(r *round, t *task) bool {
 	q := s.tree.Quota(t.row.GetTeam())
 	limit := quota.Limit{Millicores: q.Millicores, MemoryMB: q.MemoryMB, Accelerators: q.Accelerators}
-	return quota.Over(r.usage[t.row.GetTeam()], t.size(), limit)
+	return quota.Exceeds(r.usage[t.row.GetTeam()], t.size(), limit)
 }
 
 // placeWithRoom places a task on the best of the workers with room, and reports
@@ -253,10 +253,10 @@
 
 // presentKinds counts the tasks with room on a worker, running or about to, by
 // kind.
-func (s *State) presentKinds(w *worker) interference.Present {
-	p := interference.Present{}
+func (s *State) presentKinds(w *worker) interference.TaskCounts {
+	p := interference.TaskCounts{}
 	for _, t := range w.tasks {
-		if w.account.Holds(t.attemptName()) {
+		if w.account.HasReservation(t.attemptName()) {
 			p[t.kindName()]++
 		}
 	}
@@ -271,7 +271,7 @@
 	shortest := s.fleet().Ahead
 	for _, w := range r.workers {
 		n := s.tasksWithoutRoom(w)
-		if n < shortest && t.size().Fits(w.account.Capacity()) && !s.quarantine.Aside(w.name) {
+		if n < shortest && t.size().Fits(w.account.Capacity()) && !s.quarantine.Quarantined(w.name) {
 			best, shortest = w, n
 		}
 	}
@@ -286,7 +286,7 @@
 func (s *State) tasksWithoutRoom(w *worker) int {
 	n := 0
 	for _, t := range w.tasks {
-		if !w.account.Holds(t.attemptName()) {
+		if !w.account.HasReservation(t.attemptName()) {
 			n++
 		}
 	}
--- a/pkg/process/hall/reasons.go
+++ b/pkg/process/hall/reasons.go
@@ -16,12 +16,12 @@
 	CommitUncertain    Reason = "commit-answer-lost"
 	CommitConflict     Reason = "commit-conflict"
 
-	WorkerReached    Reason = "worker-reached"
-	WorkerRegistered Reason = "worker-incarnation-registered"
-	WorkerRestarted  Reason = "worker-restarted"
-	WorkerLost       Reason = "worker-lease-surely-over"
-	WorkerAside      Reason = "worker-fails-everything"
-	WorkerBack       Reason = "worker-succeeded-again"
+	WorkerReached          Reason = "worker-reached"
+	WorkerRegistered       Reason = "worker-incarnation-registered"
+	WorkerRestarted        Reason = "worker-restarted"
+	WorkerLost             Reason = "worker-lease-surely-over"
+	WorkerQuarantined      Reason = "worker-fails-everything"
+	WorkerQuarantineLifted Reason = "worker-succeeded-again"
 
 	JobClaimed   Reason = "job-claimed"
 	JobStolen    Reason = "job-pulled-from-another-hall"
--- a/pkg/process/hall/state.go
+++ b/pkg/process/hall/state.go
@@ -57,7 +57,7 @@
 	reads        tableReads
 
 	model      *interference.Model
-	quarantine *quarantine.Record
+	quarantine *quarantine.Tracker
 	facts      *lru.Cache[string, []Fact]
 	outbox     []Effect
 
@@ -216,7 +216,7 @@
 }
 
 // fleet returns the fleet-wide settings, which stand at the root of the tree.
-func (s *State) fleet() settings.Fleet { return s.tree.Fleet() }
+func (s *State) fleet() settings.RootSettings { return s.tree.RootSettings() }
 
 // -------------------------------------------------------------- accessors
 
@@ -226,9 +226,9 @@
 // Leader returns the leader row that was read last.
 func (s *State) Leader() *wire.LeaderRow { return s.leadership.Row() }
 
-// Released reports whether a planned stop is complete: it was requested, and
+// DrainComplete reports whether a planned stop is complete: it was requested, and
 // this process certainly no longer holds the leadership.
-func (s *State) Released() bool {
+func (s *State) DrainComplete() bool {
 	return s.draining && s.leadership.Role() == leadership.Follower
 }
 
@@ -256,7 +256,7 @@
 		if w.reached {
 			c.Reached++
 		}
-		if s.quarantine.Aside(name) {
+		if s.quarantine.Quarantined(name) {
 			c.Aside++
 		}
 	}
--- a/pkg/process/hall/sync.go
+++ b/pkg/process/hall/sync.go
@@ -83,7 +83,7 @@
 		return
 	}
 	for _, t := range s.startable(w) {
-		if !w.account.Holds(t.attemptName()) && !t.size().Fits(s.openCapacity(w)) && !s.unsafe.NoLedger {
+		if !w.account.HasReservation(t.attemptName()) && !t.size().Fits(s.openCapacity(w)) && !s.unsafe.NoLedger {
 			continue // the free room is reserved for an urgent task
 		}
 		if !s.reserve(w, t) {
--- a/pkg/process/hall/tasks.go
+++ b/pkg/process/hall/tasks.go
@@ -163,7 +163,7 @@
 		r.Reason = string(reason)
 	})
 	w.tasks[t.row.GetId()] = t
-	s.quarantine.Placed(now, w.name)
+	s.quarantine.NotePlaced(now, w.name)
 	s.note(now, t.object(), reason, w.name+": "+detail)
 }
 
@@ -271,12 +271,12 @@
 	switch run.GetState() {
 	case wire.RunState_RUN_STATE_FINISHED:
 		if s.quarantine.Succeeded(w.name, kind) {
-			s.note(now, w.object(), WorkerBack, kind)
+			s.note(now, w.object(), WorkerQuarantineLifted, kind)
 		}
 		s.finish(now, t, wire.TaskState_TASK_STATE_DONE, run.GetResult(), TaskFinished)
 	case wire.RunState_RUN_STATE_FAILED:
 		if s.quarantine.Failed(now, w.name, kind) {
-			s.note(now, w.object(), WorkerAside, kind)
+			s.note(now, w.object(), WorkerQuarantined, kind)
 		}
 		s.attemptFailed(now, w, t, run)
 	case wire.RunState_RUN_STATE_STOPPED:
@@ -296,7 +296,7 @@
 		s.finish(now, t, wire.TaskState_TASK_STATE_FAILED, run.GetResult(), TaskKindFailsEverywhere)
 		return
 	}
-	if !s.quarantine.Aside(w.name) {
+	if !s.quarantine.Quarantined(w.name) {
 		s.updateRow(t, func(r *wire.TaskRow) { r.Failures++ })
 	}
 	if int(t.row.GetFailures()) >= s.kindSettings(t).FailureLimit {
--- a/pkg/process/hall/workers.go
+++ b/pkg/process/hall/workers.go
@@ -37,7 +37,7 @@
 	leaseExpiresAt time.Time // when the last lease known to this leader ends
 
 	totalCapacity     ledger.Size // including the share of the services
-	account           *ledger.Worker
+	account           *ledger.Account
 	reservedForUrgent ledger.Size          // room of evictions for urgent tasks that still wait, recomputed each round
 	runs              map[string]*wire.Run // the attempts in the last reply, by attempt name
 	tasks             map[string]*task     // the tasks placed on this worker, by id
@@ -81,7 +81,7 @@
 	w.reached = false
 	w.runs = nil
 	w.tasks = map[string]*task{}
-	w.account = ledger.NewWorker()
+	w.account = ledger.NewAccount()
 }
 
 // takeHosts applies the platform's list of hosts. A worker that has left the
@@ -185,7 +185,7 @@
 	if w.registeredIncarnation != "" {
 		s.note(now, w.object(), WorkerRestarted, incarnation)
 	}
-	w.account = ledger.NewWorker()
+	w.account = ledger.NewAccount()
 	w.runs = nil
 	for _, t := range w.tasks {
 		s.loseAttempt(now, t, true, w.name+" started afresh")
@@ -276,7 +276,7 @@
 // releaseEnded releases the reservations of attempts that neither run nor are
 // assigned to the worker.
 func (s *State) releaseEnded(w *worker) {
-	for _, name := range w.account.Names() {
+	for _, name := range w.account.ReservationNames() {
 		r := w.runs[name]
 		if r.GetState() == wire.RunState_RUN_STATE_RUNNING {
 			continue
@@ -319,7 +319,7 @@
 	}
 	over := w.leaseExpiresAt
 	if !w.reached && !s.unsafe.NoTenureWait {
-		over = laterOf(over, s.leadership.PredecessorsOver())
+		over = laterOf(over, s.leadership.PredecessorLeasesEnd())
 	}
 	return now.After(over)
 }
@@ -328,7 +328,7 @@
 // are over.
 func (s *State) workerLost(now time.Time, w *worker) {
 	s.note(now, w.object(), WorkerLost, fmt.Sprintf("%d tasks", len(w.tasks)))
-	w.account = ledger.NewWorker()
+	w.account = ledger.NewAccount()
 	w.runs = nil
 	w.reached = false
 	w.leaseExpiresAt = now
--- a/pkg/process/interference/guard.go
+++ b/pkg/process/interference/guard.go
@@ -11,8 +11,8 @@
 
 // The verbs, mildest first.
 const (
-	// Nothing means that no action is needed.
-	Nothing Verb = iota
+	// NoAction means that no action is needed.
+	NoAction Verb = iota
 	// Throttle limits the task to a share of its reservation.
 	Throttle
 	// Evict removes the task from the worker, with a checkpoint.
@@ -76,7 +76,7 @@
 		return Action{}
 	}
 	action := g.choose(s, tasks)
-	if action.Verb != Nothing {
+	if action.Verb != NoAction {
 		g.actedAt = now
 	}
 	return action
--- a/pkg/process/interference/model.go
+++ b/pkg/process/interference/model.go
@@ -9,8 +9,8 @@
 // The package does no I/O, reads no clock and carries out no action itself.
 package interference
 
-// Present counts the running tasks of each kind on one worker.
-type Present map[string]int
+// TaskCounts counts the running tasks of each kind on one worker.
+type TaskCounts map[string]int
 
 // pair identifies one learned harm: that of a kind of task on a service.
 type pair struct {
@@ -50,7 +50,7 @@
 }
 
 // Predict returns the latency expected of a service beside the given batch work, as a share of its target.
-func (m *Model) Predict(service string, present Present) float64 {
+func (m *Model) Predict(service string, present TaskCounts) float64 {
 	level := m.baselines[service]
 	for kind, n := range present {
 		level += m.Harm(service, kind) * float64(n)
@@ -60,7 +60,7 @@
 
 // Learn updates the model by one sample. ratio is the service's latency as a share of its target, present the batch
 // work on the worker when the sample was taken.
-func (m *Model) Learn(service string, ratio float64, present Present) {
+func (m *Model) Learn(service string, ratio float64, present TaskCounts) {
 	residual := ratio - m.Predict(service, present)
 	if len(present) == 0 {
 		m.baselines[service] += baselineRate * residual
--- a/pkg/process/interference/own.go
+++ b/pkg/process/interference/own.go
@@ -31,8 +31,8 @@
 	resetAfter = 3 * time.Second
 )
 
-// Expect returns the load expected at the given time after the last reading.
-func (o *OwnLoad) Expect(after time.Duration) float64 {
+// Forecast returns the load expected at the given time after the last reading.
+func (o *OwnLoad) Forecast(after time.Duration) float64 {
 	angle := swingAngularSpeed * after.Seconds()
 	return o.load*math.Cos(angle) + o.trend/swingAngularSpeed*math.Sin(angle)
 }
--- a/pkg/process/interference/press.go
+++ b/pkg/process/interference/press.go
@@ -132,8 +132,8 @@
 	return p.merged[serving].coefficient(filler).Mean
 }
 
-// Alone returns the level of a serving image without fillers.
-func (p *PressureModel) Alone(serving string) float64 {
+// LevelAlone returns the level of a serving image without fillers.
+func (p *PressureModel) LevelAlone(serving string) float64 {
 	if b, ok := p.merged[serving]; ok {
 		return b.alone.Mean
 	}
@@ -143,9 +143,9 @@
 // defaultSimilarity is the similarity assumed for two images while too few of their coefficients are known.
 const defaultSimilarity = 0.3
 
-// Alike returns the similarity of two serving images by their known coefficients: 1 for equal ones, 0 if no filler
+// Similarity returns the similarity of two serving images by their known coefficients: 1 for equal ones, 0 if no filler
 // slows both down. It is the sum of the smaller coefficients divided by that of the larger.
-func (p *PressureModel) Alike(one, other string) float64 {
+func (p *PressureModel) Similarity(one, other string) float64 {
 	if one == other {
 		return 1
 	}
@@ -170,7 +170,7 @@
 // Predict returns the level expected of a serving image beside the given pressures by filler, without the task's own
 // load.
 func (p *PressureModel) Predict(serving string, pressures map[string]float64) float64 {
-	level := p.Alone(serving)
+	level := p.LevelAlone(serving)
 	for _, filler := range slices.Sorted(maps.Keys(pressures)) {
 		level += p.Coefficient(serving, filler) * pressures[filler]
 	}
@@ -257,8 +257,8 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// Words returns one line per serving image with this process's own estimates, for the log.
-func (p *PressureModel) Words() []string {
+// Summary returns one line per serving image with this process's own estimates, for the log.
+func (p *PressureModel) Summary() []string {
 	list := make([]string, 0, len(p.filters))
 	for serving, f := range p.filters {
 		fillers := make([]string, 0, len(f.index))
--- a/pkg/process/interference/press_test.go
+++ b/pkg/process/interference/press_test.go
@@ -57,7 +57,7 @@
 	must.Between(t, 12.0, press.Coefficient("quotes", "harder"), 24.0, must.Sprint("6 x 3"))
 	must.Between(t, 0.0, press.Coefficient("quotes", "mild"), 4.0, must.Sprint("6 x 0.15"))
 	must.Between(t, 0.0, press.Coefficient("quotes", "none"), 4.0)
-	must.Between(t, -2.6, press.Alone("quotes"), -1.6, must.Sprint("1 - 6 x 0.52"))
+	must.Between(t, -2.6, press.LevelAlone("quotes"), -1.6, must.Sprint("1 - 6 x 0.52"))
 }
 
 func TestImagesSlowedByTheSameFillersAreSimilar(t *testing.T) {
@@ -66,10 +66,10 @@
 	simulateReadings(press, "quotes", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
 	simulateReadings(press, "sheets", map[string]float64{"a": 2, "b": 0.1, "c": 0.1, "d": 2}, 0.04)
 	simulateReadings(press, "rates", map[string]float64{"a": 0.1, "b": 2, "c": 2, "d": 0.1}, 0.04)
-	must.Greater(t, 0.6, press.Alike("quotes", "sheets"))
-	must.Less(t, 0.25, press.Alike("quotes", "rates"))
-	must.Eq(t, 1, press.Alike("rates", "rates"))
-	must.Between(t, 0.1, press.Alike("rates", "unseen"), 0.5)
+	must.Greater(t, 0.6, press.Similarity("quotes", "sheets"))
+	must.Less(t, 0.25, press.Similarity("quotes", "rates"))
+	must.Eq(t, 1, press.Similarity("rates", "rates"))
+	must.Between(t, 0.1, press.Similarity("rates", "unseen"), 0.5)
 }
 
 // The forecast of the own load for the next second follows a load wave with a period of 20 s.
@@ -89,7 +89,7 @@
 		press.Learn(begin.Add(at), "quotes", interference.NewReading(tail, target), nil, &own)
 		press.Merge(begin.Add(at))
 		if at > 10*time.Second {
-			expected := press.Alone("quotes") + own.Expect(time.Second)
+			expected := press.LevelAlone("quotes") + own.Forecast(time.Second)
 			worst = max(worst, math.Abs(expected-level(at+time.Second)))
 		}
 	}
@@ -108,7 +108,7 @@
 		press.Merge(now)
 	}
 	before := press.Predict("quotes", map[string]float64{"hard": 0.5})
-	must.Greater(t, 0.8, before+own.Expect(0))
+	must.Greater(t, 0.8, before+own.Forecast(0))
 }
 
 // A leader with few readings of its own uses the beliefs received from other leaders, and doesn't pass them on as its
@@ -118,11 +118,11 @@
 	learned := interference.NewPressureModel()
 	simulateReadings(learned, "quotes", map[string]float64{"hard": 2, "mild": 0.1}, 0.04)
 	fresh := interference.NewPressureModel()
-	fresh.Hear("a", learned.Own())
+	fresh.SetPeerBeliefs("a", learned.OwnBeliefs())
 	fresh.Merge(time.Unix(100, 0))
 	must.Eq(t, learned.Coefficient("quotes", "hard"), fresh.Coefficient("quotes", "hard"))
-	must.Eq(t, 0, len(fresh.Own()), must.Sprint("received beliefs are not its own"))
-	fresh.Hear("a", interference.Beliefs{}) // from the cell's next leader, which has no readings yet
+	must.Eq(t, 0, len(fresh.OwnBeliefs()), must.Sprint("received beliefs are not its own"))
+	fresh.SetPeerBeliefs("a", interference.Beliefs{}) // from the cell's next leader, which has no readings yet
 	fresh.Merge(time.Unix(200, 0))
 	must.Eq(t, learned.Coefficient("quotes", "hard"), fresh.Coefficient("quotes", "hard"))
 }
--- a/pkg/process/interference/share.go
+++ b/pkg/process/interference/share.go
@@ -40,8 +40,8 @@
 // mergeInterval bounds the age of merged beliefs. It is less than the interval of readings, half a second.
 const mergeInterval = 250 * time.Millisecond
 
-// Own returns the estimates of this process's filters, without those received.
-func (p *PressureModel) Own() Beliefs {
+// OwnBeliefs returns the estimates of this process's filters, without those received.
+func (p *PressureModel) OwnBeliefs() Beliefs {
 	own := Beliefs{}
 	for image, f := range p.filters {
 		b := ImageBelief{Alone: Estimate{f.mean[0], f.cov[0][0]}, Fillers: map[string]Estimate{}}
@@ -53,9 +53,9 @@
 	return own
 }
 
-// Hear stores the beliefs that another process has learned in a cell. They replace older ones of the same
+// SetPeerBeliefs stores the beliefs that another process has learned in a cell. They replace older ones of the same
 // cell unless fewer of their coefficients are known.
-func (p *PressureModel) Hear(cell string, b Beliefs) {
+func (p *PressureModel) SetPeerBeliefs(cell string, b Beliefs) {
 	if knownCoefficients(b) >= knownCoefficients(p.peerBeliefs[cell]) {
 		p.peerBeliefs[cell] = b
 	}
@@ -82,7 +82,7 @@
 	}
 	p.mergedAt = now
 	p.merged = map[string]mergedBelief{}
-	p.addToMerged(p.Own())
+	p.addToMerged(p.OwnBeliefs())
 	for _, cell := range slices.Sorted(maps.Keys(p.peerBeliefs)) {
 		p.addToMerged(p.peerBeliefs[cell])
 	}
--- a/pkg/process/jobs/job.go
+++ b/pkg/process/jobs/job.go
@@ -20,17 +20,17 @@
 	Spec *wire.JobSpec
 	// Phase is the job's current phase. Callers are told of it once a progress row with this phase is durable.
 	Phase wire.JobPhase
-	// Recorded is the version of the job's progress row, 0 before the first.
-	Recorded int64
-	// Durable is the phase in the progress row.
-	Durable wire.JobPhase
+	// ProgressVersion is the version of the job's progress row, 0 before the first.
+	ProgressVersion int64
+	// DurablePhase is the phase in the progress row.
+	DurablePhase wire.JobPhase
 	// AcceptedAt is the local monotonic time at which the job was accepted.
 	AcceptedAt time.Time
 	// EndedAt is the time at which the job's final phase was decided.
 	EndedAt time.Time
 	Reason  string
-	// Begun is true once any task of the job has started.
-	Begun bool
+	// HasStarted is true once any task of the job has started.
+	HasStarted bool
 	// CancelRequested is true once the caller has requested a cancel. The rows of that request are in the table.
 	CancelRequested bool
 	Units           []*Unit
@@ -52,9 +52,9 @@
 	Spec  *wire.StepSpec
 	Tasks []*Task
 	Size  ledger.Size
-	// FailedAt are the workers at which runs of the unit failed. Failures at several workers count as evidence
+	// FailedWorkers are the workers at which runs of the unit failed. Failures at several workers count as evidence
 	// that the unit is at fault, not the workers.
-	FailedAt map[string]bool
+	FailedWorkers map[string]bool
 
 	// ReadyAt is the time from which tasks of the unit could start.
 	ReadyAt time.Time
@@ -89,11 +89,11 @@
 	level     poisontask.Level
 	// IsolationWaived is true if the next run need not be isolated although the task's level is
 	// poisontask.NeedsIsolation. IsolatedSince is the time from which the task has waited for an isolated run.
-	IsolationWaived bool
-	IsolatedSince   time.Time
-	// IsolatedBefore is true if the predecessor's record allowed only isolated runs of the task. Each isolated run
+	IsolationWaived    bool
+	IsolationWaitSince time.Time
+	// IsolatedByRecord is true if the predecessor's record allowed only isolated runs of the task. Each isolated run
 	// is recorded before it starts.
-	IsolatedBefore bool
+	IsolatedByRecord bool
 	// crashHostKnown is true if one of the crashes names a host.
 	crashHostKnown bool
 	// Runs are the runs that may be running now.
@@ -128,7 +128,7 @@
 // New returns a job without progress.
 func New(spec *wire.JobSpec, acceptedAt time.Time) *Job {
 	j := &Job{Spec: spec, Phase: wire.JobPhase_JOB_PHASE_QUEUED, AcceptedAt: acceptedAt}
-	j.Estimate(time.Time{}, func(step *wire.StepSpec) time.Duration { return time.Duration(step.GetEstimateMs()) * time.Millisecond })
+	j.EstimateChains(time.Time{}, func(step *wire.StepSpec) time.Duration { return time.Duration(step.GetEstimateMs()) * time.Millisecond })
 	if spec.GetRepeats() == 0 {
 		j.openRepetition(0)
 	}
@@ -226,11 +226,11 @@
 	return u.Tasks[index]
 }
 
-// Chain returns the longest chain of estimated work from the given step to the job's end, including the step.
-func (j *Job) Chain(step int) time.Duration { return j.longestChains[step] }
+// ChainFrom returns the longest chain of estimated work from the given step to the job's end, including the step.
+func (j *Job) ChainFrom(step int) time.Duration { return j.longestChains[step] }
 
-// WholeChain returns the longest chain of estimated work of the whole job.
-func (j *Job) WholeChain() time.Duration {
+// LongestChain returns the longest chain of estimated work of the whole job.
+func (j *Job) LongestChain() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range j.longestChains {
 		longest = max(longest, c)
@@ -238,12 +238,12 @@
 	return longest
 }
 
-// EstimatedAt returns the time at which the chains of work were last estimated.
-func (j *Job) EstimatedAt() time.Time { return j.chainsAt }
+// ChainsEstimatedAt returns the time at which the chains of work were last estimated.
+func (j *Job) ChainsEstimatedAt() time.Time { return j.chainsAt }
 
-// Estimate recomputes the chains of work. It goes from the last step to the first, because a step depends only on
+// EstimateChains recomputes the chains of work. It goes from the last step to the first, because a step depends only on
 // earlier ones. estimate returns the estimated duration of a step.
-func (j *Job) Estimate(now time.Time, estimate func(*wire.StepSpec) time.Duration) {
+func (j *Job) EstimateChains(now time.Time, estimate func(*wire.StepSpec) time.Duration) {
 	steps := j.Spec.GetSteps()
 	chains := make([]time.Duration, len(steps))
 	for i := len(steps) - 1; i >= 0; i-- {
@@ -275,16 +275,16 @@
 	return true
 }
 
-// MayHaveBegun returns whether a predecessor may have started the unit's tasks. It returns false if a task of a
+// MayHaveStarted returns whether a predecessor may have started the unit's tasks. It returns false if a task of a
 // step that the unit depends on, directly or indirectly, is not done and has a run here. A task that is not done
 // and has no run does not rule a start out: the predecessor may have observed its end without recording it.
-func (u *Unit) MayHaveBegun() bool {
+func (u *Unit) MayHaveStarted() bool {
 	if u.Job.Delegated() {
 		return true
 	}
 	for _, a := range u.Spec.GetAfter() {
 		before := u.Job.unit(u.Time, int(a))
-		if before == nil || !before.MayHaveBegun() {
+		if before == nil || !before.MayHaveStarted() {
 			return false
 		}
 		for _, t := range before.Tasks {
@@ -375,8 +375,8 @@
 	return nil
 }
 
-// Drop removes a run from Runs.
-func (t *Task) Drop(r *Run) {
+// RemoveRun removes a run from Runs.
+func (t *Task) RemoveRun(r *Run) {
 	for i, have := range t.Runs {
 		if have == r {
 			t.Runs = append(t.Runs[:i:i], t.Runs[i+1:]...)
--- a/pkg/process/jobs/lending.go
+++ b/pkg/process/jobs/lending.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Arrived sets the time at which delegated tasks came to this cell. Their wait here begins then.
-func (j *Job) Arrived(now time.Time) {
+// MarkArrived sets the time at which delegated tasks came to this cell. Their wait here begins then.
+func (j *Job) MarkArrived(now time.Time) {
 	for _, r := range j.Spec.GetGuest() {
 		if t := j.taskByRef(r); t != nil && t.DelegatedTo == "" {
 			t.setArrival(now, r)
@@ -119,7 +119,7 @@
 		}
 		changed := false
 		for _, c := range decodeCrashes(r.GetCrashes()) {
-			changed = (!c.Silent && t.Resolve(c.Worker, c.Run, true)) || changed
+			changed = (!c.Silent && t.ResolveSilent(c.Worker, c.Run, true)) || changed
 		}
 		if changed {
 			list = append(list, t)
@@ -135,9 +135,9 @@
 // ReturnTask leaves a delegated task to the home cell until the home cell delegates it again.
 func (j *Job) ReturnTask(t *Task) { t.DelegatedTo = j.Spec.GetHome() }
 
-// Report returns the target cell's report to the home cell: the returned tasks, the done tasks, and the reason if
+// DelegationReport returns the target cell's report to the home cell: the returned tasks, the done tasks, and the reason if
 // the job has failed. It returns nil if there is nothing to report yet.
-func (j *Job) Report() *wire.ReturnedTasks {
+func (j *Job) DelegationReport() *wire.ReturnedTasks {
 	if !j.Delegated() || j.Spec.GetHome() == "" || j.Phase == wire.JobPhase_JOB_PHASE_CANCELLED {
 		return nil // the home cell decided the cancel itself
 	}
@@ -199,7 +199,7 @@
 		t.DelegatedTo = ""
 		changed = t.MarkDone() || changed
 	}
-	j.Begun = j.Begun || changed
+	j.HasStarted = j.HasStarted || changed
 	return changed
 }
 
--- a/pkg/process/jobs/lending_test.go
+++ b/pkg/process/jobs/lending_test.go
@@ -33,7 +33,7 @@
 		must.Eq(t, 2, member.Failures())
 		successor.ReturnTask(member)
 	}
-	must.True(t, home.ApplyReturned(successor.Report(), now, true))
+	must.True(t, home.ApplyReturned(successor.DelegationReport(), now, true))
 	must.Eq(t, 2, gang[0].Failures())
 	must.Eq(t, 3, gang[0].MarkFailed(1_000_002))
 
--- a/pkg/process/jobs/progress.go
+++ b/pkg/process/jobs/progress.go
@@ -53,11 +53,11 @@
 // it may be running at some worker. wall is the wall-clock time.
 func Restore(spec *wire.JobSpec, p *wire.JobProgress, recorded int64, acceptedAt, wall time.Time) *Job {
 	j := New(spec, acceptedAt)
-	j.Recorded = recorded
+	j.ProgressVersion = recorded
 	j.OpenDue(wall)
 	if p != nil {
-		j.Phase, j.Durable, j.Reason = p.GetPhase(), p.GetPhase(), p.GetReason()
-		j.Begun = p.GetPhase() != wire.JobPhase_JOB_PHASE_QUEUED
+		j.Phase, j.DurablePhase, j.Reason = p.GetPhase(), p.GetPhase(), p.GetReason()
+		j.HasStarted = p.GetPhase() != wire.JobPhase_JOB_PHASE_QUEUED
 		for _, up := range p.GetUnits() {
 			j.restoreUnit(up)
 		}
@@ -95,7 +95,7 @@
 		delegatedAgain := j.Delegated() && t.Delegations > n.GetLending() // after the note was written
 		if !delegatedAgain {
 			t.setEvidence(decodeCrashes(n.GetCrashes()))
-			t.IsolatedBefore = t.Level() == poisontask.NeedsIsolation && !u.Spec.GetGang() && !u.Lasting()
+			t.IsolatedByRecord = t.Level() == poisontask.NeedsIsolation && !u.Spec.GetGang() && !u.Lasting()
 			t.Isolation = NoIsolation
 			if n.GetTrial() {
 				t.Isolation = IsolationRecorded
--- a/pkg/process/jobs/run.go
+++ b/pkg/process/jobs/run.go
@@ -15,9 +15,9 @@
 const (
 	// Sent: the start order was sent and has not been answered. The run counts as running.
 	Sent RunState = iota
-	// Unsure: the start order failed without an answer. The run may be running, or may begin until the worker's
+	// Unanswered: the start order failed without an answer. The run may be running, or may begin until the worker's
 	// clock passes the order's time limit.
-	Unsure
+	Unanswered
 	// Running: the worker has reported the run.
 	Running
 	// Stopping: the leader has asked the worker to stop the run. The run counts as running until its end is
@@ -41,8 +41,8 @@
 	// SentAt is the time at which the start order was first sent, AckedAt the time of its answer.
 	SentAt  time.Time
 	AckedAt time.Time
-	// Tries is the number of times the start order was sent.
-	Tries int
+	// SendCount is the number of times the start order was sent.
+	SendCount int
 	// ValidUntil is the order's time limit on the worker's clock. The worker does not begin the run after it.
 	ValidUntil time.Duration
 	// Percent is the progress that the worker last reported. ProgressAt is the time of its last increase. BeganAt
@@ -50,9 +50,9 @@
 	Percent    int
 	ProgressAt time.Time
 	BeganAt    time.Time
-	// Tail is the last reported tail latency of a lasting task's requests. UsedMillicores is the CPU use of any
+	// TailLatency is the last reported tail latency of a lasting task's requests. UsedMillicores is the CPU use of any
 	// other task. Both are imprecise and delayed.
-	Tail           time.Duration
+	TailLatency    time.Duration
 	UsedMillicores int64
 	// LearnedTail is the tail latency that the interference model last learned from, and LearnedAt the time of
 	// that.
@@ -88,8 +88,8 @@
 	Time, Step, Index int
 }
 
-// ParseTask parses a task's name, as workers list it. It returns false if the name is malformed.
-func ParseTask(name string) (TaskID, bool) {
+// ParseTaskName parses a task's name, as workers list it. It returns false if the name is malformed.
+func ParseTaskName(name string) (TaskID, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
 		return TaskID{}, false
--- a/pkg/process/jobs/suspicion.go
+++ b/pkg/process/jobs/suspicion.go
@@ -50,7 +50,7 @@
 		if c.Silent || !t.Crashes[i].Silent {
 			return false
 		}
-		t.Resolve(c.Worker, c.Run, true)
+		t.ResolveSilent(c.Worker, c.Run, true)
 		return true
 	}
 	c.Again = t.CrashedAt(c.Host) && !c.Trial
@@ -88,9 +88,9 @@
 	return slices.IndexFunc(t.Crashes, func(c poisontask.Crash) bool { return c.Worker == worker && c.Run == run })
 }
 
-// Resolve records whether a worker that became silent during a run has crashed or was only unreachable. It returns
+// ResolveSilent records whether a worker that became silent during a run has crashed or was only unreachable. It returns
 // whether the evidence changed.
-func (t *Task) Resolve(worker string, run int64, crashed bool) bool {
+func (t *Task) ResolveSilent(worker string, run int64, crashed bool) bool {
 	i := t.crashIndex(worker, run)
 	if i < 0 || !t.Crashes[i].Silent {
 		return false
--- a/pkg/process/leadership/leadership.go
+++ b/pkg/process/leadership/leadership.go
@@ -220,8 +220,8 @@
 	return l.role == Leader && now.Before(l.TenureEnd())
 }
 
-// PredecessorsOver returns the time by which all leases of earlier leaders have expired, also on workers that
+// PredecessorLeasesEnd returns the time by which all leases of earlier leaders have expired, also on workers that
 // this leader has not reached.
-func (l Leadership) PredecessorsOver() time.Time {
+func (l Leadership) PredecessorLeasesEnd() time.Time {
 	return l.wonAt.Add(WithMargin(time.Duration(l.predecessorTenureMS) * time.Millisecond))
 }
--- a/pkg/process/operators/operators.go
+++ b/pkg/process/operators/operators.go
@@ -145,7 +145,7 @@
 	return Status{
 		Name: s.Name, Hall: s.Hall, Ready: s.ready.Load(), Leading: c.Leading,
 		Leader: c.Leader.GetHolder(), LeaderAddress: c.Leader.GetAddress(), Epoch: c.Leader.GetEpoch(),
-		Settings: s.Settings.Current().Version(), SettingsAgeMS: s.Settings.Age(time.Now()).Milliseconds(),
+		Settings: s.Settings.Current().Version(), SettingsAgeMS: s.Settings.ConfirmedAge(time.Now()).Milliseconds(),
 		Counts: c.Counts, Services: s.Gateway.View(),
 	}, nil
 }
--- a/pkg/process/parts/parts.go
+++ b/pkg/process/parts/parts.go
@@ -23,17 +23,17 @@
 	return listener, nil
 }
 
-// HTTP is a supervised HTTP server.
-type HTTP struct {
+// HTTPServer is a supervised HTTP server.
+type HTTPServer struct {
 	Server   *http.Server
 	Listener net.Listener
 }
 
 // String returns the name that the supervisor logs.
-func (p *HTTP) String() string { return "HTTP server on " + p.Listener.Addr().String() }
+func (p *HTTPServer) String() string { return "HTTP server on " + p.Listener.Addr().String() }
 
 // Serve serves until the context ends or the server is shut down.
-func (p *HTTP) Serve(ctx context.Context) error {
+func (p *HTTPServer) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = p.Server.Close() })
 	defer stop()
 	if err := p.Server.Serve(p.Listener); !errors.Is(err, http.ErrServerClosed) {
@@ -42,17 +42,17 @@
 	return suture.ErrDoNotRestart
 }
 
-// GRPC is the supervised gRPC server for the other hosts.
-type GRPC struct {
+// GRPCServer is the supervised gRPC server for the other hosts.
+type GRPCServer struct {
 	Server   *grpc.Server
 	Listener net.Listener
 }
 
 // String returns the name that the supervisor logs.
-func (p *GRPC) String() string { return "gRPC server for peers" }
+func (p *GRPCServer) String() string { return "gRPC server for peers" }
 
 // Serve serves until the context ends.
-func (p *GRPC) Serve(ctx context.Context) error {
+func (p *GRPCServer) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, p.Server.Stop)
 	defer stop()
 	if err := p.Server.Serve(p.Listener); err != nil {
--- a/pkg/process/placement/placement.go
+++ b/pkg/process/placement/placement.go
@@ -30,7 +30,7 @@
 	Capacity ledger.Size
 	Free     ledger.Size
 	Services []string
-	Present  interference.Present
+	Present  interference.TaskCounts
 	// JobTasksInRack is the number of tasks of the same job in the worker's rack.
 	JobTasksInRack int
 }
@@ -72,8 +72,8 @@
 	{"least-loaded", "The worker with the smallest share reserved (baseline).", LeastLoaded, reservedShareCost},
 }
 
-// PolicyNamed returns the policy with a name, and the first policy for an unknown name.
-func PolicyNamed(name string) Policy {
+// PolicyByName returns the policy with a name, and the first policy for an unknown name.
+func PolicyByName(name string) Policy {
 	for _, p := range Policies {
 		if p.Name == name {
 			return p
--- a/pkg/process/placement/placement_test.go
+++ b/pkg/process/placement/placement_test.go
@@ -16,7 +16,7 @@
 	for i := range list {
 		list[i] = placement.Worker{
 			Name: fmt.Sprint("w", i), Capacity: ledger.Size{Millicores: 32000}, Free: ledger.Size{Millicores: int64(1000 * (i % 32))},
-			Services: []string{"a"}, Present: interference.Present{"noisy": i % 3},
+			Services: []string{"a"}, Present: interference.TaskCounts{"noisy": i % 3},
 		}
 	}
 	return list
@@ -26,11 +26,11 @@
 func TestLeastHarmAvoidsTheHarmedService(t *testing.T) {
 	model := interference.NewModel()
 	for range 50 {
-		model.Learn("tender", 1.5, interference.Present{"noisy": 1})
-		model.Learn("tough", 0.5, interference.Present{"noisy": 1})
+		model.Learn("tender", 1.5, interference.TaskCounts{"noisy": 1})
+		model.Learn("tough", 0.5, interference.TaskCounts{"noisy": 1})
 	}
 	list := []placement.Worker{{Name: "w1", Services: []string{"tender"}}, {Name: "w2", Services: []string{"tough"}}}
-	choice := placement.PolicyNamed("least-harm").Choose(model, placement.Task{Kind: "noisy"}, list)
+	choice := placement.PolicyByName("least-harm").Choose(model, placement.Task{Kind: "noisy"}, list)
 	must.Eq(t, "w2", choice.Worker)
 }
 
--- a/pkg/process/quarantine/quarantine.go
+++ b/pkg/process/quarantine/quarantine.go
@@ -27,8 +27,8 @@
 	lastProbeAt         time.Time
 }
 
-// Record holds the failures and quarantines of one hall. It belongs to the control thread.
-type Record struct {
+// Tracker holds the failures and quarantines of one hall. It belongs to the control thread.
+type Tracker struct {
 	workers map[string]*worker
 	// failedWorkers lists, for each kind, the workers on which it failed since its last success
 	// on any worker.
@@ -38,12 +38,12 @@
 }
 
 // New returns a Record without failures.
-func New() *Record {
-	return &Record{workers: map[string]*worker{}, failedWorkers: map[string]map[string]bool{}, provenKinds: map[string]bool{}}
+func New() *Tracker {
+	return &Tracker{workers: map[string]*worker{}, failedWorkers: map[string]map[string]bool{}, provenKinds: map[string]bool{}}
 }
 
 // Succeeded records a success of a kind on a worker. It reports whether this ended a quarantine.
-func (r *Record) Succeeded(name, kind string) bool {
+func (r *Tracker) Succeeded(name, kind string) bool {
 	delete(r.failedWorkers, kind)
 	r.provenKinds[kind] = true
 	w := r.worker(name)
@@ -53,7 +53,7 @@
 }
 
 // Failed records a failure of a kind on a worker. It reports whether this quarantined the worker.
-func (r *Record) Failed(now time.Time, name, kind string) bool {
+func (r *Tracker) Failed(now time.Time, name, kind string) bool {
 	if r.failedWorkers[kind] == nil {
 		r.failedWorkers[kind] = map[string]bool{}
 	}
@@ -75,18 +75,18 @@
 }
 
 // KindIsBroken says whether a kind fails on all workers that try it.
-func (r *Record) KindIsBroken(kind string) bool {
+func (r *Tracker) KindIsBroken(kind string) bool {
 	return len(r.failedWorkers[kind]) >= brokenKindWorkers
 }
 
-// Aside says whether the worker is in quarantine.
-func (r *Record) Aside(name string) bool {
+// Quarantined says whether the worker is in quarantine.
+func (r *Tracker) Quarantined(name string) bool {
 	w, ok := r.workers[name]
 	return ok && w.quarantined
 }
 
 // MayPlace says whether a worker may get a task now. A quarantined one may when a probe is due.
-func (r *Record) MayPlace(now time.Time, name string) bool {
+func (r *Tracker) MayPlace(now time.Time, name string) bool {
 	w, ok := r.workers[name]
 	if !ok || !w.quarantined {
 		return true
@@ -94,14 +94,14 @@
 	return now.Sub(w.lastProbeAt) >= probeInterval
 }
 
-// Placed records that a task was placed on the worker. In quarantine this task is the probe.
-func (r *Record) Placed(now time.Time, name string) {
+// NotePlaced records that a task was placed on the worker. In quarantine this task is the probe.
+func (r *Tracker) NotePlaced(now time.Time, name string) {
 	if w, ok := r.workers[name]; ok && w.quarantined {
 		w.lastProbeAt = now
 	}
 }
 
-func (r *Record) worker(name string) *worker {
+func (r *Tracker) worker(name string) *worker {
 	if r.workers[name] == nil {
 		r.workers[name] = &worker{}
 	}
--- a/pkg/process/quota/quota.go
+++ b/pkg/process/quota/quota.go
@@ -16,8 +16,8 @@
 // Limit is a team's quota. A resource with limit zero is unlimited.
 type Limit = ledger.Size
 
-// Waiting is one task in the queue.
-type Waiting struct {
+// QueuedTask is one task in the queue.
+type QueuedTask struct {
 	ID       string
 	Team     string
 	Priority int
@@ -28,8 +28,8 @@
 // Usage holds the reservations of each team in the hall.
 type Usage map[string]ledger.Size
 
-// Over returns whether a task of the given size would take the team over its limit.
-func Over(used, size ledger.Size, limit Limit) bool {
+// Exceeds returns whether a task of the given size would take the team over its limit.
+func Exceeds(used, size ledger.Size, limit Limit) bool {
 	after := used.Plus(size)
 	return exceeds(after.Millicores, limit.Millicores) ||
 		exceeds(after.MemoryMB, limit.MemoryMB) ||
@@ -38,14 +38,14 @@
 
 func exceeds(amount, limit int64) bool { return limit > 0 && amount > limit }
 
-// Order sorts the queue in place. It computes the shares once, before the round, because one round places few
+// SortQueue sorts the queue in place. It computes the shares once, before the round, because one round places few
 // tasks compared with those already running.
-func Order(queue []Waiting, usage Usage, total ledger.Size) {
+func SortQueue(queue []QueuedTask, usage Usage, total ledger.Size) {
 	shares := make(map[string]float64, len(usage))
 	for team, used := range usage {
 		shares[team] = used.DominantShare(total)
 	}
-	slices.SortStableFunc(queue, func(a, b Waiting) int {
+	slices.SortStableFunc(queue, func(a, b QueuedTask) int {
 		return cmp.Or(
 			cmp.Compare(b.Priority, a.Priority),
 			cmp.Compare(shares[a.Team], shares[b.Team]),
--- a/pkg/process/runtimes/runtimes.go
+++ b/pkg/process/runtimes/runtimes.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// Task returns the estimated run time of a task of the named kind. It returns 0 if no time is declared and no run
+// TaskTime returns the estimated run time of a task of the named kind. It returns 0 if no time is declared and no run
 // of the kind is known.
-func (e *Estimates) Task(name string, declared time.Duration) time.Duration {
+func (e *Estimates) TaskTime(name string, declared time.Duration) time.Duration {
 	k := e.kinds[name]
 	if k == nil {
 		return declared
@@ -106,9 +106,9 @@
 	return fromLog(kindShare*k.logTimes.mean + (1-kindShare)*(declaredLog-bias))
 }
 
-// Step returns the estimated run time of a step whose tasks all start at once: that of its longest task.
-func (e *Estimates) Step(name string, declared time.Duration, tasks int) time.Duration {
-	return time.Duration(float64(e.Task(name, declared)) * longestToMedian(tasks))
+// StepTime returns the estimated run time of a step whose tasks all start at once: that of its longest task.
+func (e *Estimates) StepTime(name string, declared time.Duration, tasks int) time.Duration {
+	return time.Duration(float64(e.TaskTime(name, declared)) * longestToMedian(tasks))
 }
 
 // longestToMedian returns the approximate ratio between the run times of the longest of the given number of tasks and
--- a/pkg/process/runtimes/runtimes_test.go
+++ b/pkg/process/runtimes/runtimes_test.go
@@ -24,7 +24,7 @@
 		declared := seconds(step * math.Exp(declaredSD*random.NormFloat64()))
 		if n >= steps/2 {
 			declaredError += math.Abs(math.Log(declared.Seconds()/step)) / (steps / 2)
-			estimateError += math.Abs(math.Log(e.Task("ledgers", declared).Seconds()/step)) / (steps / 2)
+			estimateError += math.Abs(math.Log(e.TaskTime("ledgers", declared).Seconds()/step)) / (steps / 2)
 		}
 		for range tasks {
 			e.Learn("ledgers", declared, seconds(step*math.Exp(withinStepSD*random.NormFloat64())), tasks)
@@ -54,18 +54,18 @@
 func TestEstimateIfOnlyOneSourceIsKnown(t *testing.T) {
 	t.Parallel()
 	e := runtimes.New()
-	must.Eq(t, 3*time.Second, e.Task("new", 3*time.Second))
-	must.Eq(t, 0, e.Task("new", 0))
+	must.Eq(t, 3*time.Second, e.TaskTime("new", 3*time.Second))
+	must.Eq(t, 0, e.TaskTime("new", 0))
 	e.Learn("new", 0, 2*time.Second, 1)
-	must.Between(t, 1999*time.Millisecond, e.Task("new", 0), 2001*time.Millisecond)
+	must.Between(t, 1999*time.Millisecond, e.TaskTime("new", 0), 2001*time.Millisecond)
 }
 
 // A step with many tasks takes as long as its longest task.
 func TestStepTakesAsLongAsItsLongestTask(t *testing.T) {
 	t.Parallel()
 	e := runtimes.New()
-	must.Eq(t, time.Second, e.Step("new", time.Second, 1))
-	must.Between(t, 1400*time.Millisecond, e.Step("new", time.Second, 8), 1600*time.Millisecond)
+	must.Eq(t, time.Second, e.StepTime("new", time.Second, 1))
+	must.Between(t, 1400*time.Millisecond, e.StepTime("new", time.Second, 8), 1600*time.Millisecond)
 }
 
 // A worker that runs a hundred times slower than the others must not distort the estimate.
@@ -76,5 +76,5 @@
 		e.Learn("a", time.Second, time.Second, 1)
 	}
 	e.Learn("a", time.Second, 100*time.Second, 1)
-	must.Less(t, 1100*time.Millisecond, e.Task("a", time.Second))
+	must.Less(t, 1100*time.Millisecond, e.TaskTime("a", time.Second))
 }
--- a/pkg/process/workers/account.go
+++ b/pkg/process/workers/account.go
@@ -11,9 +11,9 @@
 	"github.com/wrenferry/wrenferry/pkg/process/ledger"
 )
 
-// Account is one row of the worker registry before validation. A nil field is missing in
+// RegistryRow is one row of the worker registry before validation. A nil field is missing in
 // the row. Other programs may write rows too, so every field is checked.
-type Account struct {
+type RegistryRow struct {
 	ID       string
 	Born     *int64
 	Host     *string
@@ -41,31 +41,31 @@
 	StateLeaving = "draining"
 )
 
-// Known looks up the services of the manifest and the halls of the deployment, which a row may name.
-type Known struct {
+// KnownNames looks up the services of the manifest and the halls of the deployment, which a row may name.
+type KnownNames struct {
 	Service func(name string) bool
 	Hall    func(name string) bool
 }
 
-// Unusable is the error for a row that describes no usable worker.
-type Unusable struct {
+// InvalidRow is the error for a row that describes no usable worker.
+type InvalidRow struct {
 	ID string
 	// Field is the invalid field, in the words of the product; empty: the row can't be
 	// parsed at all. Why is the problem.
-	Field, Why string
+	Field, Reason string
 }
 
 // Error returns the field and its problem.
-func (u *Unusable) Error() string {
+func (u *InvalidRow) Error() string {
 	if u.Field == "" {
-		return u.Why
+		return u.Reason
 	}
-	return u.Field + ": " + u.Why
+	return u.Field + ": " + u.Reason
 }
 
-// AsUnusable returns the Unusable that err wraps, or nil if it wraps none.
-func AsUnusable(err error) *Unusable {
-	var u *Unusable
+// AsInvalidRow returns the Unusable that err wraps, or nil if it wraps none.
+func AsInvalidRow(err error) *InvalidRow {
+	var u *InvalidRow
 	if errors.As(err, &u) {
 		return u
 	}
@@ -83,8 +83,8 @@
 	maxRemainingMs = int64(24 * time.Hour / time.Millisecond)
 )
 
-// Judge validates a row and returns the worker's Record. The error is an *Unusable.
-func Judge(a Account, known Known) (Record, error) {
+// ValidateRow validates a row and returns the worker's Record. The error is an *Unusable.
+func ValidateRow(a RegistryRow, known KnownNames) (Record, error) {
 	for _, check := range []struct {
 		field string
 		why   string
@@ -102,7 +102,7 @@
 		{"capacity", capacityProblem(a.Capacity)},
 	} {
 		if check.why != "" {
-			return Record{}, &Unusable{ID: a.ID, Field: check.field, Why: check.why}
+			return Record{}, &InvalidRow{ID: a.ID, Field: check.field, Reason: check.why}
 		}
 	}
 	return recordFrom(a, known)
@@ -110,9 +110,9 @@
 
 // recordFrom converts a row whose fields are all present. It also checks the values of the
 // ID, state, address, host, hall and service.
-func recordFrom(a Account, known Known) (Record, error) {
+func recordFrom(a RegistryRow, known KnownNames) (Record, error) {
 	unusable := func(field, why string) (Record, error) {
-		return Record{}, &Unusable{ID: a.ID, Field: field, Why: why}
+		return Record{}, &InvalidRow{ID: a.ID, Field: field, Reason: why}
 	}
 	switch {
 	case a.ID == "":
@@ -193,8 +193,8 @@
 	return ledger.Size{Millicores: valueOrZero(c.Millicores), MemoryMB: valueOrZero(c.MemoryMB), Accelerators: valueOrZero(c.Accelerators)}
 }
 
-// JudgeRoom returns the capacity that a worker reports, and whether it is valid.
-func JudgeRoom(c *Capacity) (ledger.Size, bool) {
+// ValidateCapacity returns the capacity that a worker reports, and whether it is valid.
+func ValidateCapacity(c *Capacity) (ledger.Size, bool) {
 	if capacityProblem(c) != "" {
 		return ledger.Size{}, false
 	}
--- a/pkg/process/workers/health.go
+++ b/pkg/process/workers/health.go
@@ -37,10 +37,10 @@
 	probeTimeout = 4 * time.Second
 )
 
-// Failed records that a run of a unit failed on the worker and reports whether the worker
+// RunFailed records that a run of a unit failed on the worker and reports whether the worker
 // is in quarantine as a result. Callers leave out units that failed on other workers too,
 // since then the unit itself is at fault.
-func (h *Health) Failed(unit string, now time.Time) bool {
+func (h *Health) RunFailed(unit string, now time.Time) bool {
 	if h.quarantined {
 		h.quarantine("probe run failed", false, now)
 		return true
@@ -65,25 +65,25 @@
 	}
 }
 
-// Refused quarantines the worker because it refused a start that should fit.
-func (h *Health) Refused(why string, now time.Time) {
+// StartRefused quarantines the worker because it refused a start that should fit.
+func (h *Health) StartRefused(why string, now time.Time) {
 	if !h.quarantined || !now.Before(h.quarantinedUntil) {
 		h.quarantine("refused a start: "+why, true, now)
 	}
 }
 
-// Worked records that a run succeeded. It ends a quarantine and reports whether there was one.
-func (h *Health) Worked() bool {
+// RunSucceeded records that a run succeeded. It ends a quarantine and reports whether there was one.
+func (h *Health) RunSucceeded() bool {
 	was := h.quarantined
 	*h = Health{}
 	return was
 }
 
 // Progressed records that a run made progress. It reports whether this ended a quarantine.
-func (h *Health) Progressed() bool { return h.quarantined && h.stalled && h.Worked() }
+func (h *Health) Progressed() bool { return h.quarantined && h.stalled && h.RunSucceeded() }
 
-// TrialGiven records that a run was started on the worker. In quarantine this run is the probe.
-func (h *Health) TrialGiven(now time.Time) {
+// ProbeStarted records that a run was started on the worker. In quarantine this run is the probe.
+func (h *Health) ProbeStarted(now time.Time) {
 	if h.quarantined {
 		h.probeAt = now
 	}
--- a/pkg/process/workers/incarnations.go
+++ b/pkg/process/workers/incarnations.go
@@ -27,7 +27,7 @@
 		w.otherRowAt = now
 	}
 	w.otherRow = &r
-	w.Unlist(now)
+	w.MarkUnlisted(now)
 	return unknown
 }
 
@@ -35,31 +35,31 @@
 // that one was sent may have ended, so its answer is not awaited.
 func (w *Worker) PollNow(now time.Time) { w.PollOutstanding, w.NextPollAt = false, now }
 
-// Unlist records that the worker registry does not list this incarnation.
-func (w *Worker) Unlist(now time.Time) {
+// MarkUnlisted records that the worker registry does not list this incarnation.
+func (w *Worker) MarkUnlisted(now time.Time) {
 	if w.Listed {
 		w.Listed, w.UnlistedAt = false, now
 	}
 }
 
-// RowGone records that the worker registry holds no row under this ID.
-func (w *Worker) RowGone(now time.Time) {
+// RowRemoved records that the worker registry holds no row under this ID.
+func (w *Worker) RowRemoved(now time.Time) {
 	if w.Listed {
-		w.RowGoneAt = now
+		w.RowRemovedAt = now
 	}
 	w.otherRow = nil
-	w.Unlist(now)
+	w.MarkUnlisted(now)
 }
 
 // LeftOrderly says whether the worker is leaving, or answered after its registry row had been
 // removed. Such an incarnation ends without a crash. A row that is removed after the worker
 // fell silent doesn't count: the silence is then the reason for the removal.
 func (w *Worker) LeftOrderly() bool {
-	return w.Leaving || (!w.RowGoneAt.IsZero() && w.RowGoneAt.Before(w.LastAnswerAt))
+	return w.Leaving || (!w.RowRemovedAt.IsZero() && w.RowRemovedAt.Before(w.LastAnswerAt))
 }
 
-// EndedAt returns the latest time at which an incarnation that has ended by now can have ended.
-func (w *Worker) EndedAt(now time.Time) time.Time {
+// LatestEnd returns the latest time at which an incarnation that has ended by now can have ended.
+func (w *Worker) LatestEnd(now time.Time) time.Time {
 	switch {
 	case !w.SilentSince.IsZero():
 		return w.SilentSince
@@ -69,9 +69,9 @@
 	return now
 }
 
-// Answered records that this incarnation answered a poll sent at the given time. A row of
+// PollAnswered records that this incarnation answered a poll sent at the given time. A row of
 // another incarnation that was stored before then is outdated.
-func (w *Worker) Answered(sentAt time.Time) {
+func (w *Worker) PollAnswered(sentAt time.Time) {
 	if w.otherRow != nil && w.otherRowAt.Before(sentAt) {
 		w.outdatedBorn, w.otherRow, w.Listed = w.otherRow.Born, nil, true
 	}
--- a/pkg/process/workers/report.go
+++ b/pkg/process/workers/report.go
@@ -58,17 +58,17 @@
 	Percent int
 }
 
-// How is the outcome of a run, in the words of the worker's list.
-type How string
+// Outcome is the outcome of a run, in the words of the worker's list.
+type Outcome string
 
 // The ends of runs.
 const (
-	EndedDone    How = "done"
-	EndedFailed  How = "failed"
-	EndedStopped How = "stopped"
-	EndedLapsed  How = "lapsed"
-	EndedBroken  How = "broken"
-	EndedAlone   How = "alone"
+	EndedDone    Outcome = "done"
+	EndedFailed  Outcome = "failed"
+	EndedStopped Outcome = "stopped"
+	EndedLapsed  Outcome = "lapsed"
+	EndedBroken  Outcome = "broken"
+	EndedAlone   Outcome = "alone"
 )
 
 // Active is one active run in a worker's list.
@@ -87,7 +87,7 @@
 	Number     int64
 	Task       string
 	Run        int64
-	How        How
+	Outcome    Outcome
 	Checkpoint string
 }
 
@@ -98,8 +98,8 @@
 	Clock  time.Duration
 	Active []Active
 	Ended  []End
-	// Room is the capacity that the worker reports; nil: not reported.
-	Room *ledger.Size
+	// Capacity is the capacity that the worker reports; nil: not reported.
+	Capacity *ledger.Size
 	// UnreadableLines is how many lines of both lists could not be parsed.
 	UnreadableLines int
 }
@@ -111,15 +111,15 @@
 const (
 	NotRefused         Refusal = ""
 	RefusedFence       Refusal = "fence"     // another leader's epoch is higher
-	RefusedOld         Refusal = "old"       // a run of the task with this or a higher number ended there
-	RefusedLate        Refusal = "late"      // the order's time limit (Until) was over
-	RefusedRoom        Refusal = "room"      // the run does not fit into the free capacity
+	RefusedSuperseded  Refusal = "old"       // a run of the task with this or a higher number ended there
+	RefusedExpired     Refusal = "late"      // the order's time limit (Until) was over
+	RefusedNoCapacity  Refusal = "room"      // the run does not fit into the free capacity
 	RefusedTicket      Refusal = "ticket"    // the ticket does not allow the run there
-	RefusedIncarnation Refusal = "life"      // a worker with another ID answers at the address
+	RefusedOtherWorker Refusal = "life"      // a worker with another ID answers at the address
 	RefusedRestarted   Refusal = "begun"     // not sent: the worker has restarted since
 	RefusedBusy        Refusal = "busy"      // the worker is overloaded or unavailable and did nothing
 	RefusedMalformed   Refusal = "malformed" // the worker can't parse the order
-	RefusedMissing     Refusal = "missing"   // the worker has no such run
+	RefusedNoSuchRun   Refusal = "missing"   // the worker has no such run
 )
 
 // Reply is a worker's answer to an order. Clock is the reading of its clock.
--- a/pkg/process/workers/worker.go
+++ b/pkg/process/workers/worker.go
@@ -77,8 +77,8 @@
 	// Listed says that the worker registry lists this incarnation. UnlistedAt is when that ended.
 	Listed     bool
 	UnlistedAt time.Time
-	// RowGoneAt is when the last registry row under this ID was removed; zero: there is a row.
-	RowGoneAt time.Time
+	// RowRemovedAt is when the last registry row under this ID was removed; zero: there is a row.
+	RowRemovedAt time.Time
 	// LeavingAt is when this leader first learned that the worker is leaving.
 	LeavingAt time.Time
 	// Runs are the runs that may be active on the worker.
@@ -91,8 +91,8 @@
 	// zero: the last call succeeded.
 	LastAnswerAt time.Time
 	SilentSince  time.Time
-	// Failures is how many polls in a row have failed.
-	Failures int
+	// FailedPolls is how many polls in a row have failed.
+	FailedPolls int
 	// PollSentAt is when the last poll was sent. PollOutstanding says that its answer is awaited.
 	// NextPollAt is when the next poll is due.
 	PollSentAt      time.Time
@@ -121,11 +121,11 @@
 	NoFillersUntil time.Time
 	// PacedAt is the LastAnswerAt on which the latest decision on the pace of its fillers is based.
 	PacedAt time.Time
-	// Gone says that this incarnation has certainly ended. GoneAt is when the leader learned of it,
+	// Ended says that this incarnation has certainly ended. GoneAt is when the leader learned of it,
 	// GoneWhy the reason.
-	Gone    bool
-	GoneAt  time.Time
-	GoneWhy string
+	Ended      bool
+	EndKnownAt time.Time
+	EndReason  string
 
 	// otherRow is the newest registry row of another incarnation under this ID, first received at
 	// otherRowAt. outdatedBorn is the Born of such a row that proved outdated.
@@ -152,54 +152,54 @@
 	return &Worker{Record: r, Listed: true, tasksByUnit: map[*jobs.Unit]int64{}}
 }
 
-// TakeClock records a reading of the worker's clock from an answer. When the answer arrived,
+// UpdateClock records a reading of the worker's clock from an answer. When the answer arrived,
 // the clock showed this reading or a later one.
-func (w *Worker) TakeClock(now time.Time, clock time.Duration) {
-	if clock > w.ClockAtLeast(now) || w.clockAt.IsZero() {
+func (w *Worker) UpdateClock(now time.Time, clock time.Duration) {
+	if clock > w.MinClock(now) || w.clockAt.IsZero() {
 		w.clock, w.clockAt = clock, now
 	}
 }
 
-// Clocked says whether there is any reading of the worker's clock.
-func (w *Worker) Clocked() bool { return !w.clockAt.IsZero() }
+// HasClock says whether there is any reading of the worker's clock.
+func (w *Worker) HasClock() bool { return !w.clockAt.IsZero() }
 
-// ClockAtLeast returns the least time that the worker's clock can show now; 0 without a reading.
-func (w *Worker) ClockAtLeast(now time.Time) time.Duration {
+// MinClock returns the least time that the worker's clock can show now; 0 without a reading.
+func (w *Worker) MinClock(now time.Time) time.Duration {
 	if w.clockAt.IsZero() {
 		return 0
 	}
 	return w.clock + time.Duration(float64(now.Sub(w.clockAt))*(1-maxClockDrift))
 }
 
-// Grant extends the worker's lease by span from now and returns its end by the worker's clock.
+// GrantLease extends the worker's lease by span from now and returns its end by the worker's clock.
 // LeaseOver and LeaseLeft use the latest end that was ever granted.
-func (w *Worker) Grant(now time.Time, span time.Duration) time.Duration {
-	until := w.ClockAtLeast(now) + span
+func (w *Worker) GrantLease(now time.Time, span time.Duration) time.Duration {
+	until := w.MinClock(now) + span
 	w.leaseUntil = max(w.leaseUntil, until)
 	w.leaseGranted = true
 	return until
 }
 
-// LeaseOver says whether the lease has certainly expired, so that the worker has ended all runs
+// LeaseExpired says whether the lease has certainly expired, so that the worker has ended all runs
 // by itself. It holds only if no other leader has extended the lease since.
-func (w *Worker) LeaseOver(now time.Time) bool {
-	if !w.Clocked() || !w.leaseGranted || now.Before(w.clockAt) {
+func (w *Worker) LeaseExpired(now time.Time) bool {
+	if !w.HasClock() || !w.leaseGranted || now.Before(w.clockAt) {
 		return false
 	}
-	return w.ClockAtLeast(now) > w.leaseUntil+clockRounding
+	return w.MinClock(now) > w.leaseUntil+clockRounding
 }
 
-// LeaseLeft returns the longest time for which the leases granted by this process may still last.
-func (w *Worker) LeaseLeft(now time.Time) time.Duration {
-	if !w.Clocked() || !w.leaseGranted {
+// MaxLeaseLeft returns the longest time for which the leases granted by this process may still last.
+func (w *Worker) MaxLeaseLeft(now time.Time) time.Duration {
+	if !w.HasClock() || !w.leaseGranted {
 		return 0
 	}
-	left := w.leaseUntil + clockRounding - w.ClockAtLeast(now)
+	left := w.leaseUntil + clockRounding - w.MinClock(now)
 	return max(0, time.Duration(float64(left)/(1-maxClockDrift)))
 }
 
-// Passed says whether a worker's clock with this reading is certainly past a moment.
-func Passed(clock, moment time.Duration) bool { return clock > moment+clockRounding }
+// ClockPassed says whether a worker's clock with this reading is certainly past a moment.
+func ClockPassed(clock, moment time.Duration) bool { return clock > moment+clockRounding }
 
 // Add adds a run to Runs and to the totals.
 func (w *Worker) Add(r *jobs.Run) {
@@ -227,7 +227,7 @@
 // addToTotals adds a number of tasks of a unit to the totals. They are kept because placement
 // reads them many times a second.
 func (w *Worker) addToTotals(u *jobs.Unit, by int64) {
-	size := Reserved(u)
+	size := ReservedSize(u)
 	w.reserved.Millicores += by * size.Millicores
 	w.reserved.MemoryMB += by * size.MemoryMB
 	w.reserved.Accelerators += by * size.Accelerators
@@ -252,18 +252,18 @@
 	}
 }
 
-// Lasting returns the capacity that lasting tasks have reserved.
-func (w *Worker) Lasting() ledger.Size { return w.lastingReserved }
+// LastingReserved returns the capacity that lasting tasks have reserved.
+func (w *Worker) LastingReserved() ledger.Size { return w.lastingReserved }
 
 // SetForeignSize sets the capacity taken by runs that the worker lists but that belong to no
 // job of this cell. They are being stopped.
 func (w *Worker) SetForeignSize(size ledger.Size) { w.foreignSize = size }
 
-// Free returns the capacity that is not reserved. Fillers reserve no processors.
-func (w *Worker) Free() ledger.Size { return w.Capacity.Minus(w.foreignSize).Minus(w.reserved) }
+// FreeCapacity returns the capacity that is not reserved. Fillers reserve no processors.
+func (w *Worker) FreeCapacity() ledger.Size { return w.Capacity.Minus(w.foreignSize).Minus(w.reserved) }
 
-// Reserved returns the capacity that one task of a unit reserves. A filler reserves no processors.
-func Reserved(u *jobs.Unit) ledger.Size {
+// ReservedSize returns the capacity that one task of a unit reserves. A filler reserves no processors.
+func ReservedSize(u *jobs.Unit) ledger.Size {
 	size := u.Size
 	if u.Spec.GetFiller() {
 		size.Millicores = 0
@@ -271,8 +271,8 @@
 	return size
 }
 
-// CountOf returns how many tasks of a unit the worker has.
-func (w *Worker) CountOf(u *jobs.Unit) int { return int(w.tasksByUnit[u]) }
+// TaskCount returns how many tasks of a unit the worker has.
+func (w *Worker) TaskCount(u *jobs.Unit) int { return int(w.tasksByUnit[u]) }
 
 // latencyTaskLoad is the average share of its reserved processors that a task with a latency
 // target uses. Workers report a latency for such a task, and so not its processor use.
@@ -289,23 +289,23 @@
 	return w.HasAnswered && w.otherRow == nil && w.UnreadableLines == 0 && len(w.OrphanedRuns) == 0 && len(w.OrphanedEnds) == 0 && w.foreignSize == ledger.Size{}
 }
 
-// Unused returns an estimate of the millicores that are left for more fillers, after the
+// UnusedMillicores returns an estimate of the millicores that are left for more fillers, after the
 // requests of all tasks there, fillers included.
-func (w *Worker) Unused() int64 { return w.Capacity.Millicores - w.requestedMillicores }
+func (w *Worker) UnusedMillicores() int64 { return w.Capacity.Millicores - w.requestedMillicores }
 
-// FillersRequested returns the millicores that the fillers there request.
-func (w *Worker) FillersRequested() int64 { return w.fillerMillicores }
+// FillerMillicoresRequested returns the millicores that the fillers there request.
+func (w *Worker) FillerMillicoresRequested() int64 { return w.fillerMillicores }
 
-// Serving says whether the worker has a task with a latency target.
-func (w *Worker) Serving() bool { return w.latencyTasks > 0 }
+// HasLatencyTarget says whether the worker has a task with a latency target.
+func (w *Worker) HasLatencyTarget() bool { return w.latencyTasks > 0 }
 
-// Filling says whether the worker has a filler.
-func (w *Worker) Filling() bool { return w.fillerTasks > 0 }
+// HasFillers says whether the worker has a filler.
+func (w *Worker) HasFillers() bool { return w.fillerTasks > 0 }
 
 // Usable says whether the worker may get new work: it is listed, ready and not leaving, its last
 // answer is at most span old, and no call has failed since. Quarantine is not checked here.
 func (w *Worker) Usable(now time.Time, span time.Duration) bool {
-	if w.Gone || !w.Listed || !w.Ready || w.Leaving || !w.HasAnswered || !w.Clocked() {
+	if w.Ended || !w.Listed || !w.Ready || w.Leaving || !w.HasAnswered || !w.HasClock() {
 		return false
 	}
 	return now.Sub(w.LastAnswerAt) <= span && w.SilentSince.IsZero()
--- a/pkg/request/binding/binding.go
+++ b/pkg/request/binding/binding.go
@@ -74,7 +74,7 @@
 func (k *Keys) Age(now time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return now.Sub(latest(k.started, k.entries.LostUntil()))
+	return now.Sub(latest(k.started, k.entries.NewestDropped()))
 }
 
 // BeginResult is the result of Begin.
@@ -170,9 +170,9 @@
 	e.done = nil
 }
 
-// Wait returns a channel that is closed when an earlier attempt ends, or nil if that has ended
+// Done returns a channel that is closed when an earlier attempt ends, or nil if that has ended
 // already.
-func (k *Keys) Wait(e *Entry) <-chan struct{} {
+func (k *Keys) Done(e *Entry) <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if e.done == nil {
--- a/pkg/request/cellchoice/board.go
+++ b/pkg/request/cellchoice/board.go
@@ -21,15 +21,15 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// GoodFor is the largest age of a load that counts for the choice: the load of a busy cell
+// MaxLoadAge is the largest age of a load that counts for the choice: the load of a busy cell
 // changes completely within some seconds.
-const GoodFor = 3 * time.Second
+const MaxLoadAge = 3 * time.Second
 
 // Cell describes a cell apart from its load.
 type Cell struct {
 	Hall string
-	// Led means that the cell's leader is known and within reach.
-	Led bool
+	// HasLeader means that the cell's leader is known and within reach.
+	HasLeader bool
 }
 
 // reportedLoad is a cell's load as its leader reported it at reportedAt, plus the demand of the
@@ -49,8 +49,8 @@
 // NewBoard returns the board of a host in a hall. It has no loads yet.
 func NewBoard(hall string) *Board { return &Board{hall: hall, loads: map[string]reportedLoad{}} }
 
-// Take stores the load that a cell's leader reported at the time now.
-func (b *Board) Take(now time.Time, l *wire.CellLoad) {
+// SetLoad stores the load that a cell's leader reported at the time now.
+func (b *Board) SetLoad(now time.Time, l *wire.CellLoad) {
 	b.loads[l.GetCell()] = reportedLoad{CellLoad: l, reportedAt: now}
 }
 
@@ -61,7 +61,7 @@
 }
 
 // Choice is the cell for a job. Why lists the cost of each cell for the log.
-type Choice struct{ Cell, Why string }
+type Choice struct{ Cell, Reason string }
 
 // Choose returns the cell with the lowest cost for a new job. It adds the job's demand to the
 // cell's load until its leader reports the next one.
@@ -77,13 +77,13 @@
 		}
 	}
 	b.addDemand(best, d)
-	return Choice{Cell: best, Why: "cost in ms (age of load): " + strings.Join(costs, ", ")}
+	return Choice{Cell: best, Reason: "cost in ms (age of load): " + strings.Join(costs, ", ")}
 }
 
 // freshLoad returns a cell's load, or nil if none is known or it is older than GoodFor.
 func (b *Board) freshLoad(now time.Time, name string) *wire.CellLoad {
 	k := b.loads[name]
-	if k.CellLoad == nil || now.Sub(k.reportedAt) > GoodFor {
+	if k.CellLoad == nil || now.Sub(k.reportedAt) > MaxLoadAge {
 		return nil
 	}
 	return k.CellLoad
--- a/pkg/request/cellchoice/board_test.go
+++ b/pkg/request/cellchoice/board_test.go
@@ -12,7 +12,7 @@
 
 var (
 	start = time.Unix(1000, 0)
-	cells = map[string]cellchoice.Cell{"a": {Hall: "a", Led: true}, "b": {Hall: "b", Led: true}, "c": {Hall: "c", Led: true}}
+	cells = map[string]cellchoice.Cell{"a": {Hall: "a", HasLeader: true}, "b": {Hall: "b", HasLeader: true}, "c": {Hall: "c", HasLeader: true}}
 )
 
 // emptyCellLoad returns the load of a cell without tasks.
@@ -34,7 +34,7 @@
 	t.Parallel()
 	b := cellchoice.NewBoard("a")
 	for name := range cells {
-		b.Take(start, emptyCellLoad(name))
+		b.SetLoad(start, emptyCellLoad(name))
 	}
 	got := map[string]int{}
 	for range 30 {
@@ -49,6 +49,6 @@
 	t.Parallel()
 	b := cellchoice.NewBoard("a")
 	must.Eq(t, "a", b.Choose(start, plainJob(1), cells).Cell, must.Sprint("without any load the own hall is chosen"))
-	lost := map[string]cellchoice.Cell{"a": {Hall: "a"}, "b": {Hall: "b", Led: true}}
+	lost := map[string]cellchoice.Cell{"a": {Hall: "a"}, "b": {Hall: "b", HasLeader: true}}
 	must.Eq(t, "b", b.Choose(start, plainJob(1), lost).Cell)
 }
--- a/pkg/request/cellchoice/cost.go
+++ b/pkg/request/cellchoice/cost.go
@@ -66,7 +66,7 @@
 	if cells[name].Hall != b.hall {
 		cost += otherHallCost
 	}
-	if !cells[name].Led {
+	if !cells[name].HasLeader {
 		cost += noLeaderCost
 	}
 	l := b.freshLoad(now, name)
--- a/pkg/request/gateway/gateway.go
+++ b/pkg/request/gateway/gateway.go
@@ -38,9 +38,9 @@
 // Peers calls the other entry hosts.
 type Peers interface {
 	// Ask asks all other entry hosts about a key, and returns their combined answer.
-	Ask(ctx context.Context, q *wire.AskRequest) peer.Asked
-	// SpreadLeaving notifies all other entry hosts that a server is leaving.
-	SpreadLeaving(service, name string)
+	Ask(ctx context.Context, q *wire.AskRequest) peer.KeyAnswers
+	// AnnounceLeaving notifies all other entry hosts that a server is leaving.
+	AnnounceLeaving(service, name string)
 	// WakeLeader notifies the hall's leader of a new row in its inbox.
 	WakeLeader(hall string)
 }
@@ -172,7 +172,7 @@
 	}
 	g.mu.Unlock()
 	for name, list := range byService {
-		g.service(name).pool.SetHosts(list)
+		g.service(name).pool.SetServers(list)
 	}
 }
 
--- a/pkg/request/gateway/request.go
+++ b/pkg/request/gateway/request.go
@@ -141,16 +141,16 @@
 // marks work that another host may have run already. An unsure answer stops a retry, but not a first
 // try, which no other host can have run.
 func (g *Gateway) runUnderKey(ctx context.Context, c *call, key binding.Key, retry bool) Answer {
-	if !g.unsafe.NoAsk && (retry || c.kind.AskPeers == settings.AskAlways) {
+	if !g.unsafe.NoAsk && (retry || c.kind.AskPeers == settings.AskPeersAlways) {
 		asked := g.peers.Ask(ctx, key.Question(c.kind.KeyWindow))
 		if asked.MaybeRan {
 			return unknownAnswer(string(admit.SeenElsewhere), "another entry host has had this key; look whether the work was done")
 		}
 		young := g.keys.Age(g.now()) < c.kind.KeyWindow
-		if retry && (asked.Unsure || young) {
+		if retry && (asked.Incomplete || young) {
 			return unknownAnswer("no-entry-host-can-vouch", "an entry host is away or too young to vouch for this key; look whether the work was done, or ask again later")
 		}
-		if asked.Unsure {
+		if asked.Incomplete {
 			g.count("requests.first-try-unsure")
 		}
 	}
@@ -164,7 +164,7 @@
 // answerOfEarlierTry waits for the end of the first try under a key, and returns its answer to a caller
 // that retries at the same entry host.
 func (g *Gateway) answerOfEarlierTry(ctx context.Context, e *binding.Entry) Answer {
-	if done := g.keys.Wait(e); done != nil {
+	if done := g.keys.Done(e); done != nil {
 		select {
 		case <-done:
 		case <-ctx.Done():
@@ -228,7 +228,7 @@
 		return nil, &admit.Refusal{Reason: admit.NoServer, RetryAfter: time.Second}
 	}
 	now := g.now()
-	slots, latency := s.pool.Room(now)
+	slots, latency := s.pool.ShareOfCapacity(now)
 	waiter, refusal := s.gate.Join(c.kind.Priority, c.kind.QueueLimit, c.deadline.Sub(now), admit.Load{Slots: slots, Latency: latency})
 	if refusal != nil {
 		return nil, refusal
@@ -299,8 +299,8 @@
 
 // finishLease ends a lease. It notifies the other entry hosts if the server reported first now that it is leaving.
 func (g *Gateway) finishLease(c *call, lease *runner.Lease, report runner.Report) {
-	if lease.Done(g.now(), report) {
+	if lease.Release(g.now(), report) {
 		g.count("servers.leaving")
-		g.peers.SpreadLeaving(c.kind.Service, lease.Name)
+		g.peers.AnnounceLeaving(c.kind.Service, lease.Name)
 	}
 }
--- a/pkg/request/gateway/stream.go
+++ b/pkg/request/gateway/stream.go
@@ -67,7 +67,7 @@
 	tried := map[string]bool{}
 	silentSince := s.gateway.now()
 	for ctx.Err() == nil {
-		lease := s.service.pool.AcquireStream(s.gateway.now(), s.gateway.client.MostStreams(), tried)
+		lease := s.service.pool.AcquireStream(s.gateway.now(), s.gateway.client.MaxStreams(), tried)
 		if lease == nil {
 			if !s.headerSent || s.gateway.now().Sub(silentSince) > maxStreamOutage {
 				s.refuseUnlessStarted(version)
@@ -112,7 +112,7 @@
 // must end.
 func (s *stream) relay(ctx context.Context, lease *runner.Lease) (passed, stopped bool) {
 	verdict := runner.Failed
-	defer func() { lease.Done(s.gateway.now(), runner.Report{Verdict: verdict, Free: -1}) }()
+	defer func() { lease.Release(s.gateway.now(), runner.Report{Verdict: verdict, Free: -1}) }()
 	resp, err := s.gateway.client.Stream(ctx, lease.Address, s.kind.Service, s.kind.Name, s.lastEventID)
 	if err != nil {
 		return false, ctx.Err() != nil
--- a/pkg/request/intake/cancel_test.go
+++ b/pkg/request/intake/cancel_test.go
@@ -24,7 +24,9 @@
 	return &intake.View{Cells: map[string]intake.CellView{"home": {Mine: true, Fresh: true}, "other": {Mine: true, Fresh: true}}}
 }
 
-func (r cancelRecorder) Cancelled(cell, id string) { *r.notified = append(*r.notified, cell+" "+id) }
+func (r cancelRecorder) CancelRequested(cell, id string) {
+	*r.notified = append(*r.notified, cell+" "+id)
+}
 
 // A cell to which tasks of the job were delegated must learn of a cancel directly: the leader of the job's home cell may
 // change at that moment.
@@ -46,11 +48,11 @@
 	puts *[]table.Key
 }
 
-func (r commitRecorder) Commit(_ context.Context, tx table.Transaction) (table.Committed, error) {
+func (r commitRecorder) Commit(_ context.Context, tx table.Transaction) (table.CommitResult, error) {
 	for _, row := range tx.Puts {
 		*r.puts = append(*r.puts, row.Key)
 	}
-	return table.Committed{Version: 1}, nil
+	return table.CommitResult{Version: 1}, nil
 }
 
 // A notification may be lost, or the leader that received it may end. So one transaction within the job's part of the
--- a/pkg/request/intake/intake.go
+++ b/pkg/request/intake/intake.go
@@ -44,8 +44,8 @@
 
 // Peers connects to other hosts.
 type Peers interface {
-	// To returns the client for the host at an address.
-	To(address string) (wire.FleetClient, error)
+	// PeerClient returns the client for the host at an address.
+	PeerClient(address string) (wire.FleetClient, error)
 }
 
 // Intake serves calls about jobs. It is safe for many goroutines.
@@ -93,15 +93,15 @@
 	spec.Queue, spec.Service = q.Name, q.Service
 	chosen := i.chooseCell(now, spec)
 	spec.Cell = chosen.Cell
-	spec.AcceptedStoreMs = i.store.Now(now).Milliseconds()
+	spec.AcceptedStoreMs = i.store.StoreTime(now).Milliseconds()
 	err := i.insert(ctx, spec)
 	if err != nil {
 		i.increment("refused." + string(fault.CodeOf(err)))
-		i.logJob("job-refused", spec, now, chosen.Why, err)
+		i.logJob("job-refused", spec, now, chosen.Reason, err)
 		return err
 	}
 	i.increment("accepted")
-	i.logJob("job-accepted", spec, now, chosen.Why, nil)
+	i.logJob("job-accepted", spec, now, chosen.Reason, nil)
 	return nil
 }
 
@@ -122,7 +122,7 @@
 	case err != nil:
 		return i.resolveUnknown(ctx, spec, err)
 	case done.Conflict:
-		i.cacheAnchor(spec.GetId(), done.Found)
+		i.cacheAnchor(spec.GetId(), done.Current)
 		return nil // the id is in use, so this job was accepted before
 	}
 	i.homeCells.Add(spec.GetId(), spec.GetCell())
@@ -155,7 +155,7 @@
 
 // notifyAccepted sends an accepted job to its cell's leader in the background.
 func (i *Intake) notifyAccepted(spec *wire.JobSpec) {
-	i.notifyLeader(spec.GetCell(), func() { i.leaders.Accepted(spec) }, func(ctx context.Context, p wire.FleetClient) error {
+	i.notifyLeader(spec.GetCell(), func() { i.leaders.JobAccepted(spec) }, func(ctx context.Context, p wire.FleetClient) error {
 		reply, err := p.Accepted(ctx, &wire.AcceptedJob{Spec: spec})
 		if err == nil {
 			i.applyLoad(clock.Now(), reply)
@@ -176,7 +176,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 		defer cancel()
-		p, err := i.peers.To(view.Address)
+		p, err := i.peers.PeerClient(view.Address)
 		if err == nil {
 			err = remote(ctx, p)
 		}
@@ -261,7 +261,7 @@
 	if view.Address == "" || !view.Fresh {
 		return 0, false
 	}
-	p, err := i.peers.To(view.Address)
+	p, err := i.peers.PeerClient(view.Address)
 	if err != nil {
 		return 0, false
 	}
@@ -337,7 +337,7 @@
 
 // notifyCancel notifies a cell's leader of a cancel in the background.
 func (i *Intake) notifyCancel(cell, id string) {
-	i.notifyLeader(cell, func() { i.leaders.Cancelled(cell, id) }, func(ctx context.Context, p wire.FleetClient) error {
+	i.notifyLeader(cell, func() { i.leaders.CancelRequested(cell, id) }, func(ctx context.Context, p wire.FleetClient) error {
 		_, err := p.Cancelled(ctx, &wire.JobRef{Cell: cell, Id: id})
 		return err
 	})
--- a/pkg/request/intake/leaders.go
+++ b/pkg/request/intake/leaders.go
@@ -11,16 +11,16 @@
 type Leaders interface {
 	// View returns the leaders of all cells.
 	View() *View
-	// Accepted notifies the leader, in this process, of a job accepted for its cell.
-	Accepted(spec *wire.JobSpec)
-	// Cancelled notifies the cell's leader, in this process, of a cancelled job.
-	Cancelled(cell, id string)
+	// JobAccepted notifies the leader, in this process, of a job accepted for its cell.
+	JobAccepted(spec *wire.JobSpec)
+	// CancelRequested notifies the cell's leader, in this process, of a cancelled job.
+	CancelRequested(cell, id string)
 	// Phase returns a job's phase, or false if this process does not know it.
 	Phase(ctx context.Context, cell, id string) (wire.JobPhase, bool)
 	// Load returns the load of a cell led here, with the leader's interference beliefs if asked for.
 	Load(ctx context.Context, cell string, withBeliefs bool) *wire.CellLoad
-	// OtherLoad passes the load that a cell's leader reported to the cells led here.
-	OtherLoad(l *wire.CellLoad)
+	// PeerLoad passes the load that a cell's leader reported to the cells led here.
+	PeerLoad(l *wire.CellLoad)
 }
 
 // View lists the leader of each cell, as this process knew it at the time At.
--- a/pkg/request/intake/loads.go
+++ b/pkg/request/intake/loads.go
@@ -68,7 +68,7 @@
 func (i *Intake) chooseCell(now time.Time, spec *wire.JobSpec) cellchoice.Choice {
 	cells := map[string]cellchoice.Cell{}
 	for name, c := range i.leaders.View().Cells {
-		cells[name] = cellchoice.Cell{Hall: c.Hall, Led: c.Fresh || c.Mine}
+		cells[name] = cellchoice.Cell{Hall: c.Hall, HasLeader: c.Fresh || c.Mine}
 		i.requestLoadIfOlder(now, name, c, loadRefreshAge)
 	}
 	i.mu.Lock()
@@ -111,7 +111,7 @@
 	if c.Address == "" {
 		return nil
 	}
-	p, err := i.peers.To(c.Address)
+	p, err := i.peers.PeerClient(c.Address)
 	if err != nil {
 		return nil
 	}
@@ -128,8 +128,8 @@
 	if !l.GetLeading() {
 		return
 	}
-	i.leaders.OtherLoad(l)
+	i.leaders.PeerLoad(l)
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.board.Take(now, l)
+	i.board.SetLoad(now, l)
 }
--- a/pkg/request/intake/pending_test.go
+++ b/pkg/request/intake/pending_test.go
@@ -38,8 +38,8 @@
 	return page, nil
 }
 
-func (r fixedTable) Commit(context.Context, table.Transaction) (table.Committed, error) {
-	return table.Committed{}, nil
+func (r fixedTable) Commit(context.Context, table.Transaction) (table.CommitResult, error) {
+	return table.CommitResult{}, nil
 }
 
 func (r fixedTable) Changes(context.Context, string, int64, time.Duration) (table.Page, error) {
@@ -52,9 +52,9 @@
 func (stubLeaders) View() *intake.View {
 	return &intake.View{Cells: map[string]intake.CellView{"near": {Mine: true, Fresh: true}, "far": {}}}
 }
-func (stubLeaders) Accepted(*wire.JobSpec)   {}
-func (stubLeaders) Cancelled(string, string) {}
-func (stubLeaders) OtherLoad(*wire.CellLoad) {}
+func (stubLeaders) JobAccepted(*wire.JobSpec)      {}
+func (stubLeaders) CancelRequested(string, string) {}
+func (stubLeaders) PeerLoad(*wire.CellLoad)        {}
 func (stubLeaders) Phase(context.Context, string, string) (wire.JobPhase, bool) {
 	return wire.JobPhase_JOB_PHASE_UNSPECIFIED, false
 }
--- a/pkg/request/route/route.go
+++ b/pkg/request/route/route.go
@@ -58,7 +58,7 @@
 // decayedLatency returns a server's last latency in ns, decayed by its age if this host has no request
 // there. So only one request at a time tests a slow server.
 func decayedLatency(now time.Time, c runner.Candidate) float64 {
-	if c.Own > 0 {
+	if c.Outstanding > 0 {
 		return float64(c.Latency)
 	}
 	halves := float64(now.Sub(c.LatencyAt)) / float64(latencyHalfLife)
@@ -143,9 +143,9 @@
 	ties := 0
 	for i := range list {
 		switch {
-		case best < 0 || list[i].Own < list[best].Own:
+		case best < 0 || list[i].Outstanding < list[best].Outstanding:
 			best, ties = i, 1
-		case list[i].Own == list[best].Own:
+		case list[i].Outstanding == list[best].Outstanding:
 			ties++
 			if random.IntN(ties) == 0 {
 				best = i
--- a/pkg/request/route/route_test.go
+++ b/pkg/request/route/route_test.go
@@ -45,7 +45,7 @@
 		{after: 20 * time.Second, own: 1, tried: false}, // one request at a time tests it
 	} {
 		now := begin.Add(c.after)
-		list[0].Own, list[1].LatencyAt, list[2].LatencyAt = c.own, now, now
+		list[0].Outstanding, list[1].LatencyAt, list[2].LatencyAt = c.own, now, now
 		picker := route.New("two-choices")
 		random := rand.New(rand.NewPCG(1, 2))
 		tried := false
@@ -62,7 +62,7 @@
 	for _, n := range []int{12, 50, 200} {
 		list := make([]runner.Candidate, n)
 		for i := range list {
-			list[i] = runner.Candidate{Local: i%3 == 0, Slots: 8, Own: i % 3, Latency: time.Millisecond}
+			list[i] = runner.Candidate{Local: i%3 == 0, Slots: 8, Outstanding: i % 3, Latency: time.Millisecond}
 		}
 		for _, p := range route.Policies {
 			b.Run(fmt.Sprintf("%s/servers=%d", p.Name, n), func(b *testing.B) {
--- a/pkg/serve/fleet.go
+++ b/pkg/serve/fleet.go
@@ -80,14 +80,14 @@
 	defer signal.Stop(reloadRequests)
 	debug.SetGCPercent(gcPercent)
 	limitMemory(config)
-	host, err := fleet.New(config, OnPlatform(config), eventlog.New(out, level))
+	host, err := fleet.New(config, PlatformAdapters(config), eventlog.New(out, level))
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	return host.Run(ctx, &fleet.Reload{
-		File: file, Source: source, Config: config, Asked: reloadRequests, Log: host.Log,
+	return host.Run(ctx, &fleet.SettingsFollower{
+		File: file, Source: source, Config: config, Signals: reloadRequests, Log: host.Log,
 		Apply: func(c fleet.Config) {
 			limitMemory(c)
 			host.Reconfigure(c)
@@ -100,13 +100,13 @@
 	debug.SetMemoryLimit(int64(config.MemoryMB * memoryLimitShare * (1 << 20)))
 }
 
-// OnPlatform returns the adapters that connect an entry host to the platform.
-func OnPlatform(config fleet.Config) fleet.Outside {
-	return fleet.Outside{
+// PlatformAdapters returns the adapters that connect an entry host to the platform.
+func PlatformAdapters(config fleet.Config) fleet.Adapters {
+	return fleet.Adapters{
 		Table: platform.NewTable(config.Table), Caller: platform.NewWorkers(), Advisor: platform.NewAdvisor(config.Advice), Source: platform.Source{}, Dial: platform.Dial,
-		Callers: func(h *fleet.Host) (http.Handler, suture.Service) {
+		CallerAPI: func(h *fleet.Host) (http.Handler, suture.Service) {
 			jobs := intake.New(config.Hall, h.Store, h.Control, h, h.Log, h.Metrics)
-			return &platform.Callers{Jobs: jobs, Manifest: h.Manifest, Log: h.Log}, jobs
+			return &platform.JobsHandler{Jobs: jobs, Manifest: h.Manifest, Log: h.Log}, jobs
 		},
 	}
 }
--- a/pkg/serve/fleettry.go
+++ b/pkg/serve/fleettry.go
@@ -102,7 +102,7 @@
 }
 
 func (t *fleetTry) run(config fleet.Config) error {
-	h, err := fleet.New(config, OnPlatform(config), eventlog.New(io.Discard, logrus.InfoLevel))
+	h, err := fleet.New(config, PlatformAdapters(config), eventlog.New(io.Discard, logrus.InfoLevel))
 	if err != nil {
 		return err
 	}
--- a/pkg/serve/serve.go
+++ b/pkg/serve/serve.go
@@ -108,7 +108,7 @@
 	if len(f.unsafe) > 0 {
 		logger.Warnf("RUNNING WITHOUT: %s. Promises do not hold.", strings.Join(f.unsafe, ", "))
 	}
-	d, err := daemon.New(config, logger, daemon.WithUnsafe(unsafe))
+	d, err := daemon.New(config, logger, daemon.WithoutSafeguards(unsafe))
 	if err != nil {
 		return err
 	}
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -27,8 +27,8 @@
 	Value []byte
 	// Version is the version of the row's last change. In a condition, 0 means that the row doesn't exist.
 	Version int64
-	// Gone marks a removed row in a list of changes.
-	Gone bool
+	// Removed marks a removed row in a list of changes.
+	Removed bool
 }
 
 // Condition requires that a row has the given version; 0 requires that the row doesn't exist.
@@ -47,12 +47,12 @@
 // Entries returns the number of entries that count toward the service's limit for one transaction.
 func (t Transaction) Entries() int { return len(t.Conditions) + len(t.Puts) + len(t.Removes) }
 
-// Committed is the answer to a transaction.
-type Committed struct {
+// CommitResult is the answer to a transaction.
+type CommitResult struct {
 	// Conflict means that nothing was written, since a condition did not hold.
 	Conflict bool
-	// Found holds the current rows of the conditions after a conflict.
-	Found []Row
+	// Current holds the current rows of the conditions after a conflict.
+	Current []Row
 	// Version is the new version of all rows that were put.
 	Version int64
 	// StoreTime is the time by the service's monotonic clock.
@@ -75,9 +75,9 @@
 	StoreTime time.Duration
 }
 
-// ErrForgotten is returned for a reading of changes from a version that is older than the service's history of
+// ErrChangesExpired is returned for a reading of changes from a version that is older than the service's history of
 // changes. The caller has to read the whole table.
-var ErrForgotten = fault.New(fault.NotFound, "changes", "the service no longer keeps these changes", "read the whole table")
+var ErrChangesExpired = fault.New(fault.NotFound, "changes", "the service no longer keeps these changes", "read the whole table")
 
 // Reader reads ranges of rows.
 type Reader interface {
--- a/pkg/version/manifest/manifest.go
+++ b/pkg/version/manifest/manifest.go
@@ -45,11 +45,11 @@
 // Service is a pool of workers that run the jobs of queues.
 type Service struct {
 	Name string
-	// Guards means that the service's workers refuse a start that exceeds their capacity.
-	Guards bool
-	// Spare means that the service's hosts are off until they are moved to another service.
-	Spare      bool
-	HealthPath string
+	// GuardsCapacity means that the service's workers refuse a start that exceeds their capacity.
+	GuardsCapacity bool
+	// StandbyHosts means that the service's hosts are off until they are moved to another service.
+	StandbyHosts bool
+	HealthPath   string
 }
 
 // Limits holds the size and time limits for callers' requests.
--- a/pkg/version/settings/keys.go
+++ b/pkg/version/settings/keys.go
@@ -67,8 +67,8 @@
 	{Name: "patience", Type: Duration, Unit: "s or m", Min: 100, Max: 86400000, Default: `"10m"`, Example: `"1h"`, Root: true, Help: "How long to wait for a lost worker to say what became of a task that must not run twice, before the task ends as unknown."},
 }
 
-// KeyNamed returns the setting with the given name.
-func KeyNamed(name string) (Key, bool) {
+// FindKey returns the setting with the given name.
+func FindKey(name string) (Key, bool) {
 	for _, k := range Keys {
 		if k.Name == name {
 			return k, true
--- a/pkg/version/settings/parse.go
+++ b/pkg/version/settings/parse.go
@@ -94,7 +94,7 @@
 	}
 	t := &Tree{text: text, root: root}
 	t.resolveAll()
-	p.checkFleet(t.Fleet())
+	p.checkFleet(t.RootSettings())
 	if len(p.problems) > 0 {
 		return nil, p.asFault()
 	}
@@ -102,7 +102,7 @@
 }
 
 // checkFleet checks values that depend on each other: the tenure must be at least as long as the lease.
-func (p *parser) checkFleet(f Fleet) {
+func (p *parser) checkFleet(f RootSettings) {
 	if f.Lease > f.Tenure {
 		p.addProblem(0, fmt.Sprintf("lease %s is longer than tenure %s", f.Lease, f.Tenure),
 			"make tenure at least as long as lease")
@@ -198,7 +198,7 @@
 
 // parseSetting parses and checks one setting of node n, which is at the given depth.
 func (p *parser) parseSetting(n *node, name string, m *hujson.ObjectMember, depth int) {
-	k, ok := KeyNamed(name)
+	k, ok := FindKey(name)
 	if !ok {
 		p.addProblem(m.Name.StartOffset, fmt.Sprintf("unknown setting %q in %s", name, pathName(n.path)),
 			fmt.Sprintf("the nearest known one is %q", nearestWord(name, depth)))
--- a/pkg/version/settings/resolve.go
+++ b/pkg/version/settings/resolve.go
@@ -16,7 +16,7 @@
 	text    string
 	version int64
 	root    *node
-	fleet   Fleet
+	fleet   RootSettings
 	kinds   map[string]Kind
 	teams   map[string]Quota
 }
@@ -28,11 +28,11 @@
 	TypeStream  = "stream"
 )
 
-// AskAlways is the value of the setting "askPeers" with which an entry host asks its peers about every call with a key.
-const AskAlways = "always"
+// AskPeersAlways is the value of the setting "askPeers" with which an entry host asks its peers about every call with a key.
+const AskPeersAlways = "always"
 
-// Fleet holds the settings that are allowed only at the root of the tree. They apply to the whole deployment.
-type Fleet struct {
+// RootSettings holds the settings that are allowed only at the root of the tree. They apply to the whole deployment.
+type RootSettings struct {
 	PlacePolicy    string
 	Lease          time.Duration
 	Tenure         time.Duration
@@ -90,8 +90,8 @@
 // Text returns the file as the operator wrote it, including comments.
 func (t *Tree) Text() string { return t.text }
 
-// Fleet returns the settings that are allowed only at the root.
-func (t *Tree) Fleet() Fleet { return t.fleet }
+// RootSettings returns the settings that are allowed only at the root.
+func (t *Tree) RootSettings() RootSettings { return t.fleet }
 
 // Quota returns the quota of a team, or no limits if the team is unknown.
 func (t *Tree) Quota(team string) Quota { return t.teams[team] }
@@ -163,14 +163,14 @@
 type branchChain []*node
 
 func (r branchChain) number(name string) int64 {
-	k, _ := KeyNamed(name)
+	k, _ := FindKey(name)
 	return inheritedValue(r, k).number
 }
 
 func (r branchChain) duration(name string) time.Duration { return milliseconds(r.number(name)) }
 
 func (r branchChain) choice(name string) string {
-	k, _ := KeyNamed(name)
+	k, _ := FindKey(name)
 	return k.Choices[r.number(name)]
 }
 
@@ -191,8 +191,8 @@
 	}
 }
 
-func resolveFleet(r branchChain) Fleet {
-	return Fleet{
+func resolveFleet(r branchChain) RootSettings {
+	return RootSettings{
 		PlacePolicy:    r.choice("placePolicy"),
 		Lease:          r.duration("lease"),
 		Tenure:         r.duration("tenure"),
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -36,8 +36,8 @@
 		time.Sleep(span)
 		d.store.LoseWrites(false)
 	}},
-	{"the store is slow", func(d *day, span time.Duration) { d.store.Slow(40_000); time.Sleep(span); d.store.Slow(0) }},
-	{"the store forgets its history", func(d *day, _ time.Duration) { d.store.ForgetHistory() }},
+	{"the store is slow", func(d *day, span time.Duration) { d.store.LimitRate(40_000); time.Sleep(span); d.store.LimitRate(0) }},
+	{"the store forgets its history", func(d *day, _ time.Duration) { d.store.DropHistory() }},
 	{"a host is cut from the store", func(d *day, span time.Duration) {
 		p := d.randomHost().storeProxy
 		p.setCut(true)
