--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -2,10 +2,10 @@
 // hosts, workers, a table and a network, all with injected faults. The same seed gives the same run, called a
 // day, and a checker reports broken rules. The hosts drive the product's own election.Seat, cell.State and
 // cellchoice.Board; the checker shares no code with the product. emulator.go has the clock and the traffic;
-// draws.go the random draws; plans.go, script*.go and load.go the input of days; faults.go and strikes.go the
-// faults; host.go, effects.go, words.go, intake.go, touch.go and predecessors.go the hosts; table.go the table;
-// worker.go, lives.go, machine.go, rooms.go, rows.go, leaving.go and crashers.go the workers; checker.go and
-// lasting.go the rules.
+// random_streams.go the random draws; plans.go, script*.go and load.go the input of days; fault_schedule.go and fault_kinds.go the
+// faults; host.go, effects.go, leader_messages.go, intake.go, contact.go and predecessors.go the hosts; table.go the table;
+// worker.go, incarnations.go, machine.go, capacity.go, spoiled_rows.go, leaving.go and crash_tasks.go the workers; checker.go and
+// lasting_rule.go the rules.
 package emulator
 
 import (
--- a/pkg/emulator/scriptfile.go
+++ b/pkg/emulator/script_file.go
@@ -12,7 +12,7 @@
 	"github.com/wrenferry/wrenferry/pkg/wire"
 )
 
-// Script files: gzip of the JSON encoding of Script. The types in script.go and strikes.go are the schema.
+// Script files: gzip of the JSON encoding of Script. The types in script.go and fault_kinds.go are the schema.
 
 // maxScriptBytes bounds the uncompressed size of a script, in bytes.
 const maxScriptBytes = 32 << 20
--- a/pkg/lab/workload.go
+++ b/pkg/lab/workload.go
@@ -1,7 +1,7 @@
 // Package lab evaluates scheduling policies: it plays days of a workload in the emulator,
 // which runs the product's own decision code, and sums up the worth of the jobs to callers.
 //
-// Data flows one way: a workload file -> Parse (workload.go, fields.go) -> Draw (draw.go:
+// Data flows one way: a workload file -> Parse (workload.go, fields.go) -> Draw (sample.go:
 // one day, the same for each policy) -> emulator.Play -> worth (worth.go) -> Compare
 // (compare.go: paired days, differences and their confidence intervals).
 package lab
--- a/pkg/process/hall/state.go
+++ b/pkg/process/hall/state.go
@@ -143,7 +143,7 @@
 //
 // Data flows one way:
 //
-//	event -> lead.go (leadership) or inbox.go (new work) or workers.go (replies)
+//	event -> leadership.go (leadership) or inbox.go (new work) or workers.go (replies)
 //	      -> tasks.go (transitions) -> place.go (placement, eviction)
 //	      -> commit.go (one group commit) and sync.go (messages to workers)
 func (s *State) Step(now time.Time, e Event) []Effect {
--- a/pkg/process/interference/press.go
+++ b/pkg/process/interference/pressure.go
@@ -31,7 +31,7 @@
 // grows again with time.
 //
 // Readings update only the filters of one process and cell. The filters' estimates from leaders of other cells, and
-// from earlier leaders of the same cell, are merged with them, weighted by inverse variance (share.go).
+// from earlier leaders of the same cell, are merged with them, weighted by inverse variance (shared_beliefs.go).
 type PressureModel struct {
 	filters     map[string]*filter
 	peerBeliefs map[string]Beliefs
--- a/pkg/request/cellchoice/board.go
+++ b/pkg/request/cellchoice/board.go
@@ -4,7 +4,7 @@
 // host knows only the loads that the cells' leaders reported some time ago. So a host adds the
 // jobs that it has sent since. A cell's cost is made of the job's wait there, the cell's share of
 // lasting tasks, and the distance. board.go keeps the loads; cost.go computes the cost for a
-// job; places.go adds the cost of steps that the cell can't run, or runs far from their data.
+// job; requirements.go adds the cost of steps that the cell can't run, or runs far from their data.
 //
 // It makes no calls and reads no clock.
 package cellchoice
--- a/test/tree/comments_test.go
+++ b/test/tree/comments_test.go
@@ -12,7 +12,7 @@
 // only decrease: the test also fails if one is higher than needed.
 var allowedResultComments = map[string]int{
 	"pkg/emulator/emulator_test.go":          3,
-	"pkg/emulator/touch_test.go":             2,
+	"pkg/emulator/contact_test.go":           2,
 	"pkg/process/poisontask/poisontask.go":   1,
 	"pkg/process/cell/isolated_runs_test.go": 1,
 }
