--- a/pkg/cli/client.go
+++ b/pkg/cli/client.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/connection/sent"
+	"github.com/wrenferry/wrenferry/pkg/connection/sendtrace"
 	"github.com/wrenferry/wrenferry/pkg/fault"
 	"github.com/wrenferry/wrenferry/pkg/process/operators"
 	"github.com/wrenferry/wrenferry/pkg/request/gateway"
@@ -44,7 +44,7 @@
 }
 
 func (c *client) callOne(ctx context.Context, address, method, path string, header http.Header, body []byte, out any) error {
-	ctx, mark := sent.TraceHTTP(ctx)
+	ctx, mark := sendtrace.TraceHTTP(ctx)
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
 		return fault.New(fault.BadInput, address, "not an address", "check --address").WithCause(err)
--- a/pkg/connection/fleetpeer/client.go
+++ b/pkg/connection/fleetpeer/client.go
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc/backoff"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"github.com/wrenferry/wrenferry/pkg/connection/sent"
+	"github.com/wrenferry/wrenferry/pkg/connection/sendtrace"
 	"github.com/wrenferry/wrenferry/pkg/fault"
 	"github.com/wrenferry/wrenferry/pkg/table"
 	"github.com/wrenferry/wrenferry/pkg/wire"
@@ -50,7 +50,7 @@
 				MinConnectTimeout: 500 * time.Millisecond,
 			}),
 			grpc.WithDisableServiceConfig(),
-			grpc.WithStatsHandler(sent.Handler{}),
+			grpc.WithStatsHandler(sendtrace.Handler{}),
 			grpc.WithNoProxy(),
 			grpc.WithReadBufferSize(bufferSize),
 			grpc.WithWriteBufferSize(bufferSize),
@@ -88,7 +88,7 @@
 // CommitFor asks the peer to commit a transaction on behalf of this host. The error has the
 // code NotRun if the request was certainly not sent to the peer.
 func (p *Peer) CommitFor(ctx context.Context, t table.Transaction) (table.CommitResult, error) {
-	ctx, mark := sent.TraceRPC(ctx)
+	ctx, mark := sendtrace.TraceRPC(ctx)
 	reply, err := p.Commit(ctx, encodeTransaction(t))
 	if err != nil && !mark.MaybeSent() {
 		return table.CommitResult{}, fault.New(fault.NotRun, p.address, "no connection to the peer", "").WithCause(err)
--- a/pkg/connection/patience/patience.go
+++ b/pkg/connection/idletimeout/idletimeout.go
@@ -1,10 +1,10 @@
-// Package patience ends a call when no data has arrived for a given time, rather than
+// Package idletimeout ends a call when no data has arrived for a given time, rather than
 // after a fixed total time.
 //
 // An answer of 250 kB takes a second on a link of 2 Mbit/s, and longer beside other
 // traffic. A fixed timeout would end the call, its retry would start from the first byte,
 // and the link would carry nothing but first parts of the answer for the life of the process.
-package patience
+package idletimeout
 
 import (
 	"context"
--- a/pkg/connection/patience/patience_test.go
+++ b/pkg/connection/idletimeout/idletimeout_test.go
@@ -1,4 +1,4 @@
-package patience_test
+package idletimeout_test
 
 import (
 	"context"
@@ -7,26 +7,26 @@
 
 	"github.com/shoenig/test/must"
 
-	"github.com/wrenferry/wrenferry/pkg/connection/patience"
+	"github.com/wrenferry/wrenferry/pkg/connection/idletimeout"
 )
 
 func TestReceivedDataExtendsTheCall(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := patience.WithIdleTimeout(context.Background(), 300*time.Millisecond, time.Minute)
+	ctx, cancel := idletimeout.WithIdleTimeout(context.Background(), 300*time.Millisecond, time.Minute)
 	defer cancel()
 	for range 10 {
 		time.Sleep(50 * time.Millisecond)
 		must.NoError(t, ctx.Err())
-		patience.DataReceived(ctx)
+		idletimeout.DataReceived(ctx)
 	}
 	<-ctx.Done() // ended by the idle timeout
 }
 
 func TestTotalTimeIsBounded(t *testing.T) {
 	t.Parallel()
-	ctx, cancel := patience.WithIdleTimeout(context.Background(), time.Minute, 20*time.Millisecond)
+	ctx, cancel := idletimeout.WithIdleTimeout(context.Background(), time.Minute, 20*time.Millisecond)
 	defer cancel()
 	<-ctx.Done()
 	must.ErrorIs(t, ctx.Err(), context.DeadlineExceeded)
-	patience.DataReceived(context.Background()) // has no effect
+	idletimeout.DataReceived(context.Background()) // has no effect
 }
--- a/pkg/connection/life/life.go
+++ b/pkg/connection/incarnation/incarnation.go
@@ -1,4 +1,4 @@
-// Package life binds HTTP requests to one incarnation of a server process.
+// Package incarnation binds HTTP requests to one incarnation of a server process.
 //
 // A restarted process may have the address and name of its predecessor, but none of its state.
 // A connection does not outlive the incarnation that accepted it. So the dialer asks on each
@@ -7,7 +7,7 @@
 //
 // Bind stores the incarnation and the function that asks for it in the call's context; Dialer
 // asks on each new connection; Body sends or refuses once net/http has chosen a connection.
-package life
+package incarnation
 
 import (
 	"bytes"
--- a/pkg/connection/protohttp/protohttp.go
+++ b/pkg/connection/protohttp/protohttp.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/wrenferry/wrenferry/pkg/connection/sent"
+	"github.com/wrenferry/wrenferry/pkg/connection/sendtrace"
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
@@ -47,7 +47,7 @@
 	if err != nil {
 		return fault.New(fault.Internal, url, "the message can't be encoded", "").WithCause(err)
 	}
-	ctx, mark := sent.TraceHTTP(ctx)
+	ctx, mark := sendtrace.TraceHTTP(ctx)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return fault.New(fault.BadInput, url, "not an address", "check the settings of the process").WithCause(err)
@@ -74,7 +74,7 @@
 
 // sendError returns the fault of a call that got no answer: NotRun if it was certainly not
 // sent, and else Unavailable.
-func sendError(mark *sent.Mark, url string, err error) error {
+func sendError(mark *sendtrace.Mark, url string, err error) error {
 	if mark.MaybeSent() {
 		return fault.New(fault.Unavailable, url, "no answer", "").WithCause(err)
 	}
--- a/pkg/connection/runner/call.go
+++ b/pkg/connection/runner/call.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"strconv"
 
-	"github.com/wrenferry/wrenferry/pkg/connection/sent"
+	"github.com/wrenferry/wrenferry/pkg/connection/sendtrace"
 	"github.com/wrenferry/wrenferry/pkg/fault"
 )
 
@@ -63,7 +63,7 @@
 // On failure the fault's code is NotRun if the server certainly did not start the request,
 // and Unknown otherwise.
 func (c *Client) Call(ctx context.Context, address, service, kind, key string, header http.Header, body []byte) (*Answer, error) {
-	ctx, mark := sent.TraceHTTP(ctx)
+	ctx, mark := sendtrace.TraceHTTP(ctx)
 	url := "http://" + address + CallPath + service + "/" + kind
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, singleReadBody{bytes.NewReader(body)})
 	if err != nil {
@@ -92,7 +92,7 @@
 
 // sendError returns the fault of a request that got no answer: NotRun if it was certainly not
 // sent, and else Unknown.
-func sendError(mark *sent.Mark, address string, err error) error {
+func sendError(mark *sendtrace.Mark, address string, err error) error {
 	if mark.MaybeSent() {
 		return fault.New(fault.Unknown, address, "no whole answer", "").WithCause(err)
 	}
--- a/pkg/connection/sent/rpc.go
+++ b/pkg/connection/sendtrace/rpc.go
@@ -1,4 +1,4 @@
-package sent
+package sendtrace
 
 import (
 	"context"
--- a/pkg/connection/sent/sent.go
+++ b/pkg/connection/sendtrace/sendtrace.go
@@ -1,9 +1,9 @@
-// Package sent traces whether a request can have reached the server.
+// Package sendtrace traces whether a request can have reached the server.
 //
 // A client may report "not run" only when that is certain. The connection itself
 // decides: until all headers of the request have been written, the server can't
 // have begun to process it.
-package sent
+package sendtrace
 
 import (
 	"context"
--- a/pkg/connection/store/store.go
+++ b/pkg/connection/store/store.go
@@ -15,7 +15,7 @@
 	"github.com/rcrowley/go-metrics"
 
 	"github.com/wrenferry/wrenferry/pkg/clock"
-	"github.com/wrenferry/wrenferry/pkg/connection/patience"
+	"github.com/wrenferry/wrenferry/pkg/connection/idletimeout"
 	"github.com/wrenferry/wrenferry/pkg/fault"
 	"github.com/wrenferry/wrenferry/pkg/table"
 )
@@ -164,7 +164,7 @@
 // Changes returns the changes of a table after a version. It waits up to wait for a change,
 // so it is called directly only.
 func (c *Client) Changes(ctx context.Context, tableName string, after int64, wait time.Duration) (table.Page, error) {
-	ctx, cancel := patience.WithIdleTimeout(ctx, wait+directTimeout, wait+directLimit)
+	ctx, cancel := idletimeout.WithIdleTimeout(ctx, wait+directTimeout, wait+directLimit)
 	defer cancel()
 	page, err := c.direct.Changes(ctx, tableName, after, wait)
 	c.countCall("changes", err)
@@ -218,7 +218,7 @@
 // callDirect makes a call to the table service itself. The call goes on while data arrives, up to
 // directLimit.
 func (c *Client) callDirect(ctx context.Context, call func(context.Context) (time.Duration, error)) error {
-	ctx, cancel := patience.WithIdleTimeout(ctx, directTimeout, directLimit)
+	ctx, cancel := idletimeout.WithIdleTimeout(ctx, directTimeout, directLimit)
 	defer cancel()
 	return c.recordOutcome(call(ctx))
 }
--- a/pkg/process/cell/state.go
+++ b/pkg/process/cell/state.go
@@ -23,9 +23,9 @@
 	"sort"
 	"time"
 
-	"github.com/wrenferry/wrenferry/pkg/process/flow"
 	"github.com/wrenferry/wrenferry/pkg/process/interference"
 	"github.com/wrenferry/wrenferry/pkg/process/jobs"
+	"github.com/wrenferry/wrenferry/pkg/process/orderwindow"
 	"github.com/wrenferry/wrenferry/pkg/process/runtimes"
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 	"github.com/wrenferry/wrenferry/pkg/rows"
@@ -181,7 +181,7 @@
 	interferenceLoggedAt time.Time
 	// startWindow limits the bytes of start orders in flight. It is kept when a leadership ends, since it depends on
 	// this host's link only.
-	startWindow *flow.Window
+	startWindow *orderwindow.Window
 	// startsHeldLoggedAt is when the log last reported that start orders are held back.
 	startsHeldLoggedAt time.Time
 	// runtimes estimates how long tasks run. It is kept when a leadership ends, too.
@@ -233,7 +233,7 @@
 // New returns the State of a process that does not lead the cell.
 func New(name string, bounds Bounds, options ...Option) *State {
 	s := &State{
-		name: name, bounds: bounds, workers: map[string]*workers.Worker{}, interference: interference.NewPressureModel(), startWindow: flow.NewWindow(), runtimes: runtimes.New(), peerLoads: map[string]peerLoad{},
+		name: name, bounds: bounds, workers: map[string]*workers.Worker{}, interference: interference.NewPressureModel(), startWindow: orderwindow.NewWindow(), runtimes: runtimes.New(), peerLoads: map[string]peerLoad{},
 		neighboursByWorker: map[*workers.Worker]workerNeighbours{}, fillerNetCosts: map[fillerPlace]float64{}, reservedForLasting: map[*workers.Worker]bool{}, endedIncarnations: map[string]int64{},
 	}
 	s.resetLeadership()
--- a/pkg/process/daemon/daemon.go
+++ b/pkg/process/daemon/daemon.go
@@ -21,10 +21,10 @@
 	"github.com/wrenferry/wrenferry/pkg/connection/platform"
 	"github.com/wrenferry/wrenferry/pkg/connection/worker"
 	"github.com/wrenferry/wrenferry/pkg/process/control"
-	"github.com/wrenferry/wrenferry/pkg/process/current"
 	"github.com/wrenferry/wrenferry/pkg/process/hall"
 	"github.com/wrenferry/wrenferry/pkg/process/operators"
-	"github.com/wrenferry/wrenferry/pkg/process/parts"
+	"github.com/wrenferry/wrenferry/pkg/process/settingsstore"
+	"github.com/wrenferry/wrenferry/pkg/process/supervised"
 	"github.com/wrenferry/wrenferry/pkg/request/binding"
 	"github.com/wrenferry/wrenferry/pkg/request/gateway"
 	"github.com/wrenferry/wrenferry/pkg/version/settings"
@@ -51,16 +51,16 @@
 	log          *logrus.Entry
 	metrics      metrics.Registry
 	table        *platform.Client
-	store        *current.Store
+	store        *settingsstore.Store
 	peers        *peer.Peers
 	loop         *control.Loop
 	gateway      *gateway.Gateway
 	operatorsAPI *operators.Server
 	hosts        atomic.Pointer[[]*wire.Host]
 
-	callersServer   *parts.HTTPServer
-	operatorsServer *parts.HTTPServer
-	peersServer     *parts.GRPCServer
+	callersServer   *supervised.HTTPServer
+	operatorsServer *supervised.HTTPServer
+	peersServer     *supervised.GRPCServer
 }
 
 // Option is an option of New.
@@ -101,7 +101,7 @@
 	d.hosts.Store(&[]*wire.Host{})
 	keys := binding.New(config.Name, now)
 	d.peers = peer.NewPeers(config.Name, config.Hall, func() { d.loop.ReadInboxNow() })
-	store, err := current.NewStore(d.table, d.peers, d.log, d.metrics)
+	store, err := settingsstore.NewStore(d.table, d.peers, d.log, d.metrics)
 	if err != nil {
 		return nil, err
 	}
@@ -149,11 +149,11 @@
 	if d.operatorsServer, err = newServer("operators", d.config.Operators, operatorsMux); err != nil {
 		return err
 	}
-	listener, err := parts.Listen("control", d.config.Control)
+	listener, err := supervised.Listen("control", d.config.Control)
 	if err != nil {
 		return err
 	}
-	d.peersServer = &parts.GRPCServer{Server: peersServer, Listener: listener}
+	d.peersServer = &supervised.GRPCServer{Server: peersServer, Listener: listener}
 	return nil
 }
 
@@ -216,12 +216,12 @@
 }
 
 // newServer opens a port and returns an HTTP server for it. The name of the port stands in the error.
-func newServer(name, address string, handler http.Handler) (*parts.HTTPServer, error) {
-	listener, err := parts.Listen(name, address)
+func newServer(name, address string, handler http.Handler) (*supervised.HTTPServer, error) {
+	listener, err := supervised.Listen(name, address)
 	if err != nil {
 		return nil, err
 	}
-	return &parts.HTTPServer{Listener: listener, Server: &http.Server{
+	return &supervised.HTTPServer{Listener: listener, Server: &http.Server{
 		Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout,
 	}}, nil
 }
--- a/pkg/process/fleet/host.go
+++ b/pkg/process/fleet/host.go
@@ -19,7 +19,7 @@
 	"github.com/wrenferry/wrenferry/pkg/eventlog"
 	"github.com/wrenferry/wrenferry/pkg/process/cell"
 	"github.com/wrenferry/wrenferry/pkg/process/election"
-	"github.com/wrenferry/wrenferry/pkg/process/parts"
+	"github.com/wrenferry/wrenferry/pkg/process/supervised"
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 	"github.com/wrenferry/wrenferry/pkg/version/manifest"
 	"github.com/wrenferry/wrenferry/pkg/wire"
@@ -154,7 +154,7 @@
 		grpc.ReadBufferSize(streamBuffer), grpc.WriteBufferSize(streamBuffer),
 	)
 	wire.RegisterFleetServer(h.grpc, &fleetpeer.Server{Control: h.Control, Table: h.outside.Table})
-	h.grpcListener, err = parts.Listen("control", h.Config.Control)
+	h.grpcListener, err = supervised.Listen("control", h.Config.Control)
 	return err
 }
 
@@ -171,7 +171,7 @@
 
 // openServer opens a port and returns the HTTP server for it; Run serves it.
 func (h *Host) openServer(name, address string, handler http.Handler) (*http.Server, error) {
-	listener, err := parts.Listen(name, address)
+	listener, err := supervised.Listen(name, address)
 	if err != nil {
 		return nil, err
 	}
@@ -220,10 +220,10 @@
 		&LeadershipFollower{Store: h.Store, Control: h.Control},
 		&strongerHostHandover{host: h},
 		&suspensionWatch{outside: h.outside, log: h.Log},
-		&parts.GRPCServer{Server: h.grpc, Listener: h.grpcListener},
+		&supervised.GRPCServer{Server: h.grpc, Listener: h.grpcListener},
 	}
 	for s, l := range h.listeners {
-		list = append(list, &parts.HTTPServer{Server: s, Listener: l})
+		list = append(list, &supervised.HTTPServer{Server: s, Listener: l})
 	}
 	return list
 }
--- a/pkg/process/operators/operators.go
+++ b/pkg/process/operators/operators.go
@@ -16,8 +16,8 @@
 
 	"github.com/wrenferry/wrenferry/pkg/fault"
 	"github.com/wrenferry/wrenferry/pkg/process/control"
-	"github.com/wrenferry/wrenferry/pkg/process/current"
 	"github.com/wrenferry/wrenferry/pkg/process/hall"
+	"github.com/wrenferry/wrenferry/pkg/process/settingsstore"
 	"github.com/wrenferry/wrenferry/pkg/request/gateway"
 	"github.com/wrenferry/wrenferry/pkg/rows"
 	"github.com/wrenferry/wrenferry/pkg/wire"
@@ -50,7 +50,7 @@
 	Table    Table
 	Control  Control
 	Peers    Peers
-	Settings *current.Store
+	Settings *settingsstore.Store
 	Gateway  *gateway.Gateway
 	Metrics  metrics.Registry
 	Hosts    func() []*wire.Host
--- a/pkg/process/operators/settings.go
+++ b/pkg/process/operators/settings.go
@@ -12,7 +12,7 @@
 
 	"github.com/wrenferry/wrenferry/pkg/connection/platform"
 	"github.com/wrenferry/wrenferry/pkg/fault"
-	"github.com/wrenferry/wrenferry/pkg/process/current"
+	"github.com/wrenferry/wrenferry/pkg/process/settingsstore"
 	"github.com/wrenferry/wrenferry/pkg/rows"
 	"github.com/wrenferry/wrenferry/pkg/version/settings"
 	"github.com/wrenferry/wrenferry/pkg/wire"
@@ -79,7 +79,7 @@
 	if body.EditID == "" {
 		body.EditID = uuid.NewString()
 	}
-	row, err := s.Settings.Edit(r.Context(), time.Now(), current.Edit{
+	row, err := s.Settings.Edit(r.Context(), time.Now(), settingsstore.Edit{
 		Text: body.Text, Base: body.Base, ID: body.EditID, Actor: requestActor(r),
 	})
 	return settingsView(row, false), err
--- a/pkg/process/flow/window.go
+++ b/pkg/process/orderwindow/orderwindow.go
@@ -1,4 +1,4 @@
-// Package flow limits the bytes of unanswered orders that a leader has sent.
+// Package orderwindow limits the bytes of unanswered orders that a leader has sent.
 //
 // Package cell asks it before it sends orders. Load pattern: jobs of many tasks arrive together
 // at a host with a slow link. Sent all at once, their orders queue in the link, and the renewals
@@ -7,7 +7,7 @@
 // which sends urgent orders first and drops needless ones.
 //
 // The package makes no calls and reads no clock. A Window belongs to one thread.
-package flow
+package orderwindow
 
 import "time"
 
--- a/pkg/process/flow/window_test.go
+++ b/pkg/process/orderwindow/orderwindow_test.go
@@ -1,4 +1,4 @@
-package flow_test
+package orderwindow_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test/must"
 
-	"github.com/wrenferry/wrenferry/pkg/process/flow"
+	"github.com/wrenferry/wrenferry/pkg/process/orderwindow"
 )
 
 // link sends orders one after the other at a fixed rate. Each answer arrives a round trip
@@ -34,7 +34,7 @@
 
 // fillWindow sends orders for a time span whenever the window allows one. It returns how many
 // were answered, and the longest answer time and longest time-out of the second half.
-func fillWindow(w *flow.Window, l *link, span time.Duration) (answered int, longest, timeout time.Duration) {
+func fillWindow(w *orderwindow.Window, l *link, span time.Duration) (answered int, longest, timeout time.Duration) {
 	start := time.Unix(1000, 0)
 	var inFlight []answer
 	for now := start; now.Sub(start) < span; now = now.Add(time.Millisecond) {
@@ -59,16 +59,16 @@
 // fill its queue. The window must keep the answer times short and the link busy.
 func TestWindowUsesSlowLinkWithoutFillingIt(t *testing.T) {
 	t.Parallel()
-	answered, longest, timeout := fillWindow(flow.NewWindow(), &link{bytesPerSecond: 250_000, roundTrip: 4 * time.Millisecond}, 10*time.Second)
+	answered, longest, timeout := fillWindow(orderwindow.NewWindow(), &link{bytesPerSecond: 250_000, roundTrip: 4 * time.Millisecond}, 10*time.Second)
 	must.Greater(t, 10*250_000/orderBytes*8/10, answered, must.Sprint("the link is idle"))
 	must.Less(t, 250*time.Millisecond, longest)
-	must.Eq(t, flow.MinTimeout, timeout)
+	must.Eq(t, orderwindow.MinTimeout, timeout)
 }
 
 // On a fast link the window must allow the same rate as no window.
 func TestWindowDoesNotLimitFastLink(t *testing.T) {
 	t.Parallel()
-	answered, longest, _ := fillWindow(flow.NewWindow(), &link{bytesPerSecond: 25_000_000, roundTrip: 4 * time.Millisecond}, 5*time.Second)
+	answered, longest, _ := fillWindow(orderwindow.NewWindow(), &link{bytesPerSecond: 25_000_000, roundTrip: 4 * time.Millisecond}, 5*time.Second)
 	must.Greater(t, 5*25_000_000/orderBytes*3/4, answered)
 	must.Less(t, 100*time.Millisecond, longest)
 }
@@ -77,18 +77,18 @@
 // sent twice.
 func TestTimeoutsFollowAnswerTimes(t *testing.T) {
 	t.Parallel()
-	w := flow.NewWindow()
-	must.Eq(t, flow.MinTimeout, w.Timeout())
+	w := orderwindow.NewWindow()
+	must.Eq(t, orderwindow.MinTimeout, w.Timeout())
 	_, longest, timeout := fillWindow(w, &link{bytesPerSecond: 250_000, roundTrip: 500 * time.Millisecond}, 20*time.Second)
 	must.Greater(t, longest, timeout)
-	must.LessEq(t, flow.MaxTimeout, timeout)
+	must.LessEq(t, orderwindow.MaxTimeout, timeout)
 }
 
 // A window that shrank because of missing answers must grow again within a second once answers
 // come.
 func TestWindowGrowsAgainAfterUnansweredOrders(t *testing.T) {
 	t.Parallel()
-	w := flow.NewWindow()
+	w := orderwindow.NewWindow()
 	now := time.Unix(900, 0)
 	for range 20 {
 		w.Sent(orderBytes)
@@ -104,7 +104,7 @@
 // An order of any size is sent if nothing else is in flight.
 func TestOrderLargerThanWindowIsSentAlone(t *testing.T) {
 	t.Parallel()
-	w := flow.NewWindow()
+	w := orderwindow.NewWindow()
 	must.True(t, w.MaySend())
 	w.Sent(2 << 20)
 	must.False(t, w.MaySend())
@@ -115,7 +115,7 @@
 // After orders were held back, a quarter of the window must be free before more are sent.
 func TestRefilledNeedsAQuarterOfTheWindow(t *testing.T) {
 	t.Parallel()
-	w := flow.NewWindow()
+	w := orderwindow.NewWindow()
 	n := 0
 	for w.MaySend() {
 		w.Sent(orderBytes)
@@ -132,14 +132,14 @@
 // A worker that doesn't answer must not shrink the window while other workers answer.
 func TestOneSilentWorkerDoesNotShrinkWindow(t *testing.T) {
 	t.Parallel()
-	w := flow.NewWindow()
+	w := orderwindow.NewWindow()
 	before := w.Size()
 	now := time.Unix(1000, 0)
 	for range 50 {
 		now = now.Add(50 * time.Millisecond)
 		w.Sent(2 * orderBytes)
 		w.Answered(now, 5*time.Millisecond, orderBytes)
-		w.Unanswered(now, flow.MinTimeout, orderBytes)
+		w.Unanswered(now, orderwindow.MinTimeout, orderBytes)
 	}
 	must.Eq(t, before, w.Size())
 }
--- a/pkg/process/current/edit.go
+++ b/pkg/process/settingsstore/edit.go
@@ -1,4 +1,4 @@
-package current
+package settingsstore
 
 import (
 	"context"
--- a/pkg/process/current/current.go
+++ b/pkg/process/settingsstore/store.go
@@ -1,9 +1,9 @@
-// Package current holds the settings version that is in force in this process.
+// Package settingsstore holds the settings version that is in force in this process.
 //
 // A version counts as accepted once it is committed in the table, not before. A process learns of a version by the
 // first of three ways: it reads the table every second, a peer offers the version, or, while the table does not answer,
 // the process fetches the version from its peers. A process never goes back to a lower version.
-package current
+package settingsstore
 
 import (
 	"context"
--- a/pkg/process/parts/parts.go
+++ b/pkg/process/supervised/supervised.go
@@ -1,6 +1,6 @@
-// Package parts wraps servers as services of a supervisor (package suture). Each serves
+// Package supervised wraps servers as services of a supervisor (package suture). Each serves
 // until the context ends or the server is shut down, and isn't restarted then.
-package parts
+package supervised
 
 import (
 	"context"
