--- a/pkg/connection/incarnation/incarnation.go
+++ b/pkg/connection/incarnation/incarnation.go
@@ -60,7 +60,7 @@
 type key struct{}
 
 // Bind returns a context that binds the call made with it to an incarnation, or to none if born
-// is Any.
+// is AnyIncarnation.
 func Bind(ctx context.Context, born int64, ask QueryFunc) (context.Context, *Binding) {
 	b := &Binding{incarnation: born, ask: ask}
 	ctx = context.WithValue(ctx, key{}, b)
@@ -142,7 +142,7 @@
 	return &body{Reader: bytes.NewReader(data), binding: b}
 }
 
-// Read reads the data, or returns ErrOther before the first byte when the connection does not
+// Read reads the data, or returns ErrOtherIncarnation before the first byte when the connection does not
 // lead to the bound incarnation.
 func (r *body) Read(p []byte) (int, error) {
 	if !r.binding.reachesBoundIncarnation() {
--- a/pkg/connection/runner/pool.go
+++ b/pkg/connection/runner/pool.go
@@ -279,7 +279,7 @@
 	Failed
 	// Busy: the server refused for lack of a free slot, which is not a failure.
 	Busy
-	// Abandoned: the caller has gone; the outcome tells nothing about the server.
+	// Abandoned: the caller has gone; the outcome shows nothing about the server.
 	Abandoned
 )
 
--- a/pkg/container/expiring.go
+++ b/pkg/container/expiring.go
@@ -7,14 +7,14 @@
 )
 
 // Expiring is a map with a limited number of entries, each with its own expiry
-// time. A full map evicts its oldest entry. LostUntil tells callers which live
+// time. A full map evicts its oldest entry. NewestDropped shows callers which live
 // entries may have been evicted. Methods take the current time as an argument
 // and read no clock. Expiring is not safe for concurrent use.
 type Expiring[K comparable, V any] struct {
 	limit     int
 	entries   map[K]*list.Element
 	order     *list.List // by insertion, oldest first
-	lostUntil time.Time  // see LostUntil
+	lostUntil time.Time  // see NewestDropped
 }
 
 type expiringEntry[K comparable, V any] struct {
--- a/pkg/emulator/checker.go
+++ b/pkg/emulator/checker.go
@@ -47,10 +47,10 @@
 	// failedAt holds the times of the acknowledged failures by task and "worker id#run number".
 	failedAt map[string]map[string]time.Time
 	phases   map[string]wire.JobPhase
-	// crashes counts the worker crashes under each task that causes them, startsMore the task's starts after
+	// crashes counts the worker crashes under each task that causes them, startsAfterLimit the task's starts after
 	// too many of these.
 	crashes, startsAfterLimit map[string]int
-	// failures holds the numbers of failed runs of each task or gang, mostFailures the highest count within a
+	// failures holds the numbers of failed runs of each task or gang, maxFailures the highest count within a
 	// job.
 	failures    map[string]map[int64]bool
 	maxFailures map[string]int
--- a/pkg/emulator/contact_test.go
+++ b/pkg/emulator/contact_test.go
@@ -18,7 +18,7 @@
 }
 
 // During an outage of the table another host took over the cell. Its predecessor did not know that yet, was
-// notified of a job and started it on workers that had not heard of the successor. The successor had read the
+// notified of a job and started it on workers that the successor had not reached yet. The successor had read the
 // table just before the job was written, found runs of an unknown job, had them stopped, and started the job's
 // tasks itself on the same workers. On a recorded day under load:
 //
--- a/pkg/emulator/crash_tasks.go
+++ b/pkg/emulator/crash_tasks.go
@@ -29,7 +29,7 @@
 	return &Crash{Step: step, Index: index, After: after}
 }
 
-// crashTaskKey returns the key of a task in World.crashers: the task's name without the occurrence of its job.
+// crashTaskKey returns the key of a task in World.crashTaskDelays: the task's name without the occurrence of its job.
 func crashTaskKey(task string) string {
 	job, _, step := parseTaskName(task)
 	return fmt.Sprintf("%s.%d%s", job, step, task[len(taskOf(task)):])
--- a/pkg/emulator/fault_kinds.go
+++ b/pkg/emulator/fault_kinds.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// Values of worker.sickHow: runs that the worker starts hang, or fail.
+// Values of worker.faultyMode: runs that the worker starts hang, or fail.
 const (
 	runsHang = iota
 	runsFail
--- a/pkg/emulator/host.go
+++ b/pkg/emulator/host.go
@@ -285,7 +285,7 @@
 	return h.linkFreeAt.Sub(w.now)
 }
 
-// takeChange tells the cell's state that the seat has gained or lost the leadership.
+// takeChange informs the cell's state that the seat has gained or lost the leadership.
 func (h *seat) takeChange(c election.Change) {
 	now := h.clock()
 	switch {
--- a/pkg/emulator/predecessors.go
+++ b/pkg/emulator/predecessors.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// predecessorEnded tells the seat and the state that a predecessor gives no more orders, if this host still
+// predecessorEnded informs the seat and the state that a predecessor gives no more orders, if this host still
 // leads.
 func (h *seat) predecessorEnded(ended cell.PredecessorEnded) {
 	if h.seat.Role() != election.Leader || h.seat.Row().GetEpoch() != ended.Epoch {
--- a/pkg/emulator/spoiled_rows.go
+++ b/pkg/emulator/spoiled_rows.go
@@ -9,7 +9,7 @@
 
 // Invalid rows in the worker registry, as other writers leave them. On a day with Plan.OddRows the rows of
 // workers are altered for a while, and rows of unknown workers stand beside them. The product's own
-// workers.Judge decides which rows are valid.
+// workers.ValidateRow decides which rows are valid.
 
 const (
 	// spoiledRowsPerDay is the number of rows altered in a day, maxSpoiledSpan how long one stays altered at
--- a/pkg/emulator/worker.go
+++ b/pkg/emulator/worker.go
@@ -37,16 +37,16 @@
 	endedAfterLease map[int64]bool
 	leaseSerial     int
 
-	// The registry row of the worker is altered by spoil from oddSince to oddUntil.
+	// The registry row of the worker is altered by spoil from spoiledSince to spoiledUntil.
 	spoiledSince, spoiledUntil time.Time
 	spoil                      func(a *workers.RegistryRow)
 
 	// refusesConnections says that the last incarnation crashed as a process, not as a host: connections break
-	// at once, and new ones are refused. broken holds callbacks that fail the calls made to this incarnation.
+	// at once, and new ones are refused. pendingCalls holds callbacks that fail the calls made to this incarnation.
 	refusesConnections bool
 	pendingCalls       []func()
 
-	// removedQuarters is how many quarters of the capacity are taken away; rooms holds former capacities with the time
+	// removedQuarters is how many quarters of the capacity are taken away; pastCapacities holds former capacities with the time
 	// at which each ended.
 	removedQuarters int64
 	pastCapacities  []pastRoom
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -344,7 +344,7 @@
 	}
 }
 
-// endedWithoutCrash handles a run that ended while its worker lives on. It exonerates the task if the run
+// endedWithoutCrash handles a run that ended while its worker keeps running. It exonerates the task if the run
 // had lasted for long enough.
 func (s *State) endedWithoutCrash(w *workers.Worker, t *jobs.Task, r *jobs.Run) {
 	t.Isolation = jobs.NoIsolation // an isolated run has ended as well
--- a/pkg/process/cell/placement_blockers.go
+++ b/pkg/process/cell/placement_blockers.go
@@ -46,7 +46,7 @@
 		return blockedByFillerCost
 	case u.Spec.GetSpread() > 0 && w.TaskCount(u) >= int(u.Spec.GetSpread()):
 		return blockedBySpread
-	case s.quarantined(now, w): // after its time in quarantine, a worker gets a single run as a trial
+	case s.quarantined(now, w): // after its time in quarantine, a worker gets a single run as a probe
 		return blockedByQuarantine
 	}
 	return notBlocked
--- a/pkg/process/election/election.go
+++ b/pkg/process/election/election.go
@@ -83,16 +83,16 @@
 	writePending bool
 	sentAt       time.Time
 	sentRow      *wire.CellLead
-	// sentRoster is the roster written together with sentRow, or nil.
+	// sentRoster is the membership written together with sentRow, or nil.
 	sentRoster *wire.CellRoster
-	// releaseRequested is set by Release, handoverOffered by Want.
+	// releaseRequested is set by Release, handoverOffered by AcceptHandover.
 	releaseRequested bool
 	handoverOffered  bool
 	// predecessorsSettled means that all runs started by predecessors are known or have certainly ended (Settled).
 	predecessorsSettled bool
 	// endedPredecessors holds the predecessors that are known to have ended, by holder.
 	endedPredecessors map[string]bool
-	// writtenRoster is the roster that this process wrote last while leading, or nil.
+	// writtenRoster is the membership that this process wrote last while leading, or nil.
 	writtenRoster []*wire.RosterEntry
 	// mustReadRow means that the last write failed or has an unknown outcome, so the row has to be read before
 	// the next write. Otherwise a losing candidate would keep writing over the version it knows, and each
@@ -103,8 +103,8 @@
 // New returns this process's view of the seat of a cell that belongs to the given hall.
 func New(cell, hall string, self Self) *Seat { return &Seat{cell: cell, hall: hall, self: self} }
 
-// Write is a leadership row to write on condition that the table still holds Version. Roster is written
-// in the same transaction; nil leaves the stored roster as it is.
+// Write is a leadership row to write on condition that the table still holds Version. Membership is written
+// in the same transaction; nil leaves the stored membership as it is.
 type Write struct {
 	Row        *wire.CellLead
 	Version    int64
@@ -227,8 +227,8 @@
 	return s.startWrite(now, row, nil)
 }
 
-// renewal returns the leader's next write, or nil while none is due. A release, the first roster and an urgent change
-// of the roster are written at once, all else once per renewInterval.
+// renewal returns the leader's next write, or nil while none is due. A release, the first membership and an urgent change
+// of the membership are written at once, all else once per renewInterval.
 func (s *Seat) renewal(now time.Time, roster []*wire.RosterEntry) *Write {
 	changed := roster != nil && (s.writtenRoster == nil || !noUrgentChange(s.writtenRoster, roster))
 	if !s.releaseRequested && !changed && now.Sub(s.sentAt) < renewInterval {
@@ -249,7 +249,7 @@
 	return s.startWrite(now, row, &wire.CellRoster{Cell: s.cell, Entries: roster})
 }
 
-// noUrgentChange returns whether the roster has no change that must be written before the next renewal. Urgent changes
+// noUrgentChange returns whether the membership has no change that must be written before the next renewal. Urgent changes
 // are other members or incarnations, another leaving state, and runs at a worker that are no longer known.
 func noUrgentChange(written, roster []*wire.RosterEntry) bool {
 	if len(written) != len(roster) {
@@ -267,7 +267,7 @@
 }
 
 // runsBetterKnown returns whether the runs at some worker are newly known, or at most half of the tasks last written may
-// still run there. Such a roster is written with the next renewal. Both lists have the same workers.
+// still run there. Such a membership is written with the next renewal. Both lists have the same workers.
 func runsBetterKnown(written, roster []*wire.RosterEntry) bool {
 	for i, e := range roster {
 		if e.GetRunsKnown() && (!written[i].GetRunsKnown() || 2*len(e.GetMayRun()) <= len(written[i].GetMayRun()) && len(written[i].GetMayRun()) > 0) {
@@ -318,7 +318,7 @@
 	if version == 0 {
 		s.mustReadRow = true
 		if s.sentRoster != nil {
-			s.writtenRoster = nil // the table may hold either the old or the new roster
+			s.writtenRoster = nil // the table may hold either the old or the new membership
 		}
 		return Change{}
 	}
--- a/pkg/process/election/election_test.go
+++ b/pkg/process/election/election_test.go
@@ -94,8 +94,8 @@
 	must.NotNil(t, s.NextWrite(at(11), nil, 0, false))
 }
 
-// The roster is written with the first renewal after it is known, and again when it changes. Until the leader has
-// read its predecessors' roster, the stored one stays. The table refuses empty values, so an empty roster still
+// The membership is written with the first renewal after it is known, and again when it changes. Until the leader has
+// read its predecessors' membership, the stored one stays. The table refuses empty values, so an empty membership still
 // encodes to some bytes.
 func TestRosterIsWrittenWhenKnownAndWhenChanged(t *testing.T) {
 	t.Parallel()
@@ -112,7 +112,7 @@
 	one := []*wire.RosterEntry{{Id: "w1"}}
 	w = s.NextWrite(at(520), one, 0, false)
 	must.Eq(t, "w1", w.Membership.GetEntries()[0].GetId())
-	s.RowWritten(at(525), 0) // outcome unknown: the roster is written again
+	s.RowWritten(at(525), 0) // outcome unknown: the membership is written again
 	s.RowRead(at(800), at(790), w.Row, 4, storeAt(800))
 	w = s.NextWrite(at(1000), one, 0, false)
 	must.NotNil(t, w.Membership)
--- a/pkg/process/fleet/followers.go
+++ b/pkg/process/fleet/followers.go
@@ -41,7 +41,7 @@
 	Manifest(value []byte) (*manifest.Manifest, error)
 	// WorkersTable returns the name of the worker registry's table.
 	WorkersTable() string
-	// Worker decodes a row of the worker registry. Its error is a workers.Unusable.
+	// Worker decodes a row of the worker registry. Its error is a workers.InvalidRow.
 	Worker(r table.Row) (workers.RegistryRow, error)
 }
 
--- a/pkg/process/fleet/registry_follower.go
+++ b/pkg/process/fleet/registry_follower.go
@@ -15,7 +15,7 @@
 )
 
 // The follower of the worker registry runs while this process leads a cell. A row may have any
-// content, so each is checked on its own (workers.Judge), and again when the manifest changes. The
+// content, so each is checked on its own (workers.ValidateRow), and again when the manifest changes. The
 // worker of an unusable row gets no new runs. If its row was usable before, it is treated as a
 // worker that was removed from the registry: the leader polls the address of the last usable row
 // until the runs there have ended, and renews only runs of a worker that answers under the same
--- a/pkg/process/hall/sync.go
+++ b/pkg/process/hall/sync.go
@@ -130,7 +130,7 @@
 	return list
 }
 
-// addStops adds the requested stops, and stops of strays: attempts that run on
+// addStops adds the requested stops, and stops of attempts that run on
 // this worker without being assigned to it, or no longer.
 func (s *State) addStops(w *worker, req *wire.SyncRequest) {
 	for _, t := range w.tasks {
--- a/pkg/process/hall/tasks.go
+++ b/pkg/process/hall/tasks.go
@@ -94,8 +94,8 @@
 		return
 	}
 	t := &task{job: j, row: row, committed: row, waitingSince: now}
-	// A predecessor may have sent the start; only the worker's next reply
-	// tells.
+	// A predecessor may have sent the start; the worker's next reply
+	// shows whether one did.
 	t.startSent = t.placed()
 	s.addTask(t)
 }
--- a/pkg/process/interference/guard.go
+++ b/pkg/process/interference/guard.go
@@ -32,7 +32,7 @@
 // Candidate is a batch task on the service's worker that the Guard may act on.
 type Candidate struct {
 	Task string
-	// Kind is the kind of batch work, as in Present.
+	// Kind is the kind of batch work, as in TaskCounts.
 	Kind      string
 	Priority  int
 	Throttled bool
--- a/pkg/process/jobs/delegation.go
+++ b/pkg/process/jobs/delegation.go
@@ -245,7 +245,7 @@
 }
 
 // TargetCells returns the cells that have had tasks of the job, including cells that returned them or completed
-// them. The home cell tells all of them when the job ends.
+// them. The home cell notifies all of them when the job ends.
 func (j *Job) TargetCells() []string {
 	if j.Delegated() {
 		return nil
--- a/pkg/process/jobs/job.go
+++ b/pkg/process/jobs/job.go
@@ -88,7 +88,7 @@
 	Isolation IsolationState
 	level     poisontask.Level
 	// IsolationWaived is true if the next run need not be isolated although the task's level is
-	// poisontask.NeedsIsolation. IsolatedSince is the time from which the task has waited for an isolated run.
+	// poisontask.NeedsIsolation. IsolationWaitSince is the time from which the task has waited for an isolated run.
 	IsolationWaived    bool
 	IsolationWaitSince time.Time
 	// IsolatedByRecord is true if the predecessor's record allowed only isolated runs of the task. Each isolated run
--- a/pkg/process/orderwindow/orderwindow.go
+++ b/pkg/process/orderwindow/orderwindow.go
@@ -57,7 +57,7 @@
 type Window struct {
 	size     float64
 	inFlight int
-	// heldBack says that Room last returned false. A window that is not used up doesn't grow.
+	// heldBack says that MaySend last returned false. A window that is not used up doesn't grow.
 	heldBack bool
 	// fastest and lastFastest are the fastest answer times of the present span and of the
 	// previous one.
@@ -149,7 +149,7 @@
 }
 
 // Timeout returns how long to wait for an answer: the mean answer time plus several mean
-// deviations, within LeastTimeout and MostTimeout. It is long because an order that is sent
+// deviations, within MinTimeout and MaxTimeout. It is long because an order that is sent
 // again would queue behind its first copy.
 func (w *Window) Timeout() time.Duration {
 	return min(MaxTimeout, max(MinTimeout, w.meanAnswerTime+timeoutDeviations*w.meanDeviation))
--- a/pkg/process/quarantine/quarantine.go
+++ b/pkg/process/quarantine/quarantine.go
@@ -1,4 +1,4 @@
-// Package quarantine tells a broken worker from a broken kind of job.
+// Package quarantine distinguishes a broken worker from a broken kind of job.
 //
 // A worker that fails every task at once always has free capacity, and so attracts work.
 // Therefore failures are counted by worker and by kind. A worker is quarantined when it
@@ -37,7 +37,7 @@
 	provenKinds map[string]bool
 }
 
-// New returns a Record without failures.
+// New returns a Tracker without failures.
 func New() *Tracker {
 	return &Tracker{workers: map[string]*worker{}, failedWorkers: map[string]map[string]bool{}, provenKinds: map[string]bool{}}
 }
--- a/pkg/process/settingsstore/store.go
+++ b/pkg/process/settingsstore/store.go
@@ -42,7 +42,7 @@
 	peerFetchInterval = 2 * time.Second
 )
 
-// Store holds the settings version in force. Apart from Watch and Unsafe, which must be called before Serve, its
+// Store holds the settings version in force. Apart from Watch and AllowOlderVersions, which must be called before Serve, its
 // methods are safe for concurrent use.
 type Store struct {
 	table   Table
--- a/pkg/process/workers/calls.go
+++ b/pkg/process/workers/calls.go
@@ -37,7 +37,7 @@
 	Run   int64
 	Body  string
 	// Until is the end of the lease by the worker's clock. After it the worker refuses the
-	// start (RefusedLate).
+	// start (RefusedExpired).
 	Until      time.Duration
 	Checkpoint string
 	Ticket     string
--- a/pkg/process/workers/registry_row.go
+++ b/pkg/process/workers/registry_row.go
@@ -35,7 +35,7 @@
 	Millicores, MemoryMB, Accelerators *int64
 }
 
-// The values of Account.State.
+// The values of RegistryRow.State.
 const (
 	StateReady   = "ready"
 	StateLeaving = "draining"
@@ -51,7 +51,7 @@
 type InvalidRow struct {
 	ID string
 	// Field is the invalid field, in the words of the product; empty: the row can't be
-	// parsed at all. Why is the problem.
+	// parsed at all. Reason is the problem.
 	Field, Reason string
 }
 
@@ -63,7 +63,7 @@
 	return u.Field + ": " + u.Reason
 }
 
-// AsInvalidRow returns the Unusable that err wraps, or nil if it wraps none.
+// AsInvalidRow returns the InvalidRow that err wraps, or nil if it wraps none.
 func AsInvalidRow(err error) *InvalidRow {
 	var u *InvalidRow
 	if errors.As(err, &u) {
@@ -83,7 +83,7 @@
 	maxRemainingMs = int64(24 * time.Hour / time.Millisecond)
 )
 
-// ValidateRow validates a row and returns the worker's Record. The error is an *Unusable.
+// ValidateRow validates a row and returns the worker's Record. The error is an *InvalidRow.
 func ValidateRow(a RegistryRow, known KnownNames) (Record, error) {
 	for _, check := range []struct {
 		field string
--- a/pkg/process/workers/worker.go
+++ b/pkg/process/workers/worker.go
@@ -121,8 +121,8 @@
 	NoFillersUntil time.Time
 	// PacedAt is the LastAnswerAt on which the latest decision on the pace of its fillers is based.
 	PacedAt time.Time
-	// Ended says that this incarnation has certainly ended. GoneAt is when the leader learned of it,
-	// GoneWhy the reason.
+	// Ended says that this incarnation has certainly ended. EndKnownAt is when the leader learned of it,
+	// EndReason the reason.
 	Ended      bool
 	EndKnownAt time.Time
 	EndReason  string
@@ -172,7 +172,7 @@
 }
 
 // GrantLease extends the worker's lease by span from now and returns its end by the worker's clock.
-// LeaseOver and LeaseLeft use the latest end that was ever granted.
+// LeaseExpired and MaxLeaseLeft use the latest end that was ever granted.
 func (w *Worker) GrantLease(now time.Time, span time.Duration) time.Duration {
 	until := w.MinClock(now) + span
 	w.leaseUntil = max(w.leaseUntil, until)
--- a/pkg/request/cellchoice/board.go
+++ b/pkg/request/cellchoice/board.go
@@ -80,7 +80,7 @@
 	return Choice{Cell: best, Reason: "cost in ms (age of load): " + strings.Join(costs, ", ")}
 }
 
-// freshLoad returns a cell's load, or nil if none is known or it is older than GoodFor.
+// freshLoad returns a cell's load, or nil if none is known or it is older than MaxLoadAge.
 func (b *Board) freshLoad(now time.Time, name string) *wire.CellLoad {
 	k := b.loads[name]
 	if k.CellLoad == nil || now.Sub(k.reportedAt) > MaxLoadAge {
--- a/pkg/request/gateway/stream.go
+++ b/pkg/request/gateway/stream.go
@@ -117,7 +117,7 @@
 	if err != nil {
 		return false, ctx.Err() != nil
 	}
-	verdict = runner.Abandoned // a stream's end tells nothing about how the server answers calls
+	verdict = runner.Abandoned // a stream's end shows nothing about how the server answers calls
 	defer resp.Body.Close()
 	if !s.sendHeader() {
 		return false, true
--- a/pkg/rows/fleet.go
+++ b/pkg/rows/fleet.go
@@ -97,7 +97,7 @@
 // LeadKey returns the key of a cell's leadership.
 func LeadKey(cell string) table.Key { return table.Key{Table: LeadTable, Key: cell} }
 
-// RosterKey returns the key of a cell's roster, which is in the same part as its leadership row.
+// RosterKey returns the key of a cell's recorded membership, which is in the same part as its leadership row.
 func RosterKey(cell string) table.Key { return table.Key{Table: RosterTable, Key: cell} }
 
 // HostKey returns the key of an entry host.
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -2,7 +2,7 @@
 // adapter (platform/) implements the protocol.
 //
 // Rows are in tables, and within a table in parts. A transaction stays within one part. Every row has a version
-// from one counter, which rises with each transaction. Errors tell the outcome of a request:
+// from one counter, which rises with each transaction. Errors state the outcome of a request:
 //
 //	fault.NotRun       the service has done nothing
 //	fault.Unknown      the service may have carried out the request, or may do so later
--- a/pkg/version/settings/keys.go
+++ b/pkg/version/settings/keys.go
@@ -9,7 +9,7 @@
 )
 
 // Keys, in this file, defines all settings. The checker, the command line's help and docs/SETTINGS.md use it. To add a
-// setting, add a row to Keys and a field to Kind or Fleet in resolve.go, and run "make docs".
+// setting, add a row to Keys and a field to Kind or RootSettings in resolve.go, and run "make docs".
 
 // ----------------------------------------------------------------- types
 
