--- a/pkg/cli/fleet_status.go
+++ b/pkg/cli/fleet_status.go
@@ -15,7 +15,7 @@
 var fleetStatus = verb{
 	path: "fleet status", args: "HOST:PORT...", min: 1, max: 1000,
 	short:   "Show who leads each cell of a running fleet, and how full it is",
-	long:    "fleet status asks entry hosts at the metrics addresses of their settings. It shows of\neach whether it takes calls, the manifest in force and how long ago the table answered,\nand of each cell that it leads the jobs, the tasks that wait and run, and the workers:\nknown, usable now, put aside, and tasks suspected of crashing some. A host that does not answer has a line that says so.",
+	long:    "fleet status asks entry hosts at the metrics addresses of their settings. It shows of\neach whether it takes calls, the manifest in force and how long ago the table answered,\nand of each cell that it leads the jobs, the tasks that wait and run, and the workers:\nknown, usable now, in quarantine (aside), and tasks suspected of crashing some. A host that does not answer has a line that says so.",
 	example: "  wrenferry fleet status 10.1.0.13:7721 10.1.0.14:7721\n  wrenferry fleet status 10.1.0.13:7721 -o json",
 	run:     runFleetStatus,
 }
--- a/pkg/cli/fleet_suspects.go
+++ b/pkg/cli/fleet_suspects.go
@@ -16,7 +16,7 @@
 
 var fleetSuspects = verb{
 	path: "fleet suspects", args: "HOST:PORT...", min: 1, max: 1000,
-	short:   "List the tasks under which workers crashed, with what is held against each",
+	short:   "List the tasks under which workers crashed, with the crash evidence of each",
 	long:    "fleet suspects asks entry hosts at the metrics addresses of their settings. Of each cell\nthat one leads it lists the tasks under which workers crashed: how much each is suspected\n(trusted, suspect, on trial), and of each crash the worker, how long the run had run, how many\nothers there had not been there for far longer, and what speaks for another cause.",
 	example: "  wrenferry fleet suspects 10.1.0.13:7721 10.1.0.14:7721\n  wrenferry fleet suspects 10.1.0.13:7721 -o json",
 	run:     runFleetSuspects,
@@ -24,8 +24,8 @@
 
 var fleetClear = verb{
 	path: "fleet clear", args: "TASK HOST:PORT...", min: 2, max: 1000,
-	short:   "Take back what is held against a task under which workers crashed",
-	long:    "fleet clear asks entry hosts until one leads a cell that holds anything against the task;\nthat one starts it like any other from then on. The log has task-cleared. A job that was given\nup stays given up: hand it in anew.",
+	short:   "Drop the crash evidence of a task under which workers crashed",
+	long:    "fleet clear asks entry hosts until one leads a cell that has crash evidence of the task;\nthat one starts it like any other from then on. The log has task-cleared. A job that was given\nup stays given up: hand it in anew.",
 	example: "  wrenferry fleet clear 37cdd9bca69c3d51.0.1.0 10.1.0.13:7721 10.1.0.14:7721",
 	run:     runFleetClear,
 }
--- a/pkg/clock/watch.go
+++ b/pkg/clock/watch.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// watchInterval is the interval at which Watch checks for a suspension.
+	// watchInterval is the interval at which WatchSuspensions checks for a suspension.
 	watchInterval = 500 * time.Millisecond
 	// minSuspension is the shortest suspension that counts. Two clocks are not read at the same moment, and a slow
 	// processor causes pauses as long as a shorter suspension, too.
--- a/pkg/emulator/capacity.go
+++ b/pkg/emulator/capacity.go
@@ -10,7 +10,7 @@
 
 const (
 	// capacityChangeGrace is how long after it has shrunk a former capacity is still allowed: the time in which
-	// hosts in touch read the table, plus one row of the worker.
+	// hosts in contact with the table read it, plus one row of the worker.
 	capacityChangeGrace = 4500 * time.Millisecond
 	// quarters is the number of equal parts that a capacity is divided into.
 	quarters = 4
--- a/pkg/emulator/checker.go
+++ b/pkg/emulator/checker.go
@@ -26,7 +26,7 @@
 //	LIMIT    a start that exceeds the capacity of a worker that accepts every start; runs that
 //	         are being stopped count, and a reduced capacity counts after a while
 //	UNASKED  a start of a task that no caller submitted, with another body or checkpoint, or long
-//	         after its cancel, by a host in touch
+//	         after its cancel, by a host in contact
 //	MIXED    a job recorded as completed with a task that has not ended well,
 //	         or as failed or cancelled without cause
 //	ROW      a start order to a worker whose row is invalid, by a host that has read that
