--- a/pkg/process/election/election.go
+++ b/pkg/process/election/election.go
@@ -113,12 +113,12 @@
 
 // Change is a change of the role; the zero Change is none.
 type Change struct {
-	// Gained is set when this process becomes the leader. Before is the row that its claim replaced, or nil.
+	// Gained is set when this process becomes the leader. ReplacedRow is the row that its claim replaced, or nil.
 	Gained      bool
 	ReplacedRow *wire.CellLead
 	// Predecessors are the earlier leaders that are not known to have ended.
 	Predecessors []Predecessor
-	// Lost is set when this process stops leading. Why is the reason.
+	// Lost is set when this process stops leading. Reason is the reason.
 	Lost   bool
 	Reason string
 }
--- a/pkg/request/cellchoice/board.go
+++ b/pkg/request/cellchoice/board.go
@@ -60,7 +60,7 @@
 	return k.CellLoad, now.Sub(k.reportedAt)
 }
 
-// Choice is the cell for a job. Why lists the cost of each cell for the log.
+// Choice is the cell for a job. Reason lists the cost of each cell for the log.
 type Choice struct{ Cell, Reason string }
 
 // Choose returns the cell with the lowest cost for a new job. It adds the job's demand to the
