--- a/pkg/emulator/checker.go
+++ b/pkg/emulator/checker.go
@@ -26,7 +26,7 @@
 //	LIMIT    a start that exceeds the capacity of a worker that accepts every start; runs that
 //	         are being stopped count, and a reduced capacity counts after a while
 //	UNASKED  a start of a task that no caller submitted, with another body or checkpoint, or long
-//	         after its cancel, by a host in touch
+//	         after its cancel, by a host in contact
 //	MIXED    a job recorded as completed with a task that has not ended well,
 //	         or as failed or cancelled without cause
 //	ROW      a start order to a worker whose row is invalid, by a host that has read that
@@ -47,10 +47,10 @@
 	// failedAt holds the times of the acknowledged failures by task and "worker id#run number".
 	failedAt map[string]map[string]time.Time
 	phases   map[string]wire.JobPhase
-	// crashes counts the worker crashes under each task that causes them, startsMore the task's starts after
+	// crashes counts the worker crashes under each task that causes them, startsAfterLimit the task's starts after
 	// too many of these.
 	crashes, startsAfterLimit map[string]int
-	// failures holds the numbers of failed runs of each task or gang, mostFailures the highest count within a
+	// failures holds the numbers of failed runs of each task or gang, maxFailures the highest count within a
 	// job.
 	failures    map[string]map[int64]bool
 	maxFailures map[string]int
--- a/pkg/request/cellchoice/board.go
+++ b/pkg/request/cellchoice/board.go
@@ -60,7 +60,7 @@
 	return k.CellLoad, now.Sub(k.reportedAt)
 }
 
-// Choice is the cell for a job. Why lists the cost of each cell for the log.
+// Choice is the cell for a job. Reason lists the cost of each cell for the log.
 type Choice struct{ Cell, Reason string }
 
 // Choose returns the cell with the lowest cost for a new job. It adds the job's demand to the
@@ -80,7 +80,7 @@
 	return Choice{Cell: best, Reason: "cost in ms (age of load): " + strings.Join(costs, ", ")}
 }
 
-// freshLoad returns a cell's load, or nil if none is known or it is older than GoodFor.
+// freshLoad returns a cell's load, or nil if none is known or it is older than MaxLoadAge.
 func (b *Board) freshLoad(now time.Time, name string) *wire.CellLoad {
 	k := b.loads[name]
 	if k.CellLoad == nil || now.Sub(k.reportedAt) > MaxLoadAge {
