--- a/pkg/emulator/load.go
+++ b/pkg/emulator/load.go
@@ -72,8 +72,9 @@
 // WindowSpan is the length of a window.
 const WindowSpan = 2 * time.Second
 
-// Window sums up over the lasting tasks of a job how long they served, how long their tail latency was over the
-// target by their own load, and how long it was so only because of fillers beside them.
+// Window holds sums over the lasting tasks of a job, for one span of WindowSpan. AtWork is how long they served,
+// OverTarget how long their tail latency was over the target by their own load, and OverTargetByFillers how long it was
+// over the target only because of fillers beside them.
 type Window struct{ AtWork, OverTarget, OverTargetByFillers time.Duration }
 
 // Results returns the outcome of each job of a given load, in the order of the load.
--- a/pkg/emulator/reduce/reduce.go
+++ b/pkg/emulator/reduce/reduce.go
@@ -134,8 +134,8 @@
 	r.tryWithAlternatives("the end", &s)
 }
 
-// alternativeCounts are the values of alternatives, one after the other. The next one is used when a script can't be
-// reduced further.
+// alternativeCounts are the numbers of alternative draws (reducer.alternatives) that reduceAll tries per script, in
+// this order. It goes on to the next number when the script can't be reduced further.
 var alternativeCounts = []uint64{0, 12, 48}
 
 // reduceAll removes what it can with the draws of the script, then with alternative draws, and rounds the times that
--- a/pkg/process/cell/advice.go
+++ b/pkg/process/cell/advice.go
@@ -11,9 +11,9 @@
 
 // Placement advice. For some queues only an external service knows which workers may run a step. A start has to carry
 // the ticket that the service issued for its worker. The service accepts one call at a time from each host and needs
-// time for each worker that the call names. So one call is in flight at a time. It is for the first step in placement
-// order that has no ticket left, and names the workers where the step would be placed first. A ticket is valid for all
-// tasks of the step, on that incarnation of the worker, for a limited time.
+// time for each worker that the call names. So one call is in flight at a time. The call is for the first step in
+// placement order that has no ticket left, and names the workers where the step would be placed first. A ticket is
+// valid for all tasks of the step, on that incarnation of the worker, for a limited time.
 
 const (
 	// namedWorkersPerTask is how many workers a call names for each waiting task, so that some of the approved workers
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -31,7 +31,7 @@
 	// that runs there.
 	silentAfterFailures = 2
 	// brokenConnectionSlack is how much longer than the wait of a poll it may take to notice a broken connection:
-	// a silence noticed later showed by a timeout. It is shorter than pollSlack.
+	// a silence that is noticed later was noticed by a timeout. It is shorter than pollSlack.
 	brokenConnectionSlack = 60 * time.Millisecond
 	// hostCrashMemory is how long a crash of a host remains a sign of a fault of the host itself, should it
 	// crash again.
@@ -266,7 +266,8 @@
 	}
 }
 
-// forwardEvidence sends the present evidence against a delegated task to the cell that runs it.
+// forwardEvidence sends the present crash evidence against a delegated task to its target cell: it queues the target
+// cell's specification again, which holds the evidence. Only the home cell does so.
 func (s *State) forwardEvidence(t *jobs.Task) {
 	if j := t.Unit.Job; t.DelegatedTo != "" && !j.Delegated() {
 		s.pendingDelegations[j] = append(s.pendingDelegations[j], j.Delegate(t.DelegatedTo))
--- a/pkg/process/cell/crashes_test.go
+++ b/pkg/process/cell/crashes_test.go
@@ -194,8 +194,8 @@
 	}
 }
 
-// An innocent job failed after several runs that ended while many other workers crashed, the last run being
-// isolated. The run that would make the task poisonous waits for a quiet period.
+// A job without a poisonous task failed after several of its runs had ended while many other workers crashed. The last
+// of these runs was isolated. The run that would make the task poisonous waits for a quiet period.
 func TestADecisiveRunWaitsForAQuietPeriod(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet()
--- a/pkg/process/cell/events.go
+++ b/pkg/process/cell/events.go
@@ -19,7 +19,7 @@
 // ManifestChanged carries a newer manifest.
 type ManifestChanged struct{ Manifest *manifest.Manifest }
 
-// BoundsChanged carries new bounds from the settings.
+// BoundsChanged carries the limits on leases and on retention from changed settings.
 type BoundsChanged struct{ Bounds Bounds }
 
 // WorkersListed carries all workers of the cell that are in the worker registry.
--- a/pkg/process/cell/filler_pace.go
+++ b/pkg/process/cell/filler_pace.go
@@ -54,7 +54,8 @@
 	return r.Task.Unit.Spec.GetFiller() && r.State == jobs.Running
 }
 
-// lastReading returns a serving run's last tail latency as a level.
+// lastReading returns the last tail latency of a serving run as a level, which is relative to the run's target (package
+// interference).
 func lastReading(r *jobs.Run) interference.Reading {
 	return interference.NewReading(r.TailLatency, time.Duration(r.Task.Unit.Spec.GetTailTargetMs())*time.Millisecond)
 }
--- a/pkg/process/cell/filler_places.go
+++ b/pkg/process/cell/filler_places.go
@@ -13,15 +13,15 @@
 
 const (
 	// harmfulPlaceAfter is how long a filler waits for a harmless worker while the cell, or the cells together,
-	// have spare capacity: there, work that makes no progress for three seconds counts as lost. mostlyFreeBelow
+	// have spare capacity: work that then makes no progress for three seconds counts as lost. mostlyFreeBelow
 	// is the share of CPU in use below which capacity counts as spare.
 	harmfulPlaceAfter = 1500 * time.Millisecond
 	mostlyFreeBelow   = 0.6
-	// fullNetCostWait is the wait after which the net cost of a filler may be as high as fullValueRate: the wait itself
-	// costs the filler's job more and more.
+	// fullNetCostWait is the wait after which maxNetCost reaches fullValueRate. The limit grows because the wait costs
+	// the filler's job more and more.
 	fullNetCostWait = 8 * time.Second
-	// minUnusedShare is the least share of the CPU that a filler asks for which must be unused for it to
-	// start: a few fillers at full speed, one after the other, end sooner than many that share.
+	// minUnusedShare is the share of the CPU that a filler asks for that must be unused at its start: a few fillers
+	// at full speed, one after the other, end sooner than many that share.
 	minUnusedShare = 0.7
 )
 
--- a/pkg/process/cell/isolated_runs.go
+++ b/pkg/process/cell/isolated_runs.go
@@ -98,8 +98,8 @@
 	maxQuietWaitDecisive = 12 * time.Second
 )
 
-// isolatedOtherHostWait is how long a task that needs isolation waits for a host that has not crashed under it, and
-// suspectOtherHostWait how long another suspect does: most of these are innocent.
+// isolatedOtherHostWait is how long a task that needs isolation waits for a host that has not crashed under it.
+// suspectOtherHostWait is the same for other suspects. It is shorter because most of them are not poisonous.
 const (
 	isolatedOtherHostWait = 10 * time.Second
 	suspectOtherHostWait  = 5 * time.Second
@@ -108,8 +108,8 @@
 	trustedOtherHostWait = 2 * time.Second
 )
 
-// maxRecordWait is how long a suspect waits for its record while the table does not answer: outages of the table
-// last longer, and most suspects are innocent.
+// maxRecordWait is how long a suspect waits for its record while the table does not answer. The wait is limited because
+// outages of the table last longer and most suspects are not poisonous.
 const maxRecordWait = 3 * time.Second
 
 // mayRunIsolated reports whether an isolated run of a task may start now, provided that a worker is found.
@@ -121,9 +121,9 @@
 	return inUse < poisontask.MaxIsolatedRuns(len(s.workers)) && !s.awaitsCrashOutcome(now, t) && s.isQuiet(now, t)
 }
 
-// isQuiet reports whether a crash of an isolated run would be evidence against its task because no other workers
-// crash, or the task has waited for that for long enough. An innocent job that fails is worse for its caller than
-// one that ends later.
+// isQuiet reports whether no other workers crash at present, so that a crash of an isolated run would be evidence
+// against its task, or the task has waited for that for long enough. The wait delays a job, but a job without a
+// poisonous task that fails is worse for its caller than one that ends later.
 func (s *State) isQuiet(now time.Time, t *jobs.Task) bool {
 	quietFor, maxWait := quietBeforeIsolated, maxQuietWait
 	decides := poisontask.PoisonousAfterNextCrash(t.Crashes)
@@ -142,8 +142,8 @@
 	return t.Level() == poisontask.NeedsIsolation && !s.tooWideToIsolate(t.Unit) && !t.IsolationWaived
 }
 
-// maxIsolatedWait is how long a lasting task waits for an isolated run: a poisonous task is identified without one,
-// too, and most suspects are innocent.
+// maxIsolatedWait is how long a lasting task waits for an isolated run. It is short because a poisonous task is
+// identified without one, too, and most suspects are not poisonous.
 const maxIsolatedWait = 3 * time.Second
 
 // waiveIsolation lets lasting tasks that have waited maxIsolatedWait for an isolated run start without isolation.
--- a/pkg/process/cell/isolated_runs_test.go
+++ b/pkg/process/cell/isolated_runs_test.go
@@ -144,8 +144,8 @@
 	must.Eq(t, 2, started(4*time.Second))
 }
 
-// A worker with an isolated run stayed closed until its task was exonerated to a lasting task without evidence, if
-// another task of that one's step was a suspect.
+// A lasting task without crash evidence could not join a worker with an isolated run before that run exonerated its
+// task, if another task of the lasting task's step was a suspect.
 func TestALastingTaskJoinsAnIsolatedRunDespiteASuspectInItsStep(t *testing.T) {
 	t.Parallel()
 	suspect := &wire.StepSpec{Count: 1, Millicores: 1000, Lasting: true}
--- a/pkg/process/cell/leases.go
+++ b/pkg/process/cell/leases.go
@@ -7,8 +7,8 @@
 // runs, reports the rest of each worker's lease: nothing for a worker that did not answer it either.
 
 // Grants returns the rest of each worker's lease: of leases that this process may have granted in the cell, and of
-// leases of earlier leaders that it waited for, of which its successor does not learn otherwise. known is false while
-// there may be leases at workers that this process never learned of.
+// leases of earlier leaders that it waited for and that its successor can't learn of in another way. known is false
+// while there may be leases at workers that this process never learned of.
 func (s *State) Grants(now time.Time) (grants map[string]time.Duration, known bool) {
 	grants = map[string]time.Duration{}
 	for id, until := range s.leaseEnds(now) {
--- a/pkg/process/cell/lost_runs.go
+++ b/pkg/process/cell/lost_runs.go
@@ -8,8 +8,8 @@
 )
 
 // Runs whose ends the leader decides without a report of the worker: after the end of an incarnation, after the expiry
-// of a lease, and when a run stalls. All but the last are confirmed first: this process must have led the cell after
-// the incarnation or the lease was over (see model/cell.pml).
+// of a lease, and when a run stalls. For the first two, the leader waits until its leadership is confirmed for a time
+// after the end of the incarnation or the lease (see model/cell.pml).
 
 // endIncarnation ends a worker's incarnation because a later one has begun. Rows that name the ended incarnation are
 // out of date from now on, and takeRegistry skips them.
--- a/pkg/process/cell/mechanisms.go
+++ b/pkg/process/cell/mechanisms.go
@@ -1,7 +1,7 @@
 package cell
 
-// Mechanism is a part of a cell's decisions that can be disabled separately, to find out its effect: in the lab,
-// and by operators who doubt it.
+// Mechanism is a part of a cell's decisions that can be disabled separately to find out its effect, in the lab and by
+// operators who doubt that it helps.
 type Mechanism uint32
 
 // The mechanisms. Each is one bit: the sum of several stands for all of them.
--- a/pkg/process/cell/orders.go
+++ b/pkg/process/cell/orders.go
@@ -127,7 +127,7 @@
 		r.AckedAt = now
 		s.runBegan(now, r)
 	case e.Reply.Refusal == workers.RefusedSuperseded:
-		// The worker has had a run with this number or a higher one; its lists show what became of it.
+		// The worker has had a run with this number or a higher one. The worker's lists show the outcome of this run.
 		r.State = jobs.Unanswered
 		r.ValidUntil = w.MinClock(now)
 	case r.SendCount > 1:
--- a/pkg/process/cell/placement.go
+++ b/pkg/process/cell/placement.go
@@ -236,8 +236,9 @@
 	failedTherePenalty = 20.0
 	// netCostWeight weighs the net cost of a filler (fillerNetCost) against the share of unused CPU.
 	netCostWeight = 1.0
-	// imageAffinityWeight weighs how alike the serving images of a worker are to the task's against free CPU. It
-	// outweighs free CPU, whose share is at most 1; the price is gaps too small for the next serving task.
+	// imageAffinityWeight is the weight of the similarity between the task's image and the serving images of a worker
+	// (imageAffinity). It outweighs free CPU, whose share is at most 1. The cost is that free capacity may remain in
+	// gaps that are too small for the next serving task.
 	imageAffinityWeight = 3.0
 )
 
--- a/pkg/process/cell/poll.go
+++ b/pkg/process/cell/poll.go
@@ -14,11 +14,11 @@
 	// most time that the crash of a worker costs its tasks.
 	leaseDuration = 3500 * time.Millisecond
 	// pollWait is how long a worker with runs may wait for one of them to end before it answers a poll. It sets how
-	// often the leader gets readings, which workers renew every half second, and renews the lease.
+	// often the leader renews the lease and gets readings. Workers take new readings every half second.
 	pollWait = 500 * time.Millisecond
 	// idlePollWait is pollWait for a worker without runs.
 	idlePollWait = time.Second
-	// pollSlack is the least time that a poll may take beyond the wait that it asks for.
+	// pollSlack is by how much the timeout of a poll exceeds the wait that the poll asks for, at least.
 	pollSlack = 600 * time.Millisecond
 	// pollRetryPause is the pause after a failed poll.
 	pollRetryPause = 200 * time.Millisecond
@@ -31,8 +31,9 @@
 	maxAnswerAge = idlePollWait + time.Second
 	// LongestLease bounds the lease that any leader grants.
 	LongestLease = leaseDuration + leaseSlack
-	// leaseSlack covers a predecessor's grant that was computed from a fresher reading of the worker's clock than this
-	// leader's first one.
+	// leaseSlack is added to the lease that a leader assumes at a worker's first answer. A predecessor may have
+	// computed its grant from a fresher reading of the worker's clock than this leader's first one, so that its lease
+	// ends later.
 	leaseSlack = 500 * time.Millisecond
 )
 
--- a/pkg/process/cell/runtime_estimates.go
+++ b/pkg/process/cell/runtime_estimates.go
@@ -15,7 +15,7 @@
 // queue changes with each run at first, and slowly later.
 const estimateValidFor = 500 * time.Millisecond
 
-// learnRunTime learns from how long a run took that ended well. It skips runs that do not show the time of a
+// learnRunTime learns from the duration of a run that succeeded. It skips runs that do not show the time of a
 // whole task at full pace: resumed or paused ones, lasting tasks and gangs.
 func (s *State) learnRunTime(now time.Time, u *jobs.Unit, r *jobs.Run) {
 	if r == nil || r.BeganAt.IsZero() || r.Resumed || !r.PausedAt.IsZero() || u.Lasting() || u.Spec.GetGang() {
--- a/pkg/process/cell/settle.go
+++ b/pkg/process/cell/settle.go
@@ -10,15 +10,15 @@
 	"github.com/wrenferry/wrenferry/pkg/process/workers"
 )
 
-// Settling after a takeover: the leader finds out which runs earlier leaders started. Workers list them, or they have
-// certainly ended because the worker's lease has. A task is settled, and may start if no worker lists it, once no
-// earlier run of it can go on unknown to this leader.
+// Settling after a takeover: the leader finds out which runs earlier leaders started. A worker that answers lists its
+// runs. The runs of a worker that does not answer have certainly ended once its lease has ended. A task is
+// settled, and may start if no worker lists it, once no earlier run of it can go on unknown to this leader.
 
 // earlierRunsOver reports whether the runs that earlier leaders started at a worker which
 // has not answered have certainly ended: its leases must have ended before leadership
 // was last confirmed. A worker that never answered has leases of earlier leaders
-// only. A worker that answered while the jobs were being read also has one of this
-// leader, and its list is still to come.
+// only. A worker that answered while the jobs were being read also has a lease of this
+// leader, and still has to list its runs.
 func (s *State) earlierRunsOver(now time.Time, w *workers.Worker) bool {
 	confirmed := s.leadershipLastConfirmed(now)
 	if confirmed.Before(s.lastLeaseEndAt(w.ID)) {
--- a/pkg/process/cell/state.go
+++ b/pkg/process/cell/state.go
@@ -374,8 +374,8 @@
 	s.dropExpiredJobs(now)
 }
 
-// workersByID lists the workers by id. A map has no fixed order, so the same events would lead to other decisions each
-// time.
+// workersByID returns the workers, sorted by id. In the order of a map, the same events would lead to other decisions
+// each time.
 func (s *State) workersByID() []*workers.Worker {
 	if len(s.sortedWorkers) != len(s.workers) || s.orderStale {
 		s.sortedWorkers = s.sortedWorkers[:0:0]
--- a/pkg/process/cell/unobserved_crashes.go
+++ b/pkg/process/cell/unobserved_crashes.go
@@ -14,14 +14,14 @@
 // Unobserved ends: incarnations of workers that ended while the cell had no leader, or whose leader ended before it
 // recorded what ran there.
 //
-// The membership row names the incarnations that earlier leaders could use. When a successor finds one of them over, it
-// can't tell which tasks ran there: any task without a known run may have, and may have crashed the worker. That is
-// weak crash evidence against each of these tasks, but it is recorded and outlasts leaders. So a poisonous task is
-// identified after as many crashes while leaders change as under one leader.
+// The membership row names the incarnations that earlier leaders could use. When a successor finds that one of them has
+// ended, it can't tell which tasks ran there. Any task without a known run may have run there and crashed the worker.
+// That is weak crash evidence against each of these tasks, but it is recorded and outlasts leaders. So a poisonous task
+// is identified after as many crashes while leaders change as under one leader.
 //
 // The membership row names an ended incarnation, as a retained member, until the crash evidence from its end is
-// recorded. Each job is recorded by itself, so some records of an end may be written and others lost: each record says
-// how many tasks the end implicates (Accused).
+// recorded. Each job's evidence is recorded separately, so some records of an end may be written and others lost.
+// Therefore each record holds the number of tasks that the end implicates (Accused).
 
 // maxNamedAtEnd bounds how many tasks the membership row names for one ended incarnation.
 const maxNamedAtEnd = maxNamedTasks / 4
@@ -153,7 +153,7 @@
 	}
 }
 
-// endUnreachedOnHost handles an answer of a worker: unreached members on its host are over, because a host runs one
+// endUnreachedOnHost handles an answer of a worker: unreached members on its host have ended, because a host runs one
 // worker at a time.
 func (s *State) endUnreachedOnHost(now time.Time, w *workers.Worker) {
 	for _, id := range slices.Sorted(maps.Keys(s.unreachedMembers)) {
--- a/pkg/process/hall/workers.go
+++ b/pkg/process/hall/workers.go
@@ -228,7 +228,7 @@
 	current := t != nil && t.row.GetAttempt() == r.GetAttempt()
 	if r.GetState() != wire.RunState_RUN_STATE_RUNNING {
 		w.account.Release(name)
-		w.syncSoon = true // the worker keeps the end until it is told that the table holds it
+		w.syncSoon = true // the worker keeps the end until a sync says that the table holds it
 		if current {
 			s.attemptEnded(now, w, t, r)
 		}
--- a/pkg/process/poisontask/evidence.go
+++ b/pkg/process/poisontask/evidence.go
@@ -59,8 +59,8 @@
 }
 
 // CommonCrashThreshold returns how many crashes, within the time that callers look back (15 s), make crashes so common
-// that one soon after a start is weaker evidence: an innocent run is then hit in its first second with a chance of two
-// in a hundred or more.
+// that one soon after a start is weaker evidence: a run of a harmless task is then hit in its first second with a
+// probability of two in a hundred or more.
 func CommonCrashThreshold(workers int) int {
 	return max(minCommonCrashes, workers*commonCrashTenths/10)
 }
--- a/pkg/process/poisontask/poisontask.go
+++ b/pkg/process/poisontask/poisontask.go
@@ -105,7 +105,7 @@
 	exonerateEndedMargin = 500 * time.Millisecond
 
 	// suspectWeight and isolationWeight are the weights from which a task is a suspect and needs isolation: one
-	// crash hits about ten innocent neighbours, two in a row hit few of them twice.
+	// crash hits about ten harmless neighbours, two in a row hit few of them twice.
 	suspectWeight   = weightPrompt
 	isolationWeight = 2 * weightPrompt
 	// poisonousWeight is the weight of one prompt crash and two with a likely external cause.
