--- a/pkg/emulator/capacity.go
+++ b/pkg/emulator/capacity.go
@@ -16,8 +16,8 @@
 	quarters = 4
 )
 
-// pastRoom is a former capacity of a worker and when it ended.
-type pastRoom struct {
+// pastCapacity is a former capacity of a worker and when it ended.
+type pastCapacity struct {
 	size  ledger.Size
 	until time.Time
 }
@@ -31,7 +31,7 @@
 
 // setRemovedQuarters takes away a number of quarters of the capacity, 0 for none.
 func (k *worker) setRemovedQuarters(parts int64) {
-	k.pastCapacities = append(k.pastCapacities, pastRoom{k.capacity(), k.world.now})
+	k.pastCapacities = append(k.pastCapacities, pastCapacity{k.capacity(), k.world.now})
 	k.removedQuarters = parts
 }
 
@@ -41,9 +41,9 @@
 	return ledger.Size{Millicores: k.Millicores * left / quarters, MemoryMB: k.MemoryMB * left / quarters}
 }
 
-// checkRoom breaks the rule LIMIT if a run that has just started exceeds the worker's capacity and each
+// checkCapacity breaks the rule LIMIT if a run that has just started exceeds the worker's capacity and each
 // capacity of the last moments. It is checked only where workers accept every start.
-func (c *checker) checkRoom(k *worker, task string) {
+func (c *checker) checkCapacity(k *worker, task string) {
 	if !c.world.plan.Unguarded {
 		return
 	}
--- a/pkg/emulator/crash_tasks.go
+++ b/pkg/emulator/crash_tasks.go
@@ -70,7 +70,7 @@
 // countTaskCrashes counts a crash of worker k for each crash task that runs there.
 func (c *checker) countTaskCrashes(k *worker) {
 	for task := range k.runs {
-		if _, guilty := c.world.crashTaskDelays[crashTaskKey(task)]; guilty {
+		if _, isCrashTask := c.world.crashTaskDelays[crashTaskKey(task)]; isCrashTask {
 			c.crashes[task]++
 		}
 	}
--- a/pkg/emulator/effects.go
+++ b/pkg/emulator/effects.go
@@ -214,7 +214,7 @@
 					}
 					loaded.Jobs = loadedJobs(specs, progress)
 					addCancels(&loaded, cancels)
-					loaded.Members = t.roster(h.cell)
+					loaded.Members = t.members(h.cell)
 					loaded.Wall, loaded.StoreNow = h.world.now, at
 					h.state.Take(h.clock(), loaded)
 					h.act()
--- a/pkg/emulator/emulator_test.go
+++ b/pkg/emulator/emulator_test.go
@@ -104,7 +104,7 @@
 // predecessor's workers, so that each task which it had not found counted as one that may have run:
 //
 //	19.097 hall-0 at host-2: cell-settled   0 tasks found nowhere, 1 workers not heard
-func TestAGangThatMayHaveRunIsLentToo(t *testing.T) {
+func TestAGangThatMayHaveRunIsDelegatedToo(t *testing.T) {
 	t.Parallel()
 	playSeeds(t, emulator.SuspendsPlan, 2033)
 }
--- a/pkg/emulator/host.go
+++ b/pkg/emulator/host.go
@@ -231,15 +231,15 @@
 		}
 		h.takeChange(h.seat.RowWritten(h.clock(), version))
 		if version != 0 && write.Membership != nil {
-			h.state.Take(h.clock(), cell.MembershipRecorded{IDs: rosterIDs(write.Membership.GetEntries())})
+			h.state.Take(h.clock(), cell.MembershipRecorded{IDs: memberIDs(write.Membership.GetEntries())})
 		}
 		h.act()
 	})
 }
 
-func rosterIDs(roster []*wire.RosterEntry) []string {
+func memberIDs(members []*wire.RosterEntry) []string {
 	var list []string
-	for _, r := range roster {
+	for _, r := range members {
 		list = append(list, r.GetId())
 	}
 	return list
--- a/pkg/emulator/leader_messages.go
+++ b/pkg/emulator/leader_messages.go
@@ -62,8 +62,8 @@
 func (h *seat) notifyLeader(e cell.NotifyLeader) {
 	h.toLeader(e.Cell, func(other *seat) {
 		switch {
-		case e.Lent != nil:
-			other.state.Take(other.clock(), cell.JobAccepted{Spec: e.Lent, StoreNow: other.storeTime()})
+		case e.Delegated != nil:
+			other.state.Take(other.clock(), cell.JobAccepted{Spec: e.Delegated, StoreNow: other.storeTime()})
 		case e.Returned != nil:
 			other.state.Take(other.clock(), cell.TasksReturned{Tasks: e.Returned})
 		default:
--- a/pkg/emulator/table.go
+++ b/pkg/emulator/table.go
@@ -36,13 +36,13 @@
 // storeTime returns the table's clock, which starts at one hour.
 func (t *tableService) storeTime() time.Duration { return t.world.now.Sub(t.world.start) + time.Hour }
 
-// roster returns a cell's recorded membership, nil if there is none.
-func (t *tableService) roster(cell string) []*wire.RosterEntry {
-	roster := &wire.CellRoster{}
-	if rows.Read(t.rows[rows.RosterKey(cell)], roster) != nil {
+// members returns a cell's recorded membership, nil if there is none.
+func (t *tableService) members(cell string) []*wire.RosterEntry {
+	membership := &wire.CellRoster{}
+	if rows.Read(t.rows[rows.RosterKey(cell)], membership) != nil {
 		return nil
 	}
-	return roster.GetEntries()
+	return membership.GetEntries()
 }
 
 // commit sends a transaction from a host. done gets ok false if no answer arrives in time; the transaction may
--- a/pkg/emulator/worker.go
+++ b/pkg/emulator/worker.go
@@ -49,7 +49,7 @@
 	// removedQuarters is how many quarters of the capacity are taken away; pastCapacities holds former capacities with the time
 	// at which each ended.
 	removedQuarters int64
-	pastCapacities  []pastRoom
+	pastCapacities  []pastCapacity
 
 	// orderedBy is the seat that sent the order being executed, orderedAt when it was sent.
 	orderedBy *seat
@@ -281,7 +281,7 @@
 	}
 	k.runs[s.Task] = r
 	w.checker.started(k, s)
-	w.checker.checkRoom(k, s.Task)
+	w.checker.checkCapacity(k, s.Task)
 	if !r.stuck {
 		k.endAfter(r)
 	}
--- a/pkg/process/cell/crash_fleet_test.go
+++ b/pkg/process/cell/crash_fleet_test.go
@@ -175,7 +175,7 @@
 func (f *crashFleet) answer(e cell.Effect) {
 	switch e := e.(type) {
 	case cell.SendPoll:
-		f.answerLook(e)
+		f.answerPoll(e)
 	case cell.SendStart:
 		f.answerStart(e)
 	case cell.WriteProgress:
@@ -188,7 +188,7 @@
 	}
 }
 
-func (f *crashFleet) answerLook(e cell.SendPoll) {
+func (f *crashFleet) answerPoll(e cell.SendPoll) {
 	w := f.workers[e.To.ID]
 	answer := cell.PollAnswered{Worker: e.To.ID, SentAt: f.now}
 	if w.down {
--- a/pkg/process/cell/crashes.go
+++ b/pkg/process/cell/crashes.go
@@ -194,9 +194,9 @@
 	s.evidenceChanged(now, t, c)
 }
 
-// isolatedRunLost adds evidence against a task of which a predecessor recorded an isolated run that no worker
+// addLostIsolatedRun adds evidence against a task of which a predecessor recorded an isolated run that no worker
 // lists: the run may have crashed its worker. It reports whether it added any.
-func (s *State) isolatedRunLost(now time.Time, t *jobs.Task) bool {
+func (s *State) addLostIsolatedRun(now time.Time, t *jobs.Task) bool {
 	if t.DelegatedTo != "" || !t.IsolatedRunLost(s.wall) {
 		return false
 	}
--- a/pkg/process/cell/delegation.go
+++ b/pkg/process/cell/delegation.go
@@ -45,10 +45,10 @@
 	// peerFreeDivisor divides the free capacity that another cell reports: only one part in peerFreeDivisor may be
 	// filled per load message, because other cells delegate there too and the capacity is fragmented.
 	peerFreeDivisor = 2
-	// delegateToMakeRoomAfter is how long a lasting task waits before it is delegated to a cell that first has to make
+	// delegateToFreeCapacityAfter is how long a lasting task waits before it is delegated to a cell that first has to make
 	// room for it. That cell keeps short tasks off a worker until the task fits, which a cell full of lasting tasks
 	// can't do. It costs short tasks their capacity, so it is only for a wait that would not end otherwise.
-	delegateToMakeRoomAfter = 10 * time.Second
+	delegateToFreeCapacityAfter = 10 * time.Second
 	// peerLoadMaxAge is the greatest age at which another cell's load message is used.
 	peerLoadMaxAge = 3 * time.Second
 	// tableConfirmedWithin is the greatest age of the last leadership renewal at which the table counts as available.
@@ -140,8 +140,8 @@
 func (s *State) delegateTask(now time.Time, t *jobs.Task) {
 	size := t.Unit.Size.Millicores
 	name := s.peerForTask(now, t.Unit, t.ReturnedAt)
-	if name == "" && now.Sub(waitingSince(t)) >= delegateToMakeRoomAfter {
-		name = s.peerToMakeRoom(now, t.Unit, t.ReturnedAt)
+	if name == "" && now.Sub(waitingSince(t)) >= delegateToFreeCapacityAfter {
+		name = s.peerToFreeCapacity(now, t.Unit, t.ReturnedAt)
 	}
 	if name == "" {
 		return
@@ -276,11 +276,11 @@
 	return best
 }
 
-// peerToMakeRoom returns the cell whose best worker would have the most capacity for a lasting task of a unit once the
+// peerToFreeCapacity returns the cell whose best worker would have the most capacity for a lasting task of a unit once the
 // short tasks there have ended, or "" if the task would fit nowhere. Cells that returned the task within returnBackoff
 // are skipped. So are cells to which a lasting task was delegated since their last load message: one task is delegated
 // per message.
-func (s *State) peerToMakeRoom(now time.Time, u *jobs.Unit, returnedAt map[string]time.Time) string {
+func (s *State) peerToFreeCapacity(now time.Time, u *jobs.Unit, returnedAt map[string]time.Time) string {
 	best, most := "", u.Size.Millicores-1
 	for _, name := range slices.Sorted(maps.Keys(s.peerLoads)) {
 		o := s.peerLoads[name]
--- a/pkg/process/cell/delegation_short_test.go
+++ b/pkg/process/cell/delegation_short_test.go
@@ -53,7 +53,7 @@
 	must.False(t, b.started[delegatedJob+".0.0.0"])
 	var notified int
 	for _, w := range b.notifications {
-		if w.Lent != nil {
+		if w.Delegated != nil {
 			notified++
 			must.Eq(t, "other", w.Cell)
 		}
@@ -166,7 +166,7 @@
 		b.step(50 * time.Millisecond)
 	}
 	for _, w := range b.notifications {
-		must.Nil(t, w.Lent, must.Sprint("delegated after a failure"))
+		must.Nil(t, w.Delegated, must.Sprint("delegated after a failure"))
 	}
 }
 
@@ -194,7 +194,7 @@
 		bound.step(50 * time.Millisecond)
 	}
 	for _, w := range bound.notifications {
-		must.Nil(t, w.Lent, must.Sprint("a gang runs in one cell"))
+		must.Nil(t, w.Delegated, must.Sprint("a gang runs in one cell"))
 	}
 }
 
@@ -213,7 +213,7 @@
 		b.step(50 * time.Millisecond)
 	}
 	for _, w := range b.notifications {
-		must.Nil(t, w.Lent)
+		must.Nil(t, w.Delegated)
 	}
 }
 
--- a/pkg/process/cell/events.go
+++ b/pkg/process/cell/events.go
@@ -222,7 +222,7 @@
 // tasks. The leader follows the table anyway; the notification is only faster.
 type NotifyLeader struct {
 	Cell      string
-	Lent      *wire.JobSpec
+	Delegated *wire.JobSpec
 	Returned  *wire.ReturnedTasks
 	Cancelled string
 }
--- a/pkg/process/cell/queries.go
+++ b/pkg/process/cell/queries.go
@@ -182,7 +182,7 @@
 		if s.usable(now, w) {
 			c.Usable++
 		}
-		if _, aside := w.Health.QuarantineReason(); aside {
+		if _, quarantined := w.Health.QuarantineReason(); quarantined {
 			c.Aside++
 		}
 	}
--- a/pkg/process/cell/write_progress.go
+++ b/pkg/process/cell/write_progress.go
@@ -192,7 +192,7 @@
 	sent.isolated = j.IsolationsWanted()
 	for _, spec := range latestByCell(s.pendingDelegations[j]) {
 		tx.Puts = append(tx.Puts, rows.Row(rows.SpecKey(spec.GetCell(), id), spec))
-		sent.notifications = append(sent.notifications, NotifyLeader{Cell: spec.GetCell(), Lent: spec})
+		sent.notifications = append(sent.notifications, NotifyLeader{Cell: spec.GetCell(), Delegated: spec})
 	}
 	if report := j.DelegationReport(); report != nil {
 		tx.Puts = append(tx.Puts, rows.Row(rows.ReturnKey(report.GetHome(), id, s.name), report))
--- a/pkg/process/election/election.go
+++ b/pkg/process/election/election.go
@@ -83,8 +83,8 @@
 	writePending bool
 	sentAt       time.Time
 	sentRow      *wire.CellLead
-	// sentRoster is the membership written together with sentRow, or nil.
-	sentRoster *wire.CellRoster
+	// sentMembership is the membership written together with sentRow, or nil.
+	sentMembership *wire.CellRoster
 	// releaseRequested is set by Release, handoverOffered by AcceptHandover.
 	releaseRequested bool
 	handoverOffered  bool
@@ -92,8 +92,8 @@
 	predecessorsSettled bool
 	// endedPredecessors holds the predecessors that are known to have ended, by holder.
 	endedPredecessors map[string]bool
-	// writtenRoster is the membership that this process wrote last while leading, or nil.
-	writtenRoster []*wire.RosterEntry
+	// writtenMembers is the membership that this process wrote last while leading, or nil.
+	writtenMembers []*wire.RosterEntry
 	// mustReadRow means that the last write failed or has an unknown outcome, so the row has to be read before
 	// the next write. Otherwise a losing candidate would keep writing over the version it knows, and each
 	// write would make the readings under way too old to be used.
@@ -181,7 +181,7 @@
 // the claim replaced.
 func (s *Seat) becomeLeader(now, claimSentAt time.Time, replaced *wire.CellLead) Change {
 	s.role, s.renewedAt, s.handoverOffered, s.releaseRequested = Leader, claimSentAt, false, false
-	s.writtenRoster, s.predecessorsSettled, s.endedPredecessors = nil, false, nil
+	s.writtenMembers, s.predecessorsSettled, s.endedPredecessors = nil, false, nil
 	return Change{Gained: true, ReplacedRow: replaced, Predecessors: s.predecessors(now)}
 }
 
@@ -205,15 +205,15 @@
 // Release makes the next write give the seat up.
 func (s *Seat) Release() { s.releaseRequested = true }
 
-// NextWrite returns the write that is due, or nil. roster lists the workers that may hold runs, or is nil while
+// NextWrite returns the write that is due, or nil. members lists the workers that may hold runs, or is nil while
 // they are not known. held is the number of other seats that this process holds. A process that is leaving
 // claims no seat.
-func (s *Seat) NextWrite(now time.Time, roster []*wire.RosterEntry, held int, leaving bool) *Write {
+func (s *Seat) NextWrite(now time.Time, members []*wire.RosterEntry, held int, leaving bool) *Write {
 	if s.writePending || s.mustReadRow || s.readAt.IsZero() {
 		return nil
 	}
 	if s.role == Leader {
-		return s.renewal(now, roster)
+		return s.renewal(now, members)
 	}
 	if leaving || !s.claimDue(now, held) {
 		return nil
@@ -229,12 +229,12 @@
 
 // renewal returns the leader's next write, or nil while none is due. A release, the first membership and an urgent change
 // of the membership are written at once, all else once per renewInterval.
-func (s *Seat) renewal(now time.Time, roster []*wire.RosterEntry) *Write {
-	changed := roster != nil && (s.writtenRoster == nil || !noUrgentChange(s.writtenRoster, roster))
+func (s *Seat) renewal(now time.Time, members []*wire.RosterEntry) *Write {
+	changed := members != nil && (s.writtenMembers == nil || !noUrgentChange(s.writtenMembers, members))
 	if !s.releaseRequested && !changed && now.Sub(s.sentAt) < renewInterval {
 		return nil
 	}
-	changed = changed || (roster != nil && runsBetterKnown(s.writtenRoster, roster))
+	changed = changed || (members != nil && runsBetterKnown(s.writtenMembers, members))
 	row, ok := proto.Clone(s.row).(*wire.CellLead)
 	if !ok {
 		return nil // unreachable: Clone returns the type of its argument
@@ -246,20 +246,20 @@
 	if !changed {
 		return s.startWrite(now, row, nil)
 	}
-	return s.startWrite(now, row, &wire.CellRoster{Cell: s.cell, Entries: roster})
+	return s.startWrite(now, row, &wire.CellRoster{Cell: s.cell, Entries: members})
 }
 
 // noUrgentChange returns whether the membership has no change that must be written before the next renewal. Urgent changes
 // are other members or incarnations, another leaving state, and runs at a worker that are no longer known.
-func noUrgentChange(written, roster []*wire.RosterEntry) bool {
-	if len(written) != len(roster) {
+func noUrgentChange(written, members []*wire.RosterEntry) bool {
+	if len(written) != len(members) {
 		return false
 	}
 	for i := range written {
-		if written[i].GetId() != roster[i].GetId() || written[i].GetBorn() != roster[i].GetBorn() || written[i].GetLeaving() != roster[i].GetLeaving() {
+		if written[i].GetId() != members[i].GetId() || written[i].GetBorn() != members[i].GetBorn() || written[i].GetLeaving() != members[i].GetLeaving() {
 			return false
 		}
-		if written[i].GetRunsKnown() && !roster[i].GetRunsKnown() {
+		if written[i].GetRunsKnown() && !members[i].GetRunsKnown() {
 			return false // the worker gets no work until the table no longer lists its runs as known
 		}
 	}
@@ -268,8 +268,8 @@
 
 // runsBetterKnown returns whether the runs at some worker are newly known, or at most half of the tasks last written may
 // still run there. Such a membership is written with the next renewal. Both lists have the same workers.
-func runsBetterKnown(written, roster []*wire.RosterEntry) bool {
-	for i, e := range roster {
+func runsBetterKnown(written, members []*wire.RosterEntry) bool {
+	for i, e := range members {
 		if e.GetRunsKnown() && (!written[i].GetRunsKnown() || 2*len(e.GetMayRun()) <= len(written[i].GetMayRun()) && len(written[i].GetMayRun()) > 0) {
 			return true
 		}
@@ -306,9 +306,9 @@
 }
 
 // startWrite records a pending write and returns it.
-func (s *Seat) startWrite(now time.Time, row *wire.CellLead, roster *wire.CellRoster) *Write {
-	s.writePending, s.sentAt, s.sentRow, s.sentRoster = true, now, row, roster
-	return &Write{Row: row, Version: s.version, Membership: roster}
+func (s *Seat) startWrite(now time.Time, row *wire.CellLead, membership *wire.CellRoster) *Write {
+	s.writePending, s.sentAt, s.sentRow, s.sentMembership = true, now, row, membership
+	return &Write{Row: row, Version: s.version, Membership: membership}
 }
 
 // RowWritten handles the outcome of a write: the row's new version, or 0 if the write failed or its outcome
@@ -317,8 +317,8 @@
 	s.writePending = false
 	if version == 0 {
 		s.mustReadRow = true
-		if s.sentRoster != nil {
-			s.writtenRoster = nil // the table may hold either the old or the new membership
+		if s.sentMembership != nil {
+			s.writtenMembers = nil // the table may hold either the old or the new membership
 		}
 		return Change{}
 	}
@@ -333,8 +333,8 @@
 		return s.becomeLeader(now, s.sentAt, before)
 	default:
 		s.renewedAt = s.sentAt
-		if s.sentRoster != nil {
-			s.writtenRoster = s.sentRoster.GetEntries()
+		if s.sentMembership != nil {
+			s.writtenMembers = s.sentMembership.GetEntries()
 		}
 		return Change{}
 	}
--- a/pkg/process/election/election_test.go
+++ b/pkg/process/election/election_test.go
@@ -97,7 +97,7 @@
 // The membership is written with the first renewal after it is known, and again when it changes. Until the leader has
 // read its predecessors' membership, the stored one stays. The table refuses empty values, so an empty membership still
 // encodes to some bytes.
-func TestRosterIsWrittenWhenKnownAndWhenChanged(t *testing.T) {
+func TestMembershipIsWrittenWhenKnownAndWhenChanged(t *testing.T) {
 	t.Parallel()
 	s := newSeat("a")
 	lead(t, s)
--- a/pkg/process/fleet/effects.go
+++ b/pkg/process/fleet/effects.go
@@ -132,8 +132,8 @@
 // notifyLocal notifies a cell that this process leads.
 func (c *Control) notifyLocal(e cell.NotifyLeader) {
 	switch {
-	case e.Lent != nil:
-		c.JobAccepted(e.Lent)
+	case e.Delegated != nil:
+		c.JobAccepted(e.Delegated)
 	case e.Returned != nil:
 		c.TasksReturned(e.Returned)
 	default:
--- a/pkg/process/fleet/host.go
+++ b/pkg/process/fleet/host.go
@@ -307,8 +307,8 @@
 		return err
 	}
 	switch {
-	case e.Lent != nil:
-		_, err = p.Accepted(ctx, &wire.AcceptedJob{Spec: e.Lent})
+	case e.Delegated != nil:
+		_, err = p.Accepted(ctx, &wire.AcceptedJob{Spec: e.Delegated})
 	case e.Returned != nil:
 		_, err = p.Returned(ctx, e.Returned)
 	default:
--- a/pkg/process/hall/evict.go
+++ b/pkg/process/hall/evict.go
@@ -8,10 +8,10 @@
 
 // Eviction of tasks of lower priority to make room for an urgent task.
 
-// makeRoom evicts tasks for an urgent task, on the worker that needs the fewest
+// evictToFit evicts tasks for an urgent task, on the worker that needs the fewest
 // evictions. It evicts none if the stops already requested on a worker make room
 // enough: the task waits for them.
-func (s *State) makeRoom(r *round, t *task) {
+func (s *State) evictToFit(r *round, t *task) {
 	size := t.size()
 	var best []*task
 	var on *worker
--- a/pkg/process/hall/place.go
+++ b/pkg/process/hall/place.go
@@ -24,13 +24,13 @@
 
 // round is the state of one round of placement.
 type round struct {
-	now              time.Time
-	policy           placement.Policy
-	workers          []*worker
-	candidates       map[*worker]*placement.Worker
-	usage            quota.Usage
-	sizesWithoutRoom []ledger.Size // sizes that fitted no worker in this round
-	placed           int
+	now                 time.Time
+	policy              placement.Policy
+	workers             []*worker
+	candidates          map[*worker]*placement.Worker
+	usage               quota.Usage
+	sizesThatFitNowhere []ledger.Size // sizes that fitted no worker in this round
+	placed              int
 }
 
 // place runs one round of placement, unless a commit is pending.
@@ -70,7 +70,7 @@
 		return
 	}
 	s.requeue(r.now, t, "", TaskMoved, "room elsewhere")
-	s.placeWithRoom(r, t)
+	s.placeWhereFits(r, t)
 }
 
 // anyWorkerFits reports whether any worker of the round has room for a task.
@@ -159,11 +159,11 @@
 		s.note(r.now, t.object(), TaskOverQuota, t.row.GetTeam())
 		return
 	}
-	if s.placeWithRoom(r, t) {
+	if s.placeWhereFits(r, t) {
 		return
 	}
 	if int(t.row.GetPriority()) >= s.fleet().UrgentPriority {
-		s.makeRoom(r, t)
+		s.evictToFit(r, t)
 		return
 	}
 	s.commitAhead(r, t)
@@ -176,12 +176,12 @@
 	return quota.Exceeds(r.usage[t.row.GetTeam()], t.size(), limit)
 }
 
-// placeWithRoom places a task on the best of the workers with room, and reports
+// placeWhereFits places a task on the best of the workers with room, and reports
 // whether there was one. A size that fitted no worker earlier in the round fits
 // none now, since a round only fills workers up.
-func (s *State) placeWithRoom(r *round, t *task) bool {
+func (s *State) placeWhereFits(r *round, t *task) bool {
 	size := t.size()
-	for _, f := range r.sizesWithoutRoom {
+	for _, f := range r.sizesThatFitNowhere {
 		if f.Fits(size) {
 			return false
 		}
@@ -200,7 +200,7 @@
 		ID: t.row.GetId(), Job: t.row.GetJobKey(), Kind: t.kindName(), Size: size,
 	}, fitting)
 	if choice.Worker == "" {
-		r.sizesWithoutRoom = append(r.sizesWithoutRoom, size)
+		r.sizesThatFitNowhere = append(r.sizesThatFitNowhere, size)
 		return false
 	}
 	w := s.workers[choice.Worker]
@@ -270,7 +270,7 @@
 	var best *worker
 	shortest := s.fleet().Ahead
 	for _, w := range r.workers {
-		n := s.tasksWithoutRoom(w)
+		n := s.tasksAwaitingCapacity(w)
 		if n < shortest && t.size().Fits(w.account.Capacity()) && !s.quarantine.Quarantined(w.name) {
 			best, shortest = w, n
 		}
@@ -282,8 +282,8 @@
 	s.placeOn(r, t, best, TaskCommittedAhead, fmt.Sprintf("%d before it", shortest))
 }
 
-// tasksWithoutRoom returns the number of tasks that wait on a worker for room.
-func (s *State) tasksWithoutRoom(w *worker) int {
+// tasksAwaitingCapacity returns the number of tasks that wait on a worker for room.
+func (s *State) tasksAwaitingCapacity(w *worker) int {
 	n := 0
 	for _, t := range w.tasks {
 		if !w.account.HasReservation(t.attemptName()) {
--- a/pkg/request/cellchoice/cost.go
+++ b/pkg/request/cellchoice/cost.go
@@ -20,9 +20,9 @@
 	// lastingUsedShare is the assumed share of their reserved processors that lasting tasks
 	// use. Fillers get the rest.
 	lastingUsedShare = 0.5
-	// minRoomShare is the least free share of a cell's capacity that estimates assume, so that
+	// minFreeShare is the least free share of a cell's capacity that estimates assume, so that
 	// the wait in a full cell stays finite.
-	minRoomShare = 0.05
+	minFreeShare = 0.05
 	// noLeaderCost ranks a cell without a leader behind each cell that has one.
 	noLeaderCost = 1e9
 	// imageRankCost is the cost in ms of each rank in an image's order of cells, for a lasting
@@ -80,10 +80,10 @@
 		cost += allLastingCost*(lasting+float64(d.lastingMillicores))/capacity + imageAffinityCost(name, d.lastingImage, cells)
 	}
 	if d.plainCoreMs > 0 {
-		cost += float64(l.GetBacklogCoreMs()+d.plainCoreMs) * 1000 / max(minRoomShare*capacity, capacity-lasting)
+		cost += float64(l.GetBacklogCoreMs()+d.plainCoreMs) * 1000 / max(minFreeShare*capacity, capacity-lasting)
 	}
 	if d.fillerCoreMs > 0 {
-		cost += fillerCost(l, d, max(minRoomShare*capacity, capacity-lastingUsedShare*lasting))
+		cost += fillerCost(l, d, max(minFreeShare*capacity, capacity-lastingUsedShare*lasting))
 	}
 	return cost
 }
@@ -111,15 +111,15 @@
 // fillerCost returns the estimated wait in ms of a job's fillers in a cell, by the cell's room
 // for each image. For an image whose room the cell does not report it assumes defaultRoom, in
 // millicores.
-func fillerCost(l *wire.CellLoad, d demand, defaultRoom float64) float64 {
+func fillerCost(l *wire.CellLoad, d demand, defaultMillicores float64) float64 {
 	cost := 0.0
 	for _, image := range slices.Sorted(maps.Keys(d.fillerCoreMsByImage)) { // sorted: a sum of floats depends on the order
 		work := d.fillerCoreMsByImage[image]
-		room := defaultRoom
+		millicores := defaultMillicores
 		if known, ok := l.GetFillerRoomMillicores()[image]; ok {
-			room = max(minRoomShare*float64(l.GetCapacityMillicores()), float64(known))
+			millicores = max(minFreeShare*float64(l.GetCapacityMillicores()), float64(known))
 		}
-		cost += float64(l.GetFillerCoreMs()+d.fillerCoreMs) * 1000 / room * float64(work) / float64(d.fillerCoreMs)
+		cost += float64(l.GetFillerCoreMs()+d.fillerCoreMs) * 1000 / millicores * float64(work) / float64(d.fillerCoreMs)
 	}
 	return cost
 }
--- a/test/soak/callers_test.go
+++ b/test/soak/callers_test.go
@@ -95,12 +95,12 @@
 		if err != nil {
 			continue
 		}
-		told := struct{ State string }{}
-		if status == http.StatusOK && json.Unmarshal([]byte(text), &told) == nil {
-			state = told.State
+		shown := struct{ State string }{}
+		if status == http.StatusOK && json.Unmarshal([]byte(text), &shown) == nil {
+			state = shown.State
 		}
-		c.checker.stateShown(id, status, told.State)
-		if told.State == "completed" || told.State == "cancelled" || told.State == "failed" {
+		c.checker.stateShown(id, status, shown.State)
+		if shown.State == "completed" || shown.State == "cancelled" || shown.State == "failed" {
 			return
 		}
 	}
--- a/test/soak/faults_test.go
+++ b/test/soak/faults_test.go
@@ -77,7 +77,7 @@
 		d.setFaultUntil(d.randomWorker(), span, func(w *worker) *time.Time { return &w.smallUntil })
 	}},
 	{"a worker has no capacity", func(d *day, span time.Duration) {
-		d.setFaultUntil(d.randomWorker(), span, func(w *worker) *time.Time { return &w.noRoomUntil })
+		d.setFaultUntil(d.randomWorker(), span, func(w *worker) *time.Time { return &w.noCapacityUntil })
 	}},
 	{"a worker's row is invalid", func(d *day, span time.Duration) {
 		d.setFaultUntil(d.randomWorker(), span, func(w *worker) *time.Time { return &w.invalidRowUntil })
--- a/test/soak/troubles_test.go
+++ b/test/soak/troubles_test.go
@@ -35,7 +35,7 @@
 func (w *worker) availableCPU() int64 {
 	now := time.Now()
 	switch {
-	case now.Before(w.noRoomUntil):
+	case now.Before(w.noCapacityUntil):
 		return 0
 	case now.Before(w.smallUntil):
 		return taskCPU
--- a/test/soak/worker_test.go
+++ b/test/soak/worker_test.go
@@ -42,9 +42,9 @@
 	incarnations                                 int
 	delayingUntil, invalidRowUntil, leavingUntil time.Time
 	// Until smallUntil, the capacity is a single task's; until noRoomUntil, it is 0.
-	smallUntil, noRoomUntil time.Time
-	downSince               time.Time
-	dayOver                 chan struct{}
+	smallUntil, noCapacityUntil time.Time
+	downSince                   time.Time
+	dayOver                     chan struct{}
 }
 
 // incarnation stands for one process of a worker.
@@ -149,7 +149,7 @@
 		if now.Before(w.leavingUntil) {
 			state = "draining"
 		}
-		odd, down, room := now.Before(w.invalidRowUntil), now.Sub(w.downSince), w.availableCPU()
+		odd, down, cpu := now.Before(w.invalidRowUntil), now.Sub(w.downSince), w.availableCPU()
 		w.mu.Unlock()
 		switch {
 		case l == nil && down > rowTTL:
@@ -160,7 +160,7 @@
 		default:
 			w.put(w.id, map[string]any{
 				"service": "pool", "address": w.front, "zone": w.hall, "version": "v1", "slots": 8, "state": state, "sequence": sequence,
-				"capacity": map[string]any{"cpu": room, "mem-mb": workerMemMB, "gpu": 0}, "labels": []string{"a", "r1"},
+				"capacity": map[string]any{"cpu": cpu, "mem-mb": workerMemMB, "gpu": 0}, "labels": []string{"a", "r1"},
 				"machine": "m-" + w.id, "born": l.startedAt.UnixMilli(), "clock-ms": l.clock().Milliseconds(), "remaining-ms": 3000,
 			})
 		}
