--- a/pkg/process/cell/delegation.go
+++ b/pkg/process/cell/delegation.go
@@ -45,8 +45,8 @@
 	// peerFreeDivisor divides the free capacity that another cell reports: only one part in peerFreeDivisor may be
 	// filled per load message, because other cells delegate there too and the capacity is fragmented.
 	peerFreeDivisor = 2
-	// delegateToFreeCapacityAfter is how long a lasting task waits before it is delegated to a cell that first has to make
-	// room for it. That cell keeps short tasks off a worker until the task fits, which a cell full of lasting tasks
+	// delegateToFreeCapacityAfter is how long a lasting task waits before it is delegated to a cell that first has to free
+	// capacity for it. That cell keeps short tasks off a worker until the task fits, which a cell full of lasting tasks
 	// can't do. It costs short tasks their capacity, so it is only for a wait that would not end otherwise.
 	delegateToFreeCapacityAfter = 10 * time.Second
 	// peerLoadMaxAge is the greatest age at which another cell's load message is used.
--- a/pkg/process/hall/evict.go
+++ b/pkg/process/hall/evict.go
@@ -6,11 +6,11 @@
 	"github.com/wrenferry/wrenferry/pkg/process/ledger"
 )
 
-// Eviction of tasks of lower priority to make room for an urgent task.
+// Eviction of tasks of lower priority to free capacity for an urgent task.
 
 // evictToFit evicts tasks for an urgent task, on the worker that needs the fewest
-// evictions. It evicts none if the stops already requested on a worker make room
-// enough: the task waits for them.
+// evictions. It evicts none if the stops already requested on a worker free
+// enough capacity: the task waits for them.
 func (s *State) evictToFit(r *round, t *task) {
 	size := t.size()
 	var best []*task
@@ -38,7 +38,7 @@
 }
 
 // sizeBeingStopped returns the total size of the tasks on a worker that were
-// asked to stop and still hold room.
+// asked to stop and still hold capacity.
 func (s *State) sizeBeingStopped(w *worker) ledger.Size {
 	var sum ledger.Size
 	for _, t := range w.tasks {
@@ -52,7 +52,7 @@
 // victims returns the tasks to evict from a worker so that t fits: the lowest
 // priority first, and within a priority the shortest run first, which is the
 // cheapest to resume. It returns nil if all tasks of lower priority together do
-// not make enough room.
+// not free enough capacity.
 func (s *State) victims(t *task, w *worker, free ledger.Size) []*task {
 	var lower []*task
 	for _, v := range w.tasks {
--- a/pkg/process/hall/hall_test.go
+++ b/pkg/process/hall/hall_test.go
@@ -13,7 +13,7 @@
 )
 
 // A task that was committed ahead to a full worker moves when another worker has
-// room.
+// enough capacity.
 func TestTaskCommittedAheadMovesToWorkerWithRoom(t *testing.T) {
 	d := newDriver(t, 2, capacityTree)
 	d.runFor = time.Hour
@@ -26,8 +26,8 @@
 	must.Positive(t, d.reasonCounts[hall.TaskMoved])
 }
 
-// Evictions for a large urgent task free room piece by piece. That room goes to
-// the urgent task, and not to smaller tasks that wait behind it.
+// Evictions for a large urgent task free capacity piece by piece. That capacity
+// goes to the urgent task, and not to smaller tasks that wait behind it.
 func TestRoomFromEvictionsGoesToUrgentTask(t *testing.T) {
 	tree := strings.Replace(capacityTree, `"ingest"`, `"urgent": {"type": "job", "repeatable": true, "priority": 9, "millicores": 12000}, "ingest"`, 1)
 	for _, when := range []string{"before the batch tasks run", "while the batch tasks run"} {
@@ -89,7 +89,7 @@
 	d.until(t, "the job ends as one that never fits", func() bool { return d.jobState("j") == wire.JobState_JOB_STATE_NEVER })
 }
 
-// The tasks of a team at its quota wait, though workers have room.
+// The tasks of a team at its quota wait, though workers have free capacity.
 func TestTeamAtItsQuotaWaits(t *testing.T) {
 	tree := strings.Replace(capacityTree, `{"t": {`, `{"t": {"quotaMillicores": 10000, `, 1)
 	d := newDriver(t, 2, tree)
--- a/pkg/process/hall/place.go
+++ b/pkg/process/hall/place.go
@@ -14,9 +14,9 @@
 )
 
 // One round of placement goes through the queue in order and places each task on
-// the best worker with room. When there is none, an urgent task evicts others,
+// the best worker where it fits. When there is none, an urgent task evicts others,
 // and any other task is committed ahead: placed on a full worker, to start there
-// when room comes free.
+// when capacity comes free.
 
 // maxPlacedPerRound limits the tasks that one round places, so that a burst
 // doesn't occupy the control thread for long and each group commit stays small.
@@ -55,15 +55,15 @@
 	}
 }
 
-// isCommittedAhead reports whether a task waits on its worker for room and
+// isCommittedAhead reports whether a task waits on its worker for capacity and
 // certainly never started there.
 func (s *State) isCommittedAhead(t *task) bool {
 	w := s.workers[t.row.GetWorker()]
 	return t.placed() && t.isCommitted() && !t.startSent && t.stop == notStopping && w != nil && w.reached && !w.account.HasReservation(t.attemptName())
 }
 
-// moveCommittedAhead moves a task that was committed ahead to a worker with room,
-// if its own has none. The task never started, so its next attempt may be placed
+// moveCommittedAhead moves a task that was committed ahead to a worker where
+// it fits, if it does not fit on its own. The task never started, so its next attempt may be placed
 // at once.
 func (s *State) moveCommittedAhead(r *round, t *task) {
 	if t.size().Fits(s.openCapacity(s.workers[t.row.GetWorker()])) || !s.anyWorkerFits(r, t) {
@@ -73,14 +73,14 @@
 	s.placeWhereFits(r, t)
 }
 
-// anyWorkerFits reports whether any worker of the round has room for a task.
+// anyWorkerFits reports whether any worker of the round has enough capacity for a task.
 func (s *State) anyWorkerFits(r *round, t *task) bool {
 	return slices.ContainsFunc(r.workers, func(w *worker) bool { return t.size().Fits(s.openCapacity(w)) })
 }
 
 // openCapacity returns the capacity of a worker that is open to any task: the free
-// capacity, less the room reserved for urgent tasks that still wait. Without the
-// reservation smaller tasks take that room piece by piece and are evicted again,
+// capacity, less the capacity reserved for urgent tasks that still wait. Without the
+// reservation smaller tasks take that capacity piece by piece and are evicted again,
 // for ever.
 func (s *State) openCapacity(w *worker) ledger.Size {
 	free := w.account.Free()
@@ -88,7 +88,7 @@
 }
 
 // queue returns the tasks that wait, unplaced or committed ahead to a worker
-// without room, and the total size of the placed tasks of each team.
+// without free capacity, and the total size of the placed tasks of each team.
 func (s *State) queue() ([]quota.QueuedTask, quota.Usage) {
 	var queue []quota.QueuedTask
 	usage := quota.Usage{}
@@ -176,7 +176,7 @@
 	return quota.Exceeds(r.usage[t.row.GetTeam()], t.size(), limit)
 }
 
-// placeWhereFits places a task on the best of the workers with room, and reports
+// placeWhereFits places a task on the best of the workers where it fits, and reports
 // whether there was one. A size that fitted no worker earlier in the round fits
 // none now, since a round only fills workers up.
 func (s *State) placeWhereFits(r *round, t *task) bool {
@@ -193,7 +193,7 @@
 		}
 	}
 	if len(fitting) > 1 {
-		// A worker where every task fails always has room: prefer another one.
+		// A worker where every task fails always has free capacity: prefer another one.
 		fitting = slices.DeleteFunc(fitting, func(c placement.Worker) bool { return c.Name == t.lastFailedOn })
 	}
 	choice := r.policy.Choose(s.model, placement.Task{
@@ -251,7 +251,7 @@
 	return n
 }
 
-// presentKinds counts the tasks with room on a worker, running or about to, by
+// presentKinds counts the tasks with reserved capacity on a worker, running or about to, by
 // kind.
 func (s *State) presentKinds(w *worker) interference.TaskCounts {
 	p := interference.TaskCounts{}
@@ -263,7 +263,7 @@
 	return p
 }
 
-// commitAhead places a task on the worker where the fewest tasks wait for room.
+// commitAhead places a task on the worker where the fewest tasks wait for capacity.
 // The commit happens now, so the worker can start the task later without the
 // table.
 func (s *State) commitAhead(r *round, t *task) {
@@ -282,7 +282,7 @@
 	s.placeOn(r, t, best, TaskCommittedAhead, fmt.Sprintf("%d before it", shortest))
 }
 
-// tasksAwaitingCapacity returns the number of tasks that wait on a worker for room.
+// tasksAwaitingCapacity returns the number of tasks that wait on a worker for capacity.
 func (s *State) tasksAwaitingCapacity(w *worker) int {
 	n := 0
 	for _, t := range w.tasks {
--- a/pkg/process/hall/state.go
+++ b/pkg/process/hall/state.go
@@ -85,7 +85,7 @@
 	NoTenureWait bool
 	// NoRegistration grants work to any incarnation of a worker.
 	NoRegistration bool
-	// NoLedger places tasks whether or not there is room.
+	// NoLedger places tasks whether or not there is enough capacity.
 	NoLedger bool
 	// NoRecorded tells workers to forget results before they are recorded.
 	NoRecorded bool
--- a/pkg/process/hall/sync.go
+++ b/pkg/process/hall/sync.go
@@ -76,15 +76,15 @@
 }
 
 // addStarts adds the starts of tasks that are placed on this worker, certainly
-// committed, and have room. Tasks that were committed ahead start here as room
-// comes free, without a write to the table.
+// committed, and fit in its free capacity. Tasks that were committed ahead start
+// here as capacity comes free, without a write to the table.
 func (s *State) addStarts(now time.Time, w *worker, req *wire.SyncRequest) {
 	if !w.reached {
 		return
 	}
 	for _, t := range s.startable(w) {
 		if !w.account.HasReservation(t.attemptName()) && !t.size().Fits(s.openCapacity(w)) && !s.unsafe.NoLedger {
-			continue // the free room is reserved for an urgent task
+			continue // the free capacity is reserved for an urgent task
 		}
 		if !s.reserve(w, t) {
 			continue
@@ -105,7 +105,7 @@
 	}
 }
 
-// reserve books room for a task in the worker's ledger, and reports whether
+// reserve books capacity for a task in the worker's ledger, and reports whether
 // there was enough. No task starts without a reservation.
 func (s *State) reserve(w *worker, t *task) bool {
 	if s.unsafe.NoLedger {
--- a/pkg/process/hall/workers.go
+++ b/pkg/process/hall/workers.go
@@ -38,7 +38,7 @@
 
 	totalCapacity     ledger.Size // including the share of the services
 	account           *ledger.Account
-	reservedForUrgent ledger.Size          // room of evictions for urgent tasks that still wait, recomputed each round
+	reservedForUrgent ledger.Size          // capacity freed by evictions for urgent tasks that still wait, recomputed each round
 	runs              map[string]*wire.Run // the attempts in the last reply, by attempt name
 	tasks             map[string]*task     // the tasks placed on this worker, by id
 	services          []string             // the services in the samples of the last reply
--- a/pkg/request/cellchoice/board_test.go
+++ b/pkg/request/cellchoice/board_test.go
@@ -29,7 +29,7 @@
 }
 
 // Between two loads from a cell's leader, all jobs would go to the cell that the first one
-// showed with room, if a host did not count the jobs that it sent since.
+// showed with free capacity, if a host did not count the jobs that it sent since.
 func TestChooseCountsJobsSentSinceLastLoad(t *testing.T) {
 	t.Parallel()
 	b := cellchoice.NewBoard("a")
--- a/pkg/request/cellchoice/cost.go
+++ b/pkg/request/cellchoice/cost.go
@@ -108,9 +108,9 @@
 	return h.Sum64()
 }
 
-// fillerCost returns the estimated wait in ms of a job's fillers in a cell, by the cell's room
-// for each image. For an image whose room the cell does not report it assumes defaultRoom, in
-// millicores.
+// fillerCost returns the estimated wait in ms of a job's fillers in a cell, by the cell's
+// capacity for each image. For an image whose capacity the cell does not report it assumes
+// defaultMillicores.
 func fillerCost(l *wire.CellLoad, d demand, defaultMillicores float64) float64 {
 	cost := 0.0
 	for _, image := range slices.Sorted(maps.Keys(d.fillerCoreMsByImage)) { // sorted: a sum of floats depends on the order
--- a/pkg/request/intake/loads.go
+++ b/pkg/request/intake/loads.go
@@ -13,7 +13,7 @@
 	// loadInterval is the period at which the loads of all cells are requested even without
 	// new jobs, so that the first jobs after an idle time are spread over the cells, too.
 	loadInterval = 2 * time.Second
-	// loadIntervalWaiting is that period while tasks wait here that another cell may have room
+	// loadIntervalWaiting is that period while tasks wait here that another cell may have capacity
 	// for: free capacity appears and vanishes within a second.
 	loadIntervalWaiting = 250 * time.Millisecond
 )
--- a/pkg/request/route/route.go
+++ b/pkg/request/route/route.go
@@ -77,7 +77,7 @@
 
 // Pick draws two servers of the own hall and two of other halls, and returns the one with the
 // lowest expected latency. The own hall has the shorter round trip; another hall is worth it when
-// the servers with room in the own hall are slow or nearly full.
+// the servers with free capacity in the own hall are slow or nearly full.
 func (twoChoices) Pick(now time.Time, list []runner.Candidate, random *rand.Rand) int {
 	local := betterOfTwo(now, list, true, random)
 	remote := betterOfTwo(now, list, false, random)
@@ -90,8 +90,8 @@
 	return remote
 }
 
-// betterOfTwo draws two different servers with room and returns the index of the one with the lower
-// expected latency. local selects the own hall or the others. It returns -1 if no server has room.
+// betterOfTwo draws two different servers with free capacity and returns the index of the one with the lower
+// expected latency. local selects the own hall or the others. It returns -1 if no server has free capacity.
 func betterOfTwo(now time.Time, list []runner.Candidate, local bool, random *rand.Rand) int {
 	var open [256]int
 	n := 0
--- a/pkg/request/route/route_test.go
+++ b/pkg/request/route/route_test.go
@@ -12,7 +12,8 @@
 	"github.com/wrenferry/wrenferry/pkg/request/route"
 )
 
-// The two servers drawn must differ: of two servers, the slow one is never chosen while the other has room.
+// The two servers drawn must differ: of two servers, the slow one is never chosen while the other has free
+// capacity.
 func TestTwoChoicesDrawsDifferentServers(t *testing.T) {
 	now := time.Unix(1, 0)
 	list := []runner.Candidate{
