--- a/pkg/process/hall/place.go
+++ b/pkg/process/hall/place.go
@@ -14,9 +14,9 @@
 )
 
 // One round of placement goes through the queue in order and places each task on
-// the best worker with room. When there is none, an urgent task evicts others,
+// the best worker where it fits. When there is none, an urgent task evicts others,
 // and any other task is committed ahead: placed on a full worker, to start there
-// when room comes free.
+// when capacity comes free.
 
 // maxPlacedPerRound limits the tasks that one round places, so that a burst
 // doesn't occupy the control thread for long and each group commit stays small.
@@ -24,13 +24,13 @@
 
 // round is the state of one round of placement.
 type round struct {
-	now              time.Time
-	policy           placement.Policy
-	workers          []*worker
-	candidates       map[*worker]*placement.Worker
-	usage            quota.Usage
-	sizesWithoutRoom []ledger.Size // sizes that fitted no worker in this round
-	placed           int
+	now                 time.Time
+	policy              placement.Policy
+	workers             []*worker
+	candidates          map[*worker]*placement.Worker
+	usage               quota.Usage
+	sizesThatFitNowhere []ledger.Size // sizes that fitted no worker in this round
+	placed              int
 }
 
 // place runs one round of placement, unless a commit is pending.
@@ -55,32 +55,32 @@
 	}
 }
 
-// isCommittedAhead reports whether a task waits on its worker for room and
+// isCommittedAhead reports whether a task waits on its worker for capacity and
 // certainly never started there.
 func (s *State) isCommittedAhead(t *task) bool {
 	w := s.workers[t.row.GetWorker()]
 	return t.placed() && t.isCommitted() && !t.startSent && t.stop == notStopping && w != nil && w.reached && !w.account.HasReservation(t.attemptName())
 }
 
-// moveCommittedAhead moves a task that was committed ahead to a worker with room,
-// if its own has none. The task never started, so its next attempt may be placed
+// moveCommittedAhead moves a task that was committed ahead to a worker where
+// it fits, if it does not fit on its own. The task never started, so its next attempt may be placed
 // at once.
 func (s *State) moveCommittedAhead(r *round, t *task) {
 	if t.size().Fits(s.openCapacity(s.workers[t.row.GetWorker()])) || !s.anyWorkerFits(r, t) {
 		return
 	}
 	s.requeue(r.now, t, "", TaskMoved, "room elsewhere")
-	s.placeWithRoom(r, t)
+	s.placeWhereFits(r, t)
 }
 
-// anyWorkerFits reports whether any worker of the round has room for a task.
+// anyWorkerFits reports whether any worker of the round has enough capacity for a task.
 func (s *State) anyWorkerFits(r *round, t *task) bool {
 	return slices.ContainsFunc(r.workers, func(w *worker) bool { return t.size().Fits(s.openCapacity(w)) })
 }
 
 // openCapacity returns the capacity of a worker that is open to any task: the free
-// capacity, less the room reserved for urgent tasks that still wait. Without the
-// reservation smaller tasks take that room piece by piece and are evicted again,
+// capacity, less the capacity reserved for urgent tasks that still wait. Without the
+// reservation smaller tasks take that capacity piece by piece and are evicted again,
 // for ever.
 func (s *State) openCapacity(w *worker) ledger.Size {
 	free := w.account.Free()
@@ -88,7 +88,7 @@
 }
 
 // queue returns the tasks that wait, unplaced or committed ahead to a worker
-// without room, and the total size of the placed tasks of each team.
+// without free capacity, and the total size of the placed tasks of each team.
 func (s *State) queue() ([]quota.QueuedTask, quota.Usage) {
 	var queue []quota.QueuedTask
 	usage := quota.Usage{}
@@ -159,11 +159,11 @@
 		s.note(r.now, t.object(), TaskOverQuota, t.row.GetTeam())
 		return
 	}
-	if s.placeWithRoom(r, t) {
+	if s.placeWhereFits(r, t) {
 		return
 	}
 	if int(t.row.GetPriority()) >= s.fleet().UrgentPriority {
-		s.makeRoom(r, t)
+		s.evictToFit(r, t)
 		return
 	}
 	s.commitAhead(r, t)
@@ -176,12 +176,12 @@
 	return quota.Exceeds(r.usage[t.row.GetTeam()], t.size(), limit)
 }
 
-// placeWithRoom places a task on the best of the workers with room, and reports
+// placeWhereFits places a task on the best of the workers where it fits, and reports
 // whether there was one. A size that fitted no worker earlier in the round fits
 // none now, since a round only fills workers up.
-func (s *State) placeWithRoom(r *round, t *task) bool {
+func (s *State) placeWhereFits(r *round, t *task) bool {
 	size := t.size()
-	for _, f := range r.sizesWithoutRoom {
+	for _, f := range r.sizesThatFitNowhere {
 		if f.Fits(size) {
 			return false
 		}
@@ -193,14 +193,14 @@
 		}
 	}
 	if len(fitting) > 1 {
-		// A worker where every task fails always has room: prefer another one.
+		// A worker where every task fails always has free capacity: prefer another one.
 		fitting = slices.DeleteFunc(fitting, func(c placement.Worker) bool { return c.Name == t.lastFailedOn })
 	}
 	choice := r.policy.Choose(s.model, placement.Task{
 		ID: t.row.GetId(), Job: t.row.GetJobKey(), Kind: t.kindName(), Size: size,
 	}, fitting)
 	if choice.Worker == "" {
-		r.sizesWithoutRoom = append(r.sizesWithoutRoom, size)
+		r.sizesThatFitNowhere = append(r.sizesThatFitNowhere, size)
 		return false
 	}
 	w := s.workers[choice.Worker]
@@ -251,7 +251,7 @@
 	return n
 }
 
-// presentKinds counts the tasks with room on a worker, running or about to, by
+// presentKinds counts the tasks with reserved capacity on a worker, running or about to, by
 // kind.
 func (s *State) presentKinds(w *worker) interference.TaskCounts {
 	p := interference.TaskCounts{}
@@ -263,14 +263,14 @@
 	return p
 }
 
-// commitAhead places a task on the worker where the fewest tasks wait for room.
+// commitAhead places a task on the worker where the fewest tasks wait for capacity.
 // The commit happens now, so the worker can start the task later without the
 // table.
 func (s *State) commitAhead(r *round, t *task) {
 	var best *worker
 	shortest := s.fleet().Ahead
 	for _, w := range r.workers {
-		n := s.tasksWithoutRoom(w)
+		n := s.tasksAwaitingCapacity(w)
 		if n < shortest && t.size().Fits(w.account.Capacity()) && !s.quarantine.Quarantined(w.name) {
 			best, shortest = w, n
 		}
@@ -282,8 +282,8 @@
 	s.placeOn(r, t, best, TaskCommittedAhead, fmt.Sprintf("%d before it", shortest))
 }
 
-// tasksWithoutRoom returns the number of tasks that wait on a worker for room.
-func (s *State) tasksWithoutRoom(w *worker) int {
+// tasksAwaitingCapacity returns the number of tasks that wait on a worker for capacity.
+func (s *State) tasksAwaitingCapacity(w *worker) int {
 	n := 0
 	for _, t := range w.tasks {
 		if !w.account.HasReservation(t.attemptName()) {
