--- a/pkg/process/cell/mechanisms.go
+++ b/pkg/process/cell/mechanisms.go
@@ -1,7 +1,7 @@
 package cell
 
-// Mechanism is a part of a cell's decisions that can be disabled separately to find out its effect, in the lab and by
-// operators who doubt that it helps.
+// Mechanism is a part of a cell's decisions that a run in the emulator can disable separately, to find out its effect:
+// see "lab run --without". Daemons run with every mechanism enabled.
 type Mechanism uint32
 
 // The mechanisms. Each is one bit: the sum of several stands for all of them.
@@ -31,19 +31,19 @@
 
 // Mechanisms lists every mechanism.
 var Mechanisms = []MechanismHelp{
-	{LendLasting, "lend-lasting", "lasting tasks without room are lent to another cell"},
-	{LendFillers, "lend-fillers", "fillers without a harmless place are lent to another cell"},
-	{LendPlain, "lend-plain", "other short tasks without room are lent to another cell"},
-	{ServingByImage, "serving-by-image", "serving tasks stand beside those that the same fillers press on"},
-	{WeighedPlaces, "weighed-places", "a filler's place is weighed by what it costs its neighbours"},
-	{SharedBeliefs, "shared-beliefs", "leaders hear from others what presses on what"},
-	{CutFillers, "cut-fillers", "fillers stand still beside a tail that stays over its target"},
-	{HeldRoom, "held-room", "room is kept free for a lasting task that waits"},
-	{OrderByOutlook, "order-by-outlook", "jobs that can still meet their objective go before those that can't"},
+	{LendLasting, "lend-lasting", "lasting tasks that fit on no worker are delegated to another cell"},
+	{LendFillers, "lend-fillers", "fillers without a harmless place are delegated to another cell"},
+	{LendPlain, "lend-plain", "other short tasks that fit on no worker are delegated to another cell"},
+	{ServingByImage, "serving-by-image", "serving tasks are placed beside those that the same fillers slow down"},
+	{WeighedPlaces, "weighed-places", "the placement of a filler weighs the harm to its neighbours"},
+	{SharedBeliefs, "shared-beliefs", "leaders share their estimates of which images slow down which"},
+	{CutFillers, "cut-fillers", "fillers are paused beside a serving task whose tail latency stays over its target"},
+	{HeldRoom, "held-room", "capacity is reserved for a lasting task that waits"},
+	{OrderByOutlook, "order-by-outlook", "jobs that can still meet their objective are placed before those that can't"},
 	{WaitForCheapPlaces, "wait-for-cheap-places", "fillers wait for a place that costs no more than they earn"},
-	{Quarantine, "quarantine", "workers that fail what they start are put aside"},
-	{LearnedTimes, "learned-times", "run times that callers declare are corrected by those that were seen"},
-	{OrderWindow, "order-window", "orders are held back while those that are on their way wait for the link"},
+	{Quarantine, "quarantine", "workers on which runs keep failing get no work for a while"},
+	{LearnedTimes, "learned-times", "declared run times are corrected by observed ones"},
+	{OrderWindow, "order-window", "start orders are held back while too many bytes of them are in transit"},
 }
 
 // WithoutMechanisms disables mechanisms.
