--- a/pkg/emulator/checker.go
+++ b/pkg/emulator/checker.go
@@ -101,16 +101,16 @@
 }
 
 // parseTaskName splits the name of a task. It is written apart from the product's own parser.
-func parseTaskName(task string) (job string, time, step int) {
+func parseTaskName(task string) (job string, occurrence, step int) {
 	f := strings.Split(task, ".")
-	time, _ = strconv.Atoi(f[1])
+	occurrence, _ = strconv.Atoi(f[1])
 	step, _ = strconv.Atoi(f[2])
-	return f[0], time, step
+	return f[0], occurrence, step
 }
 
-// taskName returns the name of a task: job, repetition, step and index.
-func taskName(job string, time, step, index int) string {
-	return fmt.Sprintf("%s.%d.%d.%d", job, time, step, index)
+// taskName returns the name of a task: job, occurrence, step and index.
+func taskName(job string, occurrence, step, index int) string {
+	return fmt.Sprintf("%s.%d.%d.%d", job, occurrence, step, index)
 }
 
 const (
@@ -122,9 +122,9 @@
 
 // started checks each start that a worker carries out.
 func (c *checker) started(k *worker, s workers.Start) {
-	job, time, step := parseTaskName(s.Task)
+	job, occurrence, step := parseTaskName(s.Task)
 	spec := c.world.jobs[job].GetSteps()[step]
-	if due := c.dueAt(job, time); c.world.now.Before(due) {
+	if due := c.dueAt(job, occurrence); c.world.now.Before(due) {
 		c.breakRule("ORDER", "%s starts %s ahead of its time", s.Task, due.Sub(c.world.now))
 	}
 	c.world.logf("%s starts %s run %d (fence %d)", k.id(), s.Task, s.Run, s.Fence)
@@ -142,7 +142,7 @@
 	c.running[s.Task][fmt.Sprintf("%s#%d", k.id(), s.Run)] = k
 	for _, before := range spec.GetAfter() {
 		for i := range int(c.world.jobs[job].GetSteps()[before].GetCount()) {
-			if !c.unitDone(job, time, int(before), i) {
+			if !c.unitDone(job, occurrence, int(before), i) {
 				c.breakRule("ORDER", "%s starts before step %d is done", s.Task, before)
 				return
 			}
@@ -170,13 +170,13 @@
 }
 
 // unitDone returns whether a task has ended well; for a member of a gang, whether any member has.
-func (c *checker) unitDone(job string, time, step, index int) bool {
+func (c *checker) unitDone(job string, occurrence, step, index int) bool {
 	spec := c.world.jobs[job].GetSteps()[step]
 	if !spec.GetGang() {
-		return c.done[taskName(job, time, step, index)]
+		return c.done[taskName(job, occurrence, step, index)]
 	}
 	for i := range int(spec.GetCount()) {
-		if c.done[taskName(job, time, step, i)] {
+		if c.done[taskName(job, occurrence, step, i)] {
 			return true
 		}
 	}
@@ -290,8 +290,8 @@
 	}
 	switch p.GetPhase() {
 	case wire.JobPhase_JOB_PHASE_COMPLETED:
-		for time := range max(1, int(c.world.jobs[id].GetRepeats())) {
-			c.checkAllDone(id, time)
+		for occurrence := range max(1, int(c.world.jobs[id].GetRepeats())) {
+			c.checkAllDone(id, occurrence)
 		}
 	case wire.JobPhase_JOB_PHASE_FAILED:
 		if !c.failureHasCause(id) {
@@ -305,19 +305,19 @@
 	}
 }
 
-// checkAllDone breaks the rule MIXED unless all tasks of one repetition of a completed job have ended well.
-func (c *checker) checkAllDone(id string, time int) {
+// checkAllDone breaks the rule MIXED unless all tasks of one occurrence of a completed job have ended well.
+func (c *checker) checkAllDone(id string, occurrence int) {
 	for step, spec := range c.world.jobs[id].GetSteps() {
 		for i := range int(spec.GetCount()) {
-			if !c.unitDone(id, time, step, i) {
-				c.breakRule("MIXED", "%s is completed, %s is not done", id, taskName(id, time, step, i))
+			if !c.unitDone(id, occurrence, step, i) {
+				c.breakRule("MIXED", "%s is completed, %s is not done", id, taskName(id, occurrence, step, i))
 			}
 		}
 	}
 }
 
-// dueAt returns when the n-th repetition of a job falls due; the start of the day for a job without
-// repetitions.
+// dueAt returns when the n-th occurrence of a job falls due; the start of the day for a job that does not
+// repeat.
 func (c *checker) dueAt(job string, n int) time.Time {
 	spec := c.world.jobs[job]
 	if spec.GetRepeats() == 0 {
--- a/pkg/emulator/contact_test.go
+++ b/pkg/emulator/contact_test.go
@@ -26,8 +26,8 @@
 //	36.538 s to 36.914 s  ...0.1.15 run 2000002 at the same worker, started by the successor: done
 //
 // Orphaned runs and ends are kept until the table has been read again. The same must hold for known jobs with
-// unknown later repetitions: one that falls due a moment later here, or is delegated to the cell. Otherwise a
-// good end is forgotten before its repetition exists (seeds 612, 1365, 1675) or not claimed when it does
+// unknown later occurrences: one that falls due a moment later here, or is delegated to the cell. Otherwise a
+// good end is forgotten before its occurrence exists (seeds 612, 1365, 1675) or not claimed when it does
 // (1201).
 func TestNoRuleBreaksBesideDeposedLeaders(t *testing.T) {
 	t.Parallel()
--- a/pkg/emulator/crash_tasks.go
+++ b/pkg/emulator/crash_tasks.go
@@ -20,7 +20,7 @@
 	crashTaskSeedStream = 11
 )
 
-// drawCrashTask picks a step and index of a job. The task there is the job's crash task, in each repetition of a
+// drawCrashTask picks a step and index of a job. The task there is the job's crash task, in each occurrence of a
 // repeated job.
 func (w *World) drawCrashTask(spec *wire.JobSpec) *Crash {
 	r := rand.New(rand.NewPCG(w.plan.Seed^uint64(len(w.crashTaskDelays)), crashTaskSeedStream))
--- a/pkg/emulator/emulator.go
+++ b/pkg/emulator/emulator.go
@@ -52,7 +52,7 @@
 	impairedAt      time.Time
 	truths          map[string]*TaskBehavior // actual behaviour of the tasks of plan.Load, by task name
 	saved           map[string]time.Duration
-	crashTaskDelays map[string]time.Duration // delay from start to worker crash, by task without its repetition
+	crashTaskDelays map[string]time.Duration // delay from start to worker crash, by task without its occurrence
 	results         map[string]*JobResult
 	script          *Script // records the day, nil if it is not recorded
 	// Noted counts the notes of all hosts by kind.
--- a/pkg/process/cell/events.go
+++ b/pkg/process/cell/events.go
@@ -82,7 +82,7 @@
 	Returned []*wire.ReturnedTasks
 	// Fences are the versions of the fence rows by part.
 	Fences map[string]int64
-	// Wall is the time of day, by which runs of repeating jobs fall due.
+	// Wall is the time of day, by which occurrences of repeating jobs fall due.
 	Wall time.Time
 	// StoreNow is the table service's clock at the time of the event.
 	StoreNow time.Duration
--- a/pkg/process/jobs/delegation.go
+++ b/pkg/process/jobs/delegation.go
@@ -22,10 +22,10 @@
 // cell.
 func (j *Job) Delegated() bool { return len(j.Spec.GetGuest()) > 0 }
 
-// leaveTasksToHome leaves all tasks of one repetition of a delegated job to the home cell.
-func (j *Job) leaveTasksToHome(repetition int) {
+// leaveTasksToHome leaves all tasks of one occurrence of a delegated job to the home cell.
+func (j *Job) leaveTasksToHome(occurrence int) {
 	for _, u := range j.Units {
-		if u.Time != repetition {
+		if u.Time != occurrence {
 			continue
 		}
 		for _, t := range u.Tasks {
@@ -34,17 +34,17 @@
 	}
 }
 
-// openRepetitionOf creates the units of all repetitions up to that of a delegated task.
-func (j *Job) openRepetitionOf(r *wire.TaskRef) {
-	for j.openedRepetitions <= int(r.GetTime()) && j.openedRepetitions < j.Repeats() {
-		j.openRepetition(j.openedRepetitions)
+// openOccurrenceOf creates the units of all occurrences up to that of a delegated task.
+func (j *Job) openOccurrenceOf(r *wire.TaskRef) {
+	for j.openedOccurrences <= int(r.GetTime()) && j.openedOccurrences < j.Repeats() {
+		j.openOccurrence(j.openedOccurrences)
 	}
 }
 
 // applyDelegatedTasks applies the specification's list of delegated tasks. All other tasks are left to the home cell.
 func (j *Job) applyDelegatedTasks() {
 	for _, r := range j.Spec.GetGuest() {
-		j.openRepetitionOf(r)
+		j.openOccurrenceOf(r)
 		if t := j.taskByRef(r); t != nil {
 			t.DelegatedTo, t.Delegations = "", r.GetLending()
 			t.copyStateFrom(r)
@@ -91,7 +91,7 @@
 	}
 	added := false
 	for _, r := range spec.GetGuest() {
-		j.openRepetitionOf(r)
+		j.openOccurrenceOf(r)
 		t := j.taskByRef(r)
 		if t == nil || (t.DelegatedTo != notDelegatedHere && (t.DelegatedTo == "" || r.GetLending() <= t.Delegations)) {
 			continue
--- a/pkg/process/jobs/job.go
+++ b/pkg/process/jobs/job.go
@@ -1,9 +1,10 @@
 // Package jobs keeps the accepted jobs of a cell and decides which of their tasks may start now.
 //
 // A job has steps, and a step has identical tasks. A step waits until the steps that it depends on are done. A job
-// that repeats runs its steps once per repetition. A Unit is one step in one repetition. The package knows no
-// workers and makes no calls. Times are arguments. Data flows one way: specifications come in, and recorded
-// progress after a takeover; ends of runs change tasks; the progress to record goes out.
+// that repeats falls due several times and runs its steps once for each: these are its occurrences, counted from 0. A
+// Unit is one step in one occurrence. The package knows no workers and makes no calls. Times are arguments. Data flows
+// one way: specifications come in, and recorded progress after a takeover; ends of runs change tasks; the progress to
+// record goes out.
 package jobs
 
 import (
@@ -35,7 +36,7 @@
 	CancelRequested bool
 	Units           []*Unit
 
-	openedRepetitions int
+	openedOccurrences int
 	// targetCells are the cells that have had delegated tasks of the job.
 	targetCells map[string]bool
 	// longestChains holds, per step, the longest chain of estimated work that begins with the step. The estimates
@@ -44,10 +45,10 @@
 	chainsAt      time.Time
 }
 
-// Unit is one step in one of the job's repetitions.
+// Unit is one step in one of the job's occurrences.
 type Unit struct {
 	Job   *Job
-	Time  int
+	Time  int // number of the occurrence, from 0
 	Step  int
 	Spec  *wire.StepSpec
 	Tasks []*Task
@@ -130,55 +131,55 @@
 	j := &Job{Spec: spec, Phase: wire.JobPhase_JOB_PHASE_QUEUED, AcceptedAt: acceptedAt}
 	j.EstimateChains(time.Time{}, func(step *wire.StepSpec) time.Duration { return time.Duration(step.GetEstimateMs()) * time.Millisecond })
 	if spec.GetRepeats() == 0 {
-		j.openRepetition(0)
+		j.openOccurrence(0)
 	}
 	j.applyDelegatedTasks()
 	return j
 }
 
-// Repeats returns the number of repetitions of the job, at least 1.
+// Repeats returns the number of occurrences of the job, at least 1.
 func (j *Job) Repeats() int { return max(1, int(j.Spec.GetRepeats())) }
 
-func (j *Job) openRepetition(repetition int) {
+func (j *Job) openOccurrence(occurrence int) {
 	for i, step := range j.Spec.GetSteps() {
 		u := &Unit{
-			Job: j, Time: repetition, Step: i, Spec: step,
+			Job: j, Time: occurrence, Step: i, Spec: step,
 			Size: ledger.Size{Millicores: step.GetMillicores(), MemoryMB: step.GetMemoryMb(), Accelerators: step.GetAccelerators()},
 		}
-		u.name = j.Spec.GetId() + "." + strconv.Itoa(repetition) + "." + strconv.Itoa(i)
+		u.name = j.Spec.GetId() + "." + strconv.Itoa(occurrence) + "." + strconv.Itoa(i)
 		for n := range int(step.GetCount()) {
 			u.Tasks = append(u.Tasks, &Task{Unit: u, Index: n, Settled: true, name: u.name + "." + strconv.Itoa(n)})
 		}
 		j.Units = append(j.Units, u)
 	}
-	j.openedRepetitions = max(j.openedRepetitions, repetition+1)
+	j.openedOccurrences = max(j.openedOccurrences, occurrence+1)
 	if j.Delegated() {
-		j.leaveTasksToHome(repetition)
+		j.leaveTasksToHome(occurrence)
 	}
 }
 
-// OpenDue creates the units of all repetitions that are due at the wall-clock time wall, and returns the new
-// units. It returns nil for a delegated job: the delegated tasks determine its repetitions.
+// OpenDue creates the units of all occurrences that are due at the wall-clock time wall, and returns the new
+// units. It returns nil for a delegated job: the delegated tasks determine its occurrences.
 func (j *Job) OpenDue(wall time.Time) []*Unit {
 	if j.Delegated() {
 		return nil
 	}
 	before := len(j.Units)
-	for j.openedRepetitions < int(j.Spec.GetRepeats()) && !wall.Before(j.DueAt(j.openedRepetitions)) {
-		j.openRepetition(j.openedRepetitions)
+	for j.openedOccurrences < int(j.Spec.GetRepeats()) && !wall.Before(j.DueAt(j.openedOccurrences)) {
+		j.openOccurrence(j.openedOccurrences)
 	}
 	return j.Units[before:]
 }
 
-// DueAt returns the wall-clock time at which repetition n is due.
+// DueAt returns the wall-clock time at which occurrence n is due.
 func (j *Job) DueAt(n int) time.Time {
 	return time.UnixMilli(j.Spec.GetFirstUnixMs() + int64(n)*j.Spec.GetIntervalMs())
 }
 
-// NotYetDue returns whether the task belongs to a repetition whose units do not exist yet. It is false for a
-// delegated job, where the delegated tasks determine the repetitions, not the wall-clock time.
+// NotYetDue returns whether the task belongs to an occurrence whose units do not exist yet. It is false for a
+// delegated job, where the delegated tasks determine the occurrences, not the wall-clock time.
 func (j *Job) NotYetDue(id TaskID) bool {
-	return !j.Delegated() && id.Time >= j.openedRepetitions && id.Time < j.Repeats() && id.Step < len(j.Spec.GetSteps())
+	return !j.Delegated() && id.Time >= j.openedOccurrences && id.Time < j.Repeats() && id.Step < len(j.Spec.GetSteps())
 }
 
 // Ended returns whether the job is in a final phase.
@@ -195,9 +196,9 @@
 	j.Phase, j.Reason, j.EndedAt = phase, reason, now
 }
 
-// AllDone returns whether every task of every repetition has succeeded.
+// AllDone returns whether every task of every occurrence has succeeded.
 func (j *Job) AllDone() bool {
-	if j.openedRepetitions < j.Repeats() {
+	if j.openedOccurrences < j.Repeats() {
 		return false
 	}
 	for _, u := range j.Units {
@@ -208,18 +209,18 @@
 	return true
 }
 
-// unit returns the unit of a step in a repetition, nil if there is none.
-func (j *Job) unit(repetition, step int) *Unit {
-	index := repetition*len(j.Spec.GetSteps()) + step
-	if repetition < 0 || step < 0 || step >= len(j.Spec.GetSteps()) || index >= len(j.Units) {
+// unit returns the unit of a step in an occurrence, nil if there is none.
+func (j *Job) unit(occurrence, step int) *Unit {
+	index := occurrence*len(j.Spec.GetSteps()) + step
+	if occurrence < 0 || step < 0 || step >= len(j.Spec.GetSteps()) || index >= len(j.Units) {
 		return nil
 	}
 	return j.Units[index]
 }
 
-// Task returns the task with the given repetition, step and index, nil if there is none.
-func (j *Job) Task(repetition, step, index int) *Task {
-	u := j.unit(repetition, step)
+// Task returns the task with the given occurrence, step and index, nil if there is none.
+func (j *Job) Task(occurrence, step, index int) *Task {
+	u := j.unit(occurrence, step)
 	if u == nil || index < 0 || index >= len(u.Tasks) {
 		return nil
 	}
@@ -261,7 +262,7 @@
 func (u *Unit) Done() bool { return u.done == len(u.Tasks) }
 
 // Ready returns whether the unit's tasks may start: all tasks of the steps that it depends on, in the same
-// repetition, have succeeded. Delegated tasks were ready when they were delegated.
+// occurrence, have succeeded. Delegated tasks were ready when they were delegated.
 func (u *Unit) Ready() bool {
 	if u.Job.Delegated() {
 		return true
--- a/pkg/process/jobs/progress.go
+++ b/pkg/process/jobs/progress.go
@@ -71,8 +71,8 @@
 }
 
 func (j *Job) restoreUnit(up *wire.UnitProgress) {
-	for int(up.GetTime()) >= j.openedRepetitions && j.openedRepetitions < j.Repeats() {
-		j.openRepetition(j.openedRepetitions) // the repetition has progress, so it was due
+	for int(up.GetTime()) >= j.openedOccurrences && j.openedOccurrences < j.Repeats() {
+		j.openOccurrence(j.openedOccurrences) // the occurrence has progress, so it was due
 	}
 	u := j.unit(int(up.GetTime()), int(up.GetStep()))
 	if u == nil {
--- a/pkg/process/jobs/run.go
+++ b/pkg/process/jobs/run.go
@@ -85,7 +85,7 @@
 // TaskID is a task's name in its parts: ID.TIME.STEP.INDEX.
 type TaskID struct {
 	Job               string
-	Time, Step, Index int
+	Time, Step, Index int // Time is the number of the occurrence
 }
 
 // ParseTaskName parses a task's name, as workers list it. It returns false if the name is malformed.
